--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -4,31 +4,37 @@
 from pathlib import Path
 
 import pytest
+from click.testing import CliRunner
 from conftest import ROOT
 
-from laurelcourse.fleet.books.forms import Limits
+from laurelcourse import cli
+from laurelcourse.fleet.books import forms as f
+from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.workflows import definition as d
+from laurelcourse.fleet.workflows import statements
 from laurelcourse.operator import meaning_workflows, reading
 from laurelcourse.settings import DEDUPED, NON_RETRIABLE, RETRIABLE, Route
 
+ASK = "SELECT blob FROM rows WHERE handle = '%s'"
 WORKFLOW = """<workflow-limits in-flight="500" by-tenant="50" behind="20" keeps="10min"/>
     <workflow name="booking" timeout="20s" tries="3" back-off="100ms" longest-back-off="150ms">
-      <step name="room" route="hold" statement="HOLD {room}" timeout="2s">
-        <undo route="free" statement="FREE {room}" timeout="1s"/>
+      <step name="room" route="hold" statement="ASK 'hold.{room}'" timeout="2s">
+        <undo route="free" statement="ASK 'free.{room}'" timeout="1s"/>
       </step>
-      <step name="look" route="look" statement="LOOK" timeout="1s" effect="false"/>
-      <step name="device" route="hold" statement="HOLD {device}" timeout="2s">
-        <undo route="keyed" statement="FREE {device}" timeout="1s"/>
+      <step name="look" route="look" statement="ASK 'look'" timeout="1s" effect="false"/>
+      <step name="device" route="hold" statement="ASK 'hold.{device}'" timeout="2s">
+        <undo route="keyed" statement="ASK 'free.{device}'" timeout="1s"/>
       </step>
-      <step name="commit" route="keyed" statement="COMMIT" timeout="1s" no-return="true" fails="never"/>
-      <step name="notice" route="notice" statement="TELL" timeout="1s" fails="harmless"/>
+      <step name="commit" route="keyed" statement="ASK 'commit'" timeout="1s" no-return="true" fails="never"/>
+      <step name="notice" route="notice" statement="ASK 'tell'" timeout="1s" fails="harmless"/>
     </workflow>
-  </fleet>"""
+  </fleet>""".replace("ASK ", "SELECT blob FROM rows WHERE handle = ")
 EXAMPLE = (ROOT / "deploy" / "fleet.xml").read_text()
 EXAMPLE = re.sub("<workflow.*</fleet>", lambda _: WORKFLOW, EXAMPLE, flags=re.DOTALL)
 # Three tries of a second with waits of 100 and 150 ms lie in 3250 ms.
 KINDS = {"hold": (NON_RETRIABLE, 0), "free": (RETRIABLE, 0), "look": (RETRIABLE, 0),
-         "keyed": (DEDUPED, 3_250_000), "short": (DEDUPED, 3_249_999), "notice": (NON_RETRIABLE, 0)}
+         "keyed": (DEDUPED, 3_250_000), "short": (DEDUPED, 3_249_999), "notice": (NON_RETRIABLE, 0),
+         "lasting": (DEDUPED, d.LONGEST), "longer": (DEDUPED, d.LONGEST + 1)}
 ROUTES = [Route(name, 1, 2_000_000, 1.0, 0.0, repeat, "any", memory)
           for name, (repeat, memory) in KINDS.items()]
 
@@ -49,13 +55,13 @@
     found = meaning_workflows.definitions(fleet, ROUTES)["booking"]
     assert (found.timeout, found.tries, found.back_off, found.longest, found.point(), found.waits()) == (
         20_000_000, 3, 100_000, 150_000, 3, 250_000)
-    assert found.steps[2] == d.Step("device", d.Send("hold", "HOLD {device}", 2_000_000, NON_RETRIABLE),
-                                    d.Send("keyed", "FREE {device}", 1_000_000, DEDUPED, 3_250_000))
+    assert found.steps[2] == d.Step("device", d.Send("hold", ASK % "hold.{device}", 2_000_000, NON_RETRIABLE),
+                                    d.Send("keyed", ASK % "free.{device}", 1_000_000, DEDUPED, 3_250_000))
     assert [(one.effect, one.no_return, one.fails) for one in found.steps] == [
         (True, False, "may"), (False, False, "may"), (True, False, "may"), (True, True, "never"),
         (True, False, "harmless")]
     assert d.well_formed(found) and d.read(d.plain(found)) == found and not list(d.flaws(found))
-    assert meaning_workflows.limits(fleet) == Limits(500, 50, 20, 600_000_000)
+    assert meaning_workflows.limits(fleet) == f.Limits(500, 50, 20, 600_000_000)
 
 
 FREE, KEYED, COMMIT = 'undo route="free"', 'undo route="keyed"', 'no-return="true" fails="never"'
@@ -68,16 +74,18 @@
     (FREE, 'undo harmless="true" route="hold"', "goes by route hold, which may not be repeated"),
     (KEYED, 'undo route="short"', "may run later than the 3249ms"),
     (KEYED, 'undo harmless="true" route="short"', ""),
+    (KEYED, 'undo route="lasting"', ""),
+    (KEYED, 'undo route="longer"', "route longer knows repeats for over 1d"),
     (COMMIT, COMMIT.replace("never", "may"), ""),
-    ('route="keyed" statement="C', 'route="short" statement="C', "can't be repeated until it is done"),
-    ('route="keyed" statement="C', 'route="hold" statement="C', "can't be repeated until it is done"),
+    ('name="commit" route="keyed"', 'name="commit" route="short"', "can't be repeated until it is done"),
+    ('name="commit" route="keyed"', 'name="commit" route="hold"', "can't be repeated until it is done"),
     ('timeout="1s" fails="harmless"', 'timeout="1s"', "step notice may fail for good behind the point"),
     ('timeout="1s" fails="harmless"', 'timeout="1s" fails="never"', "can't be repeated until it is done"),
     ('fails="harmless"', 'fails="harmless" no-return="true"', "second point of no return, after step commit"),
     ('name="room" route="hold"', 'name="room" route="holds"', "no route holds: the platform has free, hold"),
     (FREE, 'undo route="frees"', "no route frees"),
     ('timeout="2s"', 'timeout="2.001s"', "a timeout of 2001ms, route hold has 2000ms"),
-    ('"FREE {room}" timeout="1s"', '"FREE {room}" timeout="3s"', "of 3000ms, route free has 2000ms"),
+    ("free.{room}'\" timeout=\"1s\"", "free.{room}'\" timeout=\"3s\"", "of 3000ms, route free has 2000ms"),
     ('timeout="2s"', 'timeout="0s"', "a timeout of 0"),
     ('timeout="20s"', 'timeout="9s"', ""),
     ('timeout="20s"', 'timeout="8.999s"', "take up to 9000ms, its timeout is 8999ms"),
@@ -87,7 +95,7 @@
     ('by-tenant="50"', 'by-tenant="501"', "over in-flight, 500"),
     ('behind="20"', 'behind="501"', "bounds nothing"),
     ('keeps="10min"', 'keeps="0s"', "keeps must be above 0"),
-    ('statement="LOOK"', 'statement=""', "length"),
+    (f'statement="{ASK % "look"}"', 'statement=""', "length"),
     ('fails="harmless"', 'fails="often"', "'may', 'never', 'harmless'"),
     ('name="look" route="look"', 'name="look"', "attribute 'route' is required")])
 def test_a_fault_is_named_with_its_line(tmp_path: Path, old: str, new: str, words: str) -> None:
@@ -101,6 +109,62 @@
     assert int(at[0].split(":")[1]) == EXAMPLE[:EXAMPLE.index(old)].count("\n") + 1
 
 
+GIVEN = [(("room", "r"), ("device", "d"), ("a", one), ("b", two)) for one, two in (("0", "0"), ("0", "00"))]
+LOOK, UNDO = ASK % "look", ASK % "free.{room}"
+PUT = "INSERT INTO rows (handle, blob) VALUES ('a', '\\x%s') RETURNING blob"
+
+
+# What stands in the example, what instead, and what is said of it; nothing: it is taken.
+STATEMENTS = [
+    (LOOK, "LOOK", "step look can't be sent: not a statement that is served here"),
+    (LOOK, LOOK + " /* id=1,c=look,d=5 */", "step look can't be sent: not a statement"),
+    (LOOK, ASK % ("x" * 257), "step look can't be sent: not a statement"),
+    (LOOK, ASK % "a\\b", "step look can't be sent: not a statement"),
+    (LOOK, PUT % "0", "step look can't be sent: not a statement"),
+    (LOOK, PUT % "0{a}{a}", "step look can't be sent: not a statement"),
+    (LOOK, PUT % "{}", "step look can't be sent: not a statement"),
+    (LOOK, "SELECT blob FROM {room} WHERE handle = 'a'", "step look can't be sent: not a statement"),
+    (UNDO, UNDO.replace("WHERE", "IF"), "the undo of step room can't be sent: not a statement"),
+    (UNDO, UNDO[:-1], "the undo of step room can't be sent: not a statement"),
+    (LOOK, ASK % ("\u00e4" * 129), "step look can't be sent: not a statement"),
+    (LOOK, PUT % ("{" + "\u00e4" * 480 + "}"), "a statement over 1024 bytes"),
+    (LOOK, ASK % "a&#10;b", "with control characters"),
+    (LOOK, ASK % "a\x7fb", "with control characters"),
+    (f'{LOOK}" timeout="1s"', f'{LOOK}" timeout="999us"', "timeout must be from 1ms to 60min"),
+    (f'{UNDO}" timeout="1s"', f'{UNDO}" timeout="999us"', "the undo of step room can't be sent: its timeout"),
+    (f'{LOOK}" timeout="1s"', f'{LOOK}" timeout="3600.001s"', "timeout must be from 1ms to 60min"),
+    (f'{LOOK}" timeout="1s"', f'{LOOK}" timeout="1ms"', ""),
+    (LOOK, PUT % "0{a}{b}", ""), (LOOK, PUT % "{a}0{b}{b}", ""), (LOOK, PUT % "", ""),
+    (LOOK, ASK % ("x" * 256), ""), (LOOK, ASK % ("x" * 255 + "{room}"), ""), (LOOK, ASK % "{a{room}", "")]
+
+
+def begun(found: d.Definition, values: tuple[tuple[str, str], ...]) -> str:
+    """The code with which a Start is refused, empty if it is not."""
+    fault = statements.unfit(found, values)
+    if fault:
+        return fault.code
+    books = Books()
+    fence = f.Fence(*books.apply(1, f.Batch(1, 1, (f.Command(None, 7, f.Open("r", "a")),)))[0].value)
+    return books.apply(2, f.Batch(1, 1, (f.Command(fence, 1, f.Begin("t", "m", found, values)),)))[0].code
+
+
+@pytest.mark.parametrize("old, new, words", STATEMENTS, ids=lambda one: one[:60])
+def test_a_statement_that_no_start_would_take_is_named_with_its_line(
+        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, old: str, new: str, words: str) -> None:
+    assert old in EXAMPLE
+    path = tmp_path / "fleet.xml"
+    path.write_text(EXAMPLE.replace(old, new, 1))
+    ran = CliRunner().invoke(cli.main, ["check", "-o", str(path)])
+    line = EXAMPLE[:EXAMPLE.index(old)].count("\n") + 1
+    said = [one for one in ran.output.splitlines() if one.startswith(f"{path}:{line}: workflow booking: ")]
+    # What is begun with settings that nobody checked is refused then, and nothing else is.
+    monkeypatch.setattr(reading.meaning, "faults", lambda *_: [])
+    found = meaning_workflows.definitions(reading.read(str(path)).fleet, ROUTES)["booking"]
+    taken = any(not begun(found, values) for values in GIVEN)
+    assert (ran.exit_code, bool(said), taken) == ((2, True, False) if words else (0, False, True)), ran.output
+    assert not words or any(words in one for one in said), ran.output
+
+
 def test_a_second_of_one_name_is_named(tmp_path: Path) -> None:
     again = EXAMPLE[EXAMPLE.index("<workflow name"):EXAMPLE.index("  </fleet>")]
     found = faults(tmp_path, EXAMPLE.replace("  </fleet>", again + "</fleet>"))
--- a/tests/test_fleet_workflows.py
+++ b/tests/test_fleet_workflows.py
@@ -504,6 +504,80 @@
     assert client.look(51, view) is None and r.Waiting(1, 5).look(5, None).state == "unknown"
 
 
+def scripted(kind: str, *orders: str) -> Script:
+    it = Script(kind)
+    assert not [one for one in orders if it.say(one) in CODES]
+    return it
+
+
+# What the books hold of BOOKING's first three steps, and the undos that follow, by place.
+UNDONE_IN_ORDER = [
+    ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 ok; do a 2 1; do a 2 1 failed", [1, 0]),
+    ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 ok; do a 2 1; do a 2 1 unknown", [2, 1, 0]),
+    ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 ok; leave a", [1, 0]),
+    ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 never; leave a", [0])]
+
+
+@pytest.mark.parametrize("orders, places", UNDONE_IN_ORDER)
+def test_each_owner_undoes_the_last_that_may_have_run_alone(orders: str, places: list[int]) -> None:
+    it, undone = scripted("booking", *orders.split("; ")), []
+    while it.books.workflow(1).state == w.UNDOING:
+        # As if it were taken over before each undo: the books alone say what is next.
+        (write,) = r.Run(1, Chance(1)).step(0, it.books.workflow(1), 1, True, lambda: True)
+        assert write.what.undo and it.do("a", write.what).code == ""
+        assert it.do("a", f.Result(1, write.what.step, True, 1, f.COMPLETED)).code == ""
+        undone.append(write.what.step)
+    assert undone == places and it.books.workflow(1).state == w.UNDONE
+
+
+def test_a_try_whose_fate_is_not_known_is_told_as_unknown() -> None:
+    it, lost = Script("booking"), r.Write(f.Result(1, 0, False, 1, f.UNKNOWN))
+    begun = it.books.workflow(1)
+
+    def sent(usable: bool) -> tuple[r.Run, tuple[r.Effect, ...]]:
+        run = r.Run(1, Chance(1))
+        assert run.step(0, begun, 1, True, lambda: True) == (r.Write(f.Intend(1, 0, False, 1)),)
+        return run, run.wrote(0, f.Done(("id", "key")), begun, 1, usable)
+
+    # No answer by the end of the step's time; one that comes later changes nothing.
+    run, (send,) = sent(True)
+    what = run.sending()
+    it.say("do a 0 1")
+    view = it.books.workflow(1)
+    assert run.due() == send.until == 100 * MS and run.step(send.until - 1, view, 1, True, bool) == ()
+    assert run.step(send.until, view, 1, True, bool) == (lost,)
+    run.came(send.until, what, f.COMPLETED)
+    run.wrote(send.until, f.Done(code="no_quorum"), view, 1, True)
+    assert run.step(run.due(), view, 1, True, bool) == (lost,)
+    # A lease that ended between intent and sending: nothing goes, yet it is not said that it never ran.
+    run, effects = sent(False)
+    assert effects == () and run.step(1, view, 1, True, bool) == (lost,)
+    # A try of the owner before may still run until its time is over.
+    run, taken = r.Run(1, Chance(1)), view._replace(owner=2)
+    assert run.step(7, taken, 2, True, bool) == () and run.due() == 7 + 100 * MS
+    assert run.step(7 + 100 * MS, taken, 2, True, bool) == (lost,)
+    # So the client hears of it.
+    it.say("do a 0 1 unknown")
+    assert r.Waiting(1, 0).look(0, it.books.workflow(1)).fates[0] == ("room", w.MAYBE)
+
+
+FAILS = "undo a 0 1; undo a 0 1 failed; undo a 0 2; undo a 0 2 unknown; undo a 0 3; undo a 0 3 failed"
+
+
+@pytest.mark.parametrize("orders, place, code, step", [
+    ("do a 0 1; do a 0 1 ok; leave a; " + FAILS, 0, "undo_stuck", "room"),
+    ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 unknown; do a 1 2; do a 1 2 failed; do a 1 3; do a 1 3 never",
+     1, "step_stuck", "commit")])
+def test_what_is_stuck_is_named_and_settled_there(orders: str, place: int, code: str, step: str) -> None:
+    it = scripted("short", *orders.split("; "))
+    at, error = r.stuck(it.books.workflow(1))
+    assert (at, error.code, error.told) == (place, code, {"step": step, "tries": 3})
+    assert "by hand at its unit, then tell the books" in error.fields()["do"]
+    # The place that is named is the one that the books take an operator's word for, and no other.
+    assert it.say(f"settle b {1 - at} by_hand") == "out_of_order"
+    assert it.say(f"settle b {at} by_hand") in (w.UNDONE, w.FORWARD)
+
+
 NOT_FIT = [f.Limits(0, 1, 1, 1), f.Limits(1 << 17, 1, 1, 1), f.Begin("", "m", SHORT), f.Begin("t", "", SHORT),
            f.Begin("t", "m", None), f.Begin("t", "m", SHORT, (("a",),)),
            f.Begin("t", "m", SHORT, (("a", "\n"),)),
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,13 +1,18 @@
 """Labs as they are run, and each of their checks with the guard taken out that it watches."""
 
+import contextlib
 import json
+import os
+import signal
 import subprocess
 import sys
+from pathlib import Path
 
 import pytest
 from conftest import ROOT
 
 from laurelcourse.lab.guards import GUARDS
+from laurelcourse.standins.base import until
 
 SECONDS = {"relay": "37", "tuf": "24"}
 AT_ONCE = 5  # so that the machine can still keep time
@@ -32,3 +37,44 @@
             assert set(GUARDS[name]) == set(checks), broken
             assert process.returncode == int(bool(broken)) and report["holds"] is not bool(broken), told
             assert not broken or checks[broken] is False, (broken, told)
+
+
+KILLED = """
+import sys, threading, time
+from pathlib import Path
+from laurelcourse.lab.process import RelayProcess
+from laurelcourse.standins.base import until
+RelayProcess.words = lambda self: ["http.server", "0", "--bind", "127.0.0.1"]
+relays = [RelayProcess(Path(sys.argv[1]) / name, {}) for name in "ab"]
+for one in relays:                      # by threads that end, as scripts of faults do
+    thread = threading.Thread(target=one.start, args=(False,))
+    thread.start()
+    thread.join()
+relays[1].process.send_signal(19)       # SIGSTOP
+until(lambda: Path(f"/proc/{relays[1].process.pid}/stat").read_text().rpartition(")")[2].split()[0] == "T")
+print(*(one.process.pid for one in relays if one.alive()), flush=True)
+time.sleep(60)
+"""
+
+
+def ended(pid: int) -> bool:
+    """Gone, or not yet reaped by whoever it was left to (Linux, /proc/PID/stat)."""
+    try:
+        return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] in "ZX"
+    except OSError:
+        return True
+
+
+def test_a_lab_that_is_killed_leaves_no_relay_behind(tmp_path: Path) -> None:
+    """One runs, one is stopped by a script of faults, as a lab is ended that can clean up nothing."""
+    with subprocess.Popen([sys.executable, "-c", KILLED, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE,
+                          text=True) as one:
+        pids = [int(pid) for pid in one.stdout.readline().split()]
+        one.kill()
+    try:
+        assert len(pids) == 2
+        until(lambda: all(map(ended, pids)))
+    finally:
+        for pid in pids:
+            with contextlib.suppress(ProcessLookupError):
+                ended(pid) or os.kill(pid, signal.SIGKILL)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -87,6 +87,40 @@
     assert all(one <= there for one, there in zip(sent, most, strict=True)) and sum(sent) >= budget / 4
 
 
+@pytest.mark.parametrize("relays, busy, late, quiet, back, most", [
+    (1, 1, 0, 0, 4, 0.6), (5, 1, 0, 0, 4, 0.6), (5, 1, 4, 0, 4, 0.6), (5, 1, 0, 0, 1, 0.6),
+    (30, 6, 0, 0, 4, 0.8), (30, 1, 0, 4, 4, 1.0), (200, 6, 4, 0, 4, 1.0)])
+def test_units_that_are_all_cold_at_once_get_what_their_budget_allows(
+        relay: type, relays: int, busy: int, late: int, quiet: int, back: int, most: float) -> None:
+    """All four restart, `back` of them are told of `late` seconds after it, and reqs wait at all relays but
+    for some `quiet` seconds; a tenth of the relays have `busy` times the others' traffic. N is what a unit
+    may get in the settings' time: each gets a third of it at least, no window over `most` of N + root N."""
+    rate, warm, starts = 160, 10 * SECOND, 0
+    weights = [busy if me % 10 == 0 else 1 for me in range(relays)]
+    sends: dict[int, list[int]] = {unit: [] for unit, *_ in WARM[:back]}
+    for me, weight in enumerate(weights):
+        one, due = relay(me=me, relays=relays, cold_share=0.15, overload_factor=1.5, warm_after=warm), 0.0
+        one.list(*WARM)
+        for _ in range(4):
+            due += rate * weight / sum(weights)
+            one.serve(int(due), lag=1)
+            due -= int(due)
+            one.wait(1)
+        one.list(*((unit, zone, build, late) for unit, zone, build, _ in WARM[:back]))
+        starts = one.one.i.units[1].since
+        while one.now - starts < warm - SECOND:
+            asks = not late + 1 < (one.now - starts) / SECOND < late + 1 + quiet
+            while asks and (sent := one.req()[-1])[0] == face.SEND:
+                sends[sent[2]].append(one.now - starts)
+                one.end(sent, 0, face.OK, 1)
+            one.wait(0.25)
+    for times in sends.values():
+        may = {at: 1.5 * rate / 4 * (0.15 + 0.85 * at / warm) for at in times}
+        got = [sum(at - SECOND < one <= at for one in times) / (may[at] + math.sqrt(may[at])) for at in may]
+        there = sum(1.5 * rate / 4 * (0.15 + 0.085 * (second + 0.5)) for second in range(late + quiet, 9))
+        assert len(times) >= there / 3 and max(got) <= most
+
+
 @pytest.mark.parametrize("news, route, most", [
     (None, "read", 2 + 0.1 * 100), (None, "mark", 0), ({"stage": 1, "cap": 1.0}, "mark", 102),
     ({"cap": 0.1}, "read", 2 + 0.1 * 100), ({"cap": 0.0, "standing": 1}, "read", 0),
@@ -350,6 +384,28 @@
     assert not i.answered.times and not i.tried and not any(window.times for window in i.took)
 
 
+@pytest.mark.parametrize("opened, lag, over", [
+    (20, 100, 0.5), (30, 250, 1.0), (60, 100, 1.5), (60, 250, 2.0), (60, 500, 3.0), (120, 250, 3.0)])
+def test_a_relay_that_starts_under_its_usual_load_sheds_for_a_moment(
+        relay: type, opened: int, lag: int, over: float) -> None:
+    """So many reqs are open at a time, answered in good time; nothing is shed after `over` seconds."""
+    one, due, shed = relay(), [], []
+    one.list(*((unit, "a", 5, 99) for unit in range(40)))
+    for step in range(100 * 5):
+        one.now = 100 * SECOND + step * SECOND // 100
+        while due and due[0][0] <= one.now:
+            _, sent = due.pop(0)
+            one.one.outcome(one.now, sent[1], 0, sent[2], face.OK, lag * 1000, True, {})
+        if step % 5 == 0:
+            one.one.timer(one.now, "beat")
+        for _ in range(opened * 10 * (step + 1) // lag - opened * 10 * step // lag):
+            if (sent := one.req()[-1])[0] == face.SEND:
+                due.append((one.now + lag * 1000, sent))
+            else:
+                shed.append(step / 100)
+    assert not shed or shed[-1] <= over
+
+
 @pytest.mark.parametrize("relays", [3, 40])
 def test_a_finer_tick_makes_neither_more_messages_nor_a_quicker_shed_limit(relay: type, relays: int) -> None:
     told, limits = [], []
--- a/tests/test_tuf_trust.py
+++ b/tests/test_tuf_trust.py
@@ -1,6 +1,8 @@
 """What is proven of a repository, told from what is behind and from what lies. No sockets."""
 
 import time
+from collections.abc import Callable
+from datetime import datetime
 
 import pytest
 from securesystemslib.signer import CryptoSigner
@@ -16,7 +18,7 @@
     Trust,
     TrustError,
 )
-from laurelcourse.standins.repository import Published, TufRepository
+from laurelcourse.standins.repository import Published, TufRepository, wall_clock
 
 MOST = 1 << 20
 
@@ -224,8 +226,8 @@
     assert last(trust, Published(repository.forged() | {}, {}, 0)) == STRANGE
 
 
-def chain(deep: int, loop: bool = False) -> TufRepository:
-    one = TufRepository()
+def chain(deep: int, loop: bool = False, clock: Callable[[], datetime] = wall_clock) -> TufRepository:
+    one = TufRepository(clock=clock)
     parent = "targets"
     for place in range(deep):
         one.delegate(parent, f"r{place}", ["*"])
@@ -274,7 +276,8 @@
 
 
 def test_proven_roles_stay_while_the_snapshot_means_them_and_their_keys_hold() -> None:
-    one = chain(2)
+    made = wall_clock()  # stands still: what is published anew expires when it did
+    one = chain(2, clock=lambda: made)
     trust = Trust(one.pinned, MOST)
     walk(trust, one.newest)
     prove_all(trust, one, "deep.bin")
