--- a/laurelcourse/benchlink/decode.py
+++ b/laurelcourse/benchlink/decode.py
@@ -8,11 +8,23 @@
 from laurelcourse.benchlink.framing import Message, WireError
 from laurelcourse.settings import Settings, SettingsError, Tree, decode
 
-STATUSES = {"done": face.OK, "err": face.FAILED, "busy": face.BUSY, "etimedout": face.TIMEOUT,
-            "econnrefused": face.UNREACHED, "econnreset": face.RESET, "ecanceled": face.CANCELLED,
-            "skipped": face.UNSENT}
-ANSWERS = {"done": face.COUNTED, "skipped": face.VOID, "busy": face.REFUSED, "err": face.BROKE,
-           "etimedout": face.UNANSWERED}
+STATUSES = {
+    "done": face.OK,
+    "err": face.FAILED,
+    "busy": face.BUSY,
+    "etimedout": face.TIMEOUT,
+    "econnrefused": face.UNREACHED,
+    "econnreset": face.RESET,
+    "ecanceled": face.CANCELLED,
+    "skipped": face.UNSENT,
+}
+ANSWERS = {
+    "done": face.COUNTED,
+    "skipped": face.VOID,
+    "busy": face.REFUSED,
+    "err": face.BROKE,
+    "etimedout": face.UNANSWERED,
+}
 NEWS = {"D": face.CHANGES, "F": face.WHOLE, "C": face.CACHED, "X": face.BROKEN}
 HEALTH = {"Ready": face.READY, "Terminating": face.DRAINING, "Gone": face.GONE}
 REPEATED = 2
@@ -76,11 +88,18 @@
 
 
 def listed(message: Message) -> list[face.Listed]:
-    return [face.Listed(
-        unit=entry.whole("unit"), zone=entry.fields.get("failure_domain", ""), cell=entry.whole("block", 0),
-        build=round(entry.number("image", 0)), health=one_of(entry, "health", HEALTH),
-        size=entry.number("nominal", 1), since=entry.micros("since", 0) or face.LONG_AGO)
-        for entry in message.entries]
+    return [
+        face.Listed(
+            unit=entry.whole("unit"),
+            zone=entry.fields.get("failure_domain", ""),
+            cell=entry.whole("block", 0),
+            build=round(entry.number("image", 0)),
+            health=one_of(entry, "health", HEALTH),
+            size=entry.number("nominal", 1),
+            since=entry.micros("since", 0) or face.LONG_AGO,
+        )
+        for entry in message.entries
+    ]
 
 
 def call(message: Message, lists: dict[int, list[face.Listed]]) -> Callable[..., list]:
--- a/laurelcourse/benchlink/host.py
+++ b/laurelcourse/benchlink/host.py
@@ -44,6 +44,7 @@
 
             def act() -> list:
                 return call(instance, now)
+
         try:
             return [encode.line(who, result) for result in act()]
         except Exception as error:
--- a/laurelcourse/cli.py
+++ b/laurelcourse/cli.py
@@ -15,11 +15,22 @@
 if TYPE_CHECKING:
     from laurelcourse.operator.form import Operator
 
-CONFIG = click.option("--config", "path", envvar="EDGE_CONFIG", required=True, type=click.Path(),
-                      help="The configuration, a JSON file; else the variable EDGE_CONFIG names it.")
-
-OPERATOR = click.option("-o", "--operator", "operator", type=click.Path(),
-                        help="The operators' settings, an XML file: fronts beside the platform's own.")
+CONFIG = click.option(
+    "--config",
+    "path",
+    envvar="EDGE_CONFIG",
+    required=True,
+    type=click.Path(),
+    help="The configuration, a JSON file; else the variable EDGE_CONFIG names it.",
+)
+
+OPERATOR = click.option(
+    "-o",
+    "--operator",
+    "operator",
+    type=click.Path(),
+    help="The operators' settings, an XML file: fronts beside the platform's own.",
+)
 
 
 def read(path: str) -> configuration.Config:
@@ -35,6 +46,7 @@
         return None
     # The plain relay has none of the libraries that this needs.
     from laurelcourse.operator import reading
+
     try:
         return reading.read(path)
     except reading.OperatorError as error:
@@ -47,6 +59,7 @@
     if operator is None or operator.fleet is None or config is None:
         return
     from laurelcourse.operator import meaning_workflows
+
     faults = list(meaning_workflows.against(operator.fleet, config.settings.routes))
     for one in faults:
         click.echo(f"{operator.path}:{one.line}: {one.words}", err=True)
@@ -60,10 +73,12 @@
     folder = Path(operator.path).parent if operator else Path()
     if operator is not None and operator.fleet is not None:
         from laurelcourse.fleet import wiring as fleet
+
         fleet.join(host, operator.fleet, folder, host.config.settings.zone)
     if operator is None or not operator.fronts:
         return []
     from laurelcourse.fronts.tuf import wiring
+
     return [wiring.assemble(host, one, len(operator.fronts), folder) for one in operator.fronts]
 
 
@@ -75,8 +90,13 @@
 @main.command()
 @CONFIG
 @OPERATOR
-@click.option("--log-level", default="info", show_default=True,
-              type=click.Choice(["debug", "info", "warning", "error"]), help="The least that is logged.")
+@click.option(
+    "--log-level",
+    default="info",
+    show_default=True,
+    type=click.Choice(["debug", "info", "warning", "error"]),
+    help="The least that is logged.",
+)
 def serve(path: str, operator: str | None, log_level: str) -> None:
     """Serve clients until SIGTERM or SIGINT; SIGHUP reads the file again, SIGUSR1 prints the counters."""
     read_config = read(path)
@@ -103,13 +123,18 @@
     found = None
     if path is not None:
         found = read(path)
-        click.echo(f"{path}: good: relay {found.name}, {len(found.settings.routes)} routes, "
-                   f"{len(found.known.entries)} units known")
+        click.echo(
+            f"{path}: good: relay {found.name}, {len(found.settings.routes)} routes, "
+            f"{len(found.known.entries)} units known"
+        )
     if (settings := read_operator(operator)) is not None:
         against(settings, found)
         fleet = settings.fleet
-        kept = (f", {len(fleet.keepers)} keepers, {len(fleet.budgets)} budgets, "
-                f"{len(fleet.workflows)} workflows" if fleet else "")
+        kept = (
+            f", {len(fleet.keepers)} keepers, {len(fleet.budgets)} budgets, {len(fleet.workflows)} workflows"
+            if fleet
+            else ""
+        )
         click.echo(f"{operator}: good: {len(settings.fronts)} fronts{kept}")
 
 
@@ -121,10 +146,12 @@
 @click.option("--break", "broken", default="", metavar="GUARD", help="Take a guard out: its check must fail.")
 @click.option("--calm", is_flag=True, help="Without faults, where a lab has them.")
 @click.option("--core", is_flag=True, help="Pure modules in simulated time (keepers); no process is started.")
-def lab(name: str, seed: int, seconds: float | None, as_json: bool, broken: str, calm: bool,
-        core: bool) -> None:
+def lab(
+    name: str, seed: int, seconds: float | None, as_json: bool, broken: str, calm: bool, core: bool
+) -> None:
     """Run an experiment on loopback: relays among stand-ins, faults by seed, checks, a report."""
     from laurelcourse.lab import command
+
     command.run(name, seed, seconds, as_json, broken, calm, core)
 
 
--- a/laurelcourse/fleet/books/apply.py
+++ b/laurelcourse/fleet/books/apply.py
@@ -40,7 +40,7 @@
     UnreadableError,
 )
 
-FORM = 1                                     # of the snapshot
+FORM = 1  # of the snapshot
 OF_WORKFLOWS = Begin, Intend, Result, Leave, Settle, Adopt
 FROM_LEADER = Lapse, Define, Grant, Limits, *reservations.FROM_LEADER
 FROM_SESSION = Close, GiveBack, *OF_WORKFLOWS, *reservations.FROM_SESSION
@@ -206,8 +206,9 @@
     def orphans(self) -> tuple[tuple[int, int], ...]:
         """Number and former owner of those in flight whose owner's session is over."""
         flows = self._state.flows.open
-        return tuple((one, flows[one].owner) for one in sorted(flows)
-                     if flows[one].owner not in self._state.live)
+        return tuple(
+            (one, flows[one].owner) for one in sorted(flows) if flows[one].owner not in self._state.live
+        )
 
     def limits(self) -> Limits:
         """On workflows, as the last Limits had them."""
@@ -216,6 +217,7 @@
     def behind(self) -> int:
         """How many are undoing or stuck."""
         return self._state.flows.behind
+
     # Transfers
 
     def jobs(self) -> tuple[reservations.Kept, ...]:
@@ -252,13 +254,19 @@
 
     def _rest(self) -> list:
         s = self._state
-        return [FORM, s.index, s.time, s.last,
-                [_session(s.live[one]) for one in sorted(s.live)],
-                [[name, past.boot, past.session, past.mark] for name, past in s.past.items()],
-                [list(budget) for budget in s.budgets.values()],
-                [list(s.leaving[name]) for name in sorted(s.leaving)],
-                [_scope(name, s.scopes[name]) for name in sorted(s.scopes)],
-                workflows.plain(s.flows), reservations.plain(s)]
+        return [
+            FORM,
+            s.index,
+            s.time,
+            s.last,
+            [_session(s.live[one]) for one in sorted(s.live)],
+            [[name, past.boot, past.session, past.mark] for name, past in s.past.items()],
+            [list(budget) for budget in s.budgets.values()],
+            [list(s.leaving[name]) for name in sorted(s.leaving)],
+            [_scope(name, s.scopes[name]) for name in sorted(s.scopes)],
+            workflows.plain(s.flows),
+            reservations.plain(s),
+        ]
 
     def snapshot(self) -> bytes:
         """`plain` as JSON without blanks; the rest is written once, not a second time for its hash."""
@@ -302,8 +310,10 @@
 
 
 def _session(session: Session) -> list:
-    dones = [[mark, list(done.value), done.code, done.to, [list(one) for one in done.told]]
-             for mark, done in sorted(session.dones.items())]
+    dones = [
+        [mark, list(done.value), done.code, done.to, [list(one) for one in done.told]]
+        for mark, done in sorted(session.dones.items())
+    ]
     return [list(session.fence), session.site, session.mark, session.opened, session.forgotten, dones]
 
 
@@ -319,8 +329,10 @@
     for fence, site, mark, opened, forgotten, dones in live:
         session = Session(Fence(*fence), site, mark, opened)
         session.forgotten = forgotten
-        session.dones = {at: Done(tuple(value), code, to, tuple((key, what) for key, what in told))
-                         for at, value, code, to, told in dones}
+        session.dones = {
+            at: Done(tuple(value), code, to, tuple((key, what) for key, what in told))
+            for at, value, code, to, told in dones
+        }
         state.live[session.fence.session] = session
         state.names[session.fence.name] = session.fence.session
     state.past = {name: Past(boot, session, mark) for name, boot, session, mark in past}
--- a/laurelcourse/fleet/books/budgets.py
+++ b/laurelcourse/fleet/books/budgets.py
@@ -76,14 +76,20 @@
 def _check(budget: Budget) -> None:
     if not text(budget.name) or "/" in budget.name:
         raise DefinitionRefusedError("define", fault="a budget's name")
-    fits = (budget.kind in (RATE, LEVEL, COUNT) and number(budget.whole, 1) and number(budget.floor)
-            and number(budget.relays, 0, SESSIONS) and number(budget.freed_after)
-            and number(budget.window, *((1, AMOUNT) if budget.kind == COUNT else (0, 0))))
+    fits = (
+        budget.kind in (RATE, LEVEL, COUNT)
+        and number(budget.whole, 1)
+        and number(budget.floor)
+        and number(budget.relays, 0, SESSIONS)
+        and number(budget.freed_after)
+        and number(budget.window, *((1, AMOUNT) if budget.kind == COUNT else (0, 0)))
+    )
     if not fits:
         raise DefinitionRefusedError(budget.name, fault="a kind or figure out of its bounds")
     if divided(budget) < 0:
-        raise FloorsOverWholeError(budget.name, relays=budget.relays, sum=budget.relays * budget.floor,
-                                   whole=budget.whole)
+        raise FloorsOverWholeError(
+            budget.name, relays=budget.relays, sum=budget.relays * budget.floor, whole=budget.whole
+        )
 
 
 def grant(state: State, what: Grant) -> None:
--- a/laurelcourse/fleet/books/forms.py
+++ b/laurelcourse/fleet/books/forms.py
@@ -41,6 +41,7 @@
 
 # Sessions
 
+
 class Open(NamedTuple):
     """A relay begins. Value: its Fence. Given again with the same mark it finds the same session."""
 
@@ -60,6 +61,7 @@
 
 # Budgets (`docs/fleet-books.md`): shares of a whole
 
+
 class Define(NamedTuple):
     """The budgets as the operators' settings have them, from the leader; the whole list each time."""
 
@@ -68,12 +70,12 @@
 
 class Budget(NamedTuple):
     name: str
-    kind: str                    # RATE, LEVEL, COUNT
-    whole: int                   # of the scope, at any instant (LEVEL), a second (RATE), in `window` (COUNT)
-    floor: int                   # what each relay may use without any share
-    relays: int                  # the most there may be: floors of all fit in the whole
-    window: int                  # of a COUNT; else 0
-    freed_after: int             # a LEVEL whose holder has lapsed is free so long after
+    kind: str  # RATE, LEVEL, COUNT
+    whole: int  # of the scope, at any instant (LEVEL), a second (RATE), in `window` (COUNT)
+    floor: int  # what each relay may use without any share
+    relays: int  # the most there may be: floors of all fit in the whole
+    window: int  # of a COUNT; else 0
+    freed_after: int  # a LEVEL whose holder has lapsed is free so long after
 
 
 class Grant(NamedTuple):
@@ -81,7 +83,7 @@
     than before is asked back: what was granted before counts until its holder has given it back."""
 
     budget: str
-    shares: tuple[tuple[int, int], ...]   # session, share
+    shares: tuple[tuple[int, int], ...]  # session, share
 
 
 class GiveBack(NamedTuple):
@@ -93,9 +95,9 @@
 
 # Workflows (`fleet/workflows/definition.py`)
 
-COMPLETED, NEVER_RAN, UNKNOWN, FAILED = "completed", "never_ran", "unknown", "failed"   # of a try
-LEFT, LATE, GAVE_UP = "left", "late", "gave_up"                                         # why it turns back
-BY_HAND, AGAIN = "by_hand", "again"                                                     # what an operator did
+COMPLETED, NEVER_RAN, UNKNOWN, FAILED = "completed", "never_ran", "unknown", "failed"  # of a try
+LEFT, LATE, GAVE_UP = "left", "late", "gave_up"  # why it turns back
+BY_HAND, AGAIN = "by_hand", "again"  # what an operator did
 
 
 class Limits(NamedTuple):
@@ -103,8 +105,8 @@
 
     in_flight: int
     by_tenant: int
-    behind: int                  # undoing or stuck: with so many none begins
-    keeps: int                   # microseconds for which a finished one can be asked for
+    behind: int  # undoing or stuck: with so many none begins
+    keeps: int  # microseconds for which a finished one can be asked for
 
 
 class Begin(NamedTuple):
@@ -112,7 +114,7 @@
     asks; it belongs to the session that asked first."""
 
     tenant: str
-    mark: str                    # the client's
+    mark: str  # the client's
     definition: Definition
     values: tuple[tuple[str, str], ...] = ()
 
@@ -123,7 +125,7 @@
     workflow: int
     step: int
     undo: bool
-    tried: int                   # which try it is, from 1
+    tried: int  # which try it is, from 1
 
 
 class Result(NamedTuple):
@@ -133,7 +135,7 @@
     step: int
     undo: bool
     tried: int
-    outcome: str                 # COMPLETED, NEVER_RAN, UNKNOWN, FAILED: surely without effect, for good
+    outcome: str  # COMPLETED, NEVER_RAN, UNKNOWN, FAILED: surely without effect, for good
 
 
 class Leave(NamedTuple):
@@ -160,8 +162,21 @@
     to: int = 0
 
 
-What = (Open | Close | Lapse | Define | Grant | GiveBack
-        | Limits | Begin | Intend | Result | Leave | Settle | Adopt)
+What = (
+    Open
+    | Close
+    | Lapse
+    | Define
+    | Grant
+    | GiveBack
+    | Limits
+    | Begin
+    | Intend
+    | Result
+    | Leave
+    | Settle
+    | Adopt
+)
 
 
 class Done(NamedTuple):
@@ -176,6 +191,7 @@
 
 # Transfers between sites: links and compute slots reserved together. A slice is `state.SLICE` microseconds.
 
+
 class Link(NamedTuple):
     """One direction between two sites, bytes a second; `kept` of it is for ordinary reqs."""
 
@@ -221,7 +237,7 @@
     firm: str
     origin: str
     to: str
-    size: int                    # bytes
+    size: int  # bytes
     earliest: int
     deadline: int
     earnings: int
@@ -234,7 +250,7 @@
     first: int
     until: int
     rate: int
-    way: tuple[str, ...]         # both ends: books take no way over a third site
+    way: tuple[str, ...]  # both ends: books take no way over a third site
 
 
 class Reserve(NamedTuple):
--- a/laurelcourse/fleet/books/reservations.py
+++ b/laurelcourse/fleet/books/reservations.py
@@ -58,9 +58,12 @@
 RESERVED, RECALLED, ORPHAN = "reserved", "recalled", "orphan"
 COMMITTED, FREED, EXPIRED = "committed", "freed", "expired"
 ENDS = (COMMITTED, FREED, EXPIRED)
-TURNS = {RESERVED: (RESERVED, RECALLED, ORPHAN, *ENDS), RECALLED: (RESERVED, ORPHAN, *ENDS),
-         ORPHAN: (RESERVED, EXPIRED)}
-Use = dict[str, dict[int, int]]        # of each resource: by slice, how much more or less from there on
+TURNS = {
+    RESERVED: (RESERVED, RECALLED, ORPHAN, *ENDS),
+    RECALLED: (RESERVED, ORPHAN, *ENDS),
+    ORPHAN: (RESERVED, EXPIRED),
+}
+Use = dict[str, dict[int, int]]  # of each resource: by slice, how much more or less from there on
 
 
 class Kept(NamedTuple):
@@ -89,18 +92,28 @@
 
 
 def _places(state: State, what: Places) -> tuple:
-    if not (type(what.links) is tuple and type(what.sites) is tuple
-            and all(type(one) is Link for one in what.links)
-            and all(type(one) is Site for one in what.sites)):
+    if not (
+        type(what.links) is tuple
+        and type(what.sites) is tuple
+        and all(type(one) is Link for one in what.links)
+        and all(type(one) is Site for one in what.sites)
+    ):
         raise UnreadableError("places", fault="links or sites")
     for held, at_most, of in ((len(what.links), LINKS, "links"), (len(what.sites), SITES, "sites")):
         if held > at_most:
             raise CrowdedError("places", held=held, at_most=at_most, of=of)
-    sites = {one.name: one for one in what.sites if text(one.name) and ">" not in one.name
-             and number(one.slots)}
-    links = {named(one.origin, one.to): one for one in what.links
-             if one.origin in sites and one.to in sites and one.origin != one.to
-             and number(one.capacity) and number(one.kept, 0, one.capacity)}
+    sites = {
+        one.name: one for one in what.sites if text(one.name) and ">" not in one.name and number(one.slots)
+    }
+    links = {
+        named(one.origin, one.to): one
+        for one in what.links
+        if one.origin in sites
+        and one.to in sites
+        and one.origin != one.to
+        and number(one.capacity)
+        and number(one.kept, 0, one.capacity)
+    }
     if len(sites) < len(what.sites) or len(links) < len(what.links):
         raise DefinitionRefusedError("places", fault="a link or site is twice there, or does not fit")
     moves = state.transfers
@@ -120,7 +133,7 @@
     since = max(what.since, state.time // SLICE)
     steps = [one for one in moves.steps.get(what.resource, []) if one[0] < since]
     past = [one for one in steps if one[0] <= state.time // SLICE]
-    steps = past[-1:] + steps[len(past):]
+    steps = past[-1:] + steps[len(past) :]
     if len(steps) >= STEPS:
         raise CrowdedError(what.resource, held=len(steps), at_most=STEPS, of="changes to come")
     moves.steps[what.resource] = [*steps, (since, max(0, what.capacity - kept))]
@@ -193,9 +206,15 @@
 
 def _reserve(state: State, session: Session, what: Reserve) -> tuple:
     job, moves = what.job, state.transfers
-    if not (type(job) is Job and all(text(one) for one in (job.name, job.firm, job.origin, job.to))
-            and number(job.size, 1) and number(job.earnings) and number(job.slots)
-            and number(job.earliest) and number(job.deadline)):
+    if not (
+        type(job) is Job
+        and all(text(one) for one in (job.name, job.firm, job.origin, job.to))
+        and number(job.size, 1)
+        and number(job.earnings)
+        and number(job.slots)
+        and number(job.earliest)
+        and number(job.deadline)
+    ):
         raise UnreadableError("reserve", fault="the job")
     if job.name in moves.jobs:
         raise JobHeldError(job.name, session=moves.jobs[job.name].owner)
@@ -217,14 +236,21 @@
 
 
 def _check_plan(state: State, job: Job, pieces: tuple[Stretch, ...], proven: int, grace: int) -> None:
-    if type(pieces) is not tuple or len(pieces) > JOB_PIECES or any(type(one) is not Stretch
-                                                                       for one in pieces):
+    if (
+        type(pieces) is not tuple
+        or len(pieces) > JOB_PIECES
+        or any(type(one) is not Stretch for one in pieces)
+    ):
         raise PlanUnfitError(job.name, fault="its pieces")
     now, carried = state.time // SLICE, 0
     least, most = max(now, -(-job.earliest // SLICE)), min((job.deadline + grace) // SLICE, now + HORIZON)
     for one in pieces:
-        if not (number(one.first, least) and number(one.until, 0, most) and one.first < one.until
-                and number(one.rate, 1)):
+        if not (
+            number(one.first, least)
+            and number(one.until, 0, most)
+            and one.first < one.until
+            and number(one.rate, 1)
+        ):
             raise PlanUnfitError(job.name, fault="a time or rate out of bounds")
         if one.way != (job.origin, job.to) or job.origin == job.to:
             # Streams go from door to door: what is reserved over a third site would be nobody's bytes.
@@ -266,8 +292,9 @@
             total, more = total + base.get(at, 0), more + gains.get(at, 0)
             less += gives.get(at, 0)
             if more > less and total - less + more > usable:
-                raise CapacityTakenError(resource, resource=resource, asked=more,
-                                         free=max(0, usable - total + less))
+                raise CapacityTakenError(
+                    resource, resource=resource, asked=more, free=max(0, usable - total + less)
+                )
 
 
 def _usable(state: State, resource: str) -> list[tuple[int, int]]:
@@ -335,15 +362,23 @@
 
 def _set_next_end(state: State) -> None:
     moves = state.transfers
-    moves.next_end = min([NUMBER, *(one.job.deadline + GRACE for one in moves.jobs.values()),
-                          *(at + FORGET for _, at in moves.ended.values())])
+    moves.next_end = min(
+        [
+            NUMBER,
+            *(one.job.deadline + GRACE for one in moves.jobs.values()),
+            *(at + FORGET for _, at in moves.ended.values()),
+        ]
+    )
 
 
 # What those who plan look at
 
+
 def kept(state: State) -> tuple[Kept, ...]:
-    return tuple(Kept(one.job, one.owner, one.pieces, one.proven, one.state)
-                 for _, one in sorted(state.transfers.jobs.items()))
+    return tuple(
+        Kept(one.job, one.owner, one.pieces, one.proven, one.state)
+        for _, one in sorted(state.transfers.jobs.items())
+    )
 
 
 def resources(state: State) -> tuple[str, ...]:
@@ -377,13 +412,26 @@
 
 # As it goes from one keeper to another
 
+
 def plain(state: State) -> list:
     moves = state.transfers
-    jobs = [[list(one.job), one.owner, [[*piece[:3], list(piece.way)] for piece in one.pieces], one.proven,
-             one.state] for _, one in sorted(moves.jobs.items())]
-    return [[list(one) for one in moves.links.values()], [list(one) for one in moves.sites.values()],
-            [[name, [list(one) for one in moves.steps[name]]] for name in sorted(moves.steps)], jobs,
-            [[name, *end] for name, end in moves.ended.items()]]
+    jobs = [
+        [
+            list(one.job),
+            one.owner,
+            [[*piece[:3], list(piece.way)] for piece in one.pieces],
+            one.proven,
+            one.state,
+        ]
+        for _, one in sorted(moves.jobs.items())
+    ]
+    return [
+        [list(one) for one in moves.links.values()],
+        [list(one) for one in moves.sites.values()],
+        [[name, [list(one) for one in moves.steps[name]]] for name in sorted(moves.steps)],
+        jobs,
+        [[name, *end] for name, end in moves.ended.items()],
+    ]
 
 
 def read(state: State, written: list) -> None:
--- a/laurelcourse/fleet/books/sessions.py
+++ b/laurelcourse/fleet/books/sessions.py
@@ -57,8 +57,11 @@
 
 def admitted(state: State, fence: Fence) -> Session:
     """Who bears this fence. Raises UnreadableError, FencedOffError, LapsedLeaseError."""
-    if not (type(fence) is Fence and text(fence.name)
-            and all(number(one, 0, NUMBER) for one in (fence.session, fence.boot, fence.term))):
+    if not (
+        type(fence) is Fence
+        and text(fence.name)
+        and all(number(one, 0, NUMBER) for one in (fence.session, fence.boot, fence.term))
+    ):
         raise UnreadableError("fence", fault="name or numbers")
     session = state.live.get(fence.session)
     if session and session.fence == fence:
--- a/laurelcourse/fleet/books/workflows.py
+++ b/laurelcourse/fleet/books/workflows.py
@@ -39,8 +39,13 @@
 # Of a workflow
 FORWARD, UNDOING, STUCK, DONE, UNDONE = "forward", "undoing", "stuck", "done", "undone"
 ENDED = DONE, UNDONE
-MOVES = {FORWARD: (UNDOING, STUCK, DONE, UNDONE), UNDOING: (STUCK, UNDONE),
-         STUCK: (FORWARD, UNDOING, DONE, UNDONE), DONE: (), UNDONE: ()}
+MOVES = {
+    FORWARD: (UNDOING, STUCK, DONE, UNDONE),
+    UNDOING: (STUCK, UNDONE),
+    STUCK: (FORWARD, UNDOING, DONE, UNDONE),
+    DONE: (),
+    UNDONE: (),
+}
 
 # Of a step. MAYBE: it may have run; SPENT: it may have, and is not sent again; LOST: done without it.
 NEW, INTENDED, COMPLETED, NEVER_RAN, FAILED = "new", "intended", "completed", "never_ran", "failed"
@@ -48,11 +53,19 @@
 UNDO_INTENDED, UNDO_DUE, STEP_UNDONE = "undo_intended", "undo_due", "undone"
 SETTLED = COMPLETED, SPENT, LOST
 TO_UNDO = COMPLETED, MAYBE, UNDO_INTENDED, UNDO_DUE
-STEP_MOVES = {NEW: (INTENDED,), INTENDED: (COMPLETED, NEVER_RAN, FAILED, MAYBE, SPENT, LOST),
-              NEVER_RAN: (INTENDED, COMPLETED), FAILED: (INTENDED, COMPLETED),
-              MAYBE: (INTENDED, SPENT, UNDO_INTENDED, COMPLETED),
-              COMPLETED: (UNDO_INTENDED,), UNDO_INTENDED: (UNDO_DUE, STEP_UNDONE),
-              UNDO_DUE: (UNDO_INTENDED, STEP_UNDONE), SPENT: (), LOST: (), STEP_UNDONE: ()}
+STEP_MOVES = {
+    NEW: (INTENDED,),
+    INTENDED: (COMPLETED, NEVER_RAN, FAILED, MAYBE, SPENT, LOST),
+    NEVER_RAN: (INTENDED, COMPLETED),
+    FAILED: (INTENDED, COMPLETED),
+    MAYBE: (INTENDED, SPENT, UNDO_INTENDED, COMPLETED),
+    COMPLETED: (UNDO_INTENDED,),
+    UNDO_INTENDED: (UNDO_DUE, STEP_UNDONE),
+    UNDO_DUE: (UNDO_INTENDED, STEP_UNDONE),
+    SPENT: (),
+    LOST: (),
+    STEP_UNDONE: (),
+}
 
 
 class StepView(NamedTuple):
@@ -81,8 +94,20 @@
 
 
 def view(flow: Flow) -> View:
-    return View(flow.number, flow.tenant, flow.mark, flow.definition, flow.values, flow.owner, flow.began,
-                flow.since, flow.state, flow.left, flow.ended, tuple(map(_step_view, flow.steps)))
+    return View(
+        flow.number,
+        flow.tenant,
+        flow.mark,
+        flow.definition,
+        flow.values,
+        flow.owner,
+        flow.began,
+        flow.since,
+        flow.state,
+        flow.left,
+        flow.ended,
+        tuple(map(_step_view, flow.steps)),
+    )
 
 
 def _step_view(one: Try) -> StepView:
@@ -101,6 +126,7 @@
 
 # Where a workflow stands, of a Flow as of a View
 
+
 def current(flow: Flow | View) -> int:
     """The step that is on forward; the number of steps if all are settled."""
     return next((at for at, one in enumerate(flow.steps) if one.state not in SETTLED), len(flow.steps))
@@ -108,13 +134,19 @@
 
 def to_undo(flow: Flow | View) -> int:
     """The step that is undone next, the last one that may have run; -1: none is left."""
-    return max((at for at, one in enumerate(flow.steps)
-                if one.state in TO_UNDO and flow.definition.steps[at].effect), default=-1)
+    return max(
+        (
+            at
+            for at, one in enumerate(flow.steps)
+            if one.state in TO_UNDO and flow.definition.steps[at].effect
+        ),
+        default=-1,
+    )
 
 
 def passed(flow: Flow | View) -> bool:
     """Whether the point of no return may be passed."""
-    return any(one.state in (INTENDED, MAYBE, *SETTLED) for one in flow.steps[flow.definition.point():])
+    return any(one.state in (INTENDED, MAYBE, *SETTLED) for one in flow.steps[flow.definition.point() :])
 
 
 def repeatable(flow: Flow | View, at: int, time: int) -> bool:
@@ -136,6 +168,7 @@
 
 # The one place where a workflow's state changes, and the one where a step's does
 
+
 def _move(state: State, flow: Flow, to: str) -> None:
     if to == flow.state:
         return
@@ -176,6 +209,7 @@
 
 # Commands
 
+
 def carry_out(state: State, session: Session, what: f.What) -> tuple:
     """The value of its Done. Raises FleetErrors."""
     match what:
@@ -214,10 +248,12 @@
     if flaw:
         raise DefinitionRefusedError(what.definition.name, fault=flaw.words)
     limits = flows.limits
-    for held, most, of in ((flows.behind, limits.behind, "undos behind"),
-                           (len(flows.open), limits.in_flight, "workflows"),
-                           (flows.by_tenant.get(what.tenant, 0), limits.by_tenant, "the tenant's workflows"),
-                           (len(flows.all), FLOWS, "workflows with finished ones")):
+    for held, most, of in (
+        (flows.behind, limits.behind, "undos behind"),
+        (len(flows.open), limits.in_flight, "workflows"),
+        (flows.by_tenant.get(what.tenant, 0), limits.by_tenant, "the tenant's workflows"),
+        (len(flows.all), FLOWS, "workflows with finished ones"),
+    ):
         if held >= most:
             raise CrowdedError(what.tenant, held=held, at_most=most, of=of)
     flows.last += 1
@@ -260,16 +296,18 @@
     once = send.repeat == NON_RETRIABLE
     spent = one.tries and (once or (one.maybe and not repeatable(flow, at, state.time)))
     if flow.state != FORWARD or at != current(flow) or one.state == INTENDED or spent:
-        raise OutOfOrderError(_named(flow), state=f"{flow.state}, step {current(flow)} {one.state}",
-                              order=f"step {at}")
+        raise OutOfOrderError(
+            _named(flow), state=f"{flow.state}, step {current(flow)} {one.state}", order=f"step {at}"
+        )
 
 
 def _may_undo(state: State, flow: Flow, at: int) -> None:
     """Strictly the last one that may have run, once nothing forward is on its way."""
     pending = any(one.state in (INTENDED, UNDO_INTENDED) for one in flow.steps)
     if flow.state != UNDOING or pending or at != to_undo(flow) or flow.definition.steps[at].undo is None:
-        raise OutOfOrderError(_named(flow), state=f"{flow.state}, step {to_undo(flow)} is next",
-                              order=f"undo of step {at}")
+        raise OutOfOrderError(
+            _named(flow), state=f"{flow.state}, step {to_undo(flow)} is next", order=f"undo of step {at}"
+        )
 
 
 def _result(state: State, owner: int, what: f.Result) -> tuple:
@@ -278,11 +316,20 @@
         raise UnreadableError(_named(flow), fault="outcome")
     one = flow.steps[what.step]
     tries, wanted = (one.undo_tries, UNDO_INTENDED) if what.undo else (one.tries, INTENDED)
-    out_of_memory = (not what.undo and one.state == MAYBE and what.outcome == f.UNKNOWN and passed(flow)
-                     and flow.state == FORWARD and not repeatable(flow, what.step, state.time))
+    out_of_memory = (
+        not what.undo
+        and one.state == MAYBE
+        and what.outcome == f.UNKNOWN
+        and passed(flow)
+        and flow.state == FORWARD
+        and not repeatable(flow, what.step, state.time)
+    )
     if what.tried != tries or not (one.state == wanted or out_of_memory):
-        raise OutOfOrderError(_named(flow), state=f"step {what.step} {one.state}, try {tries}",
-                              order=f"result of try {what.tried}")
+        raise OutOfOrderError(
+            _named(flow),
+            state=f"step {what.step} {one.state}, try {tries}",
+            order=f"result of try {what.tried}",
+        )
     if what.outcome == f.UNKNOWN and not ripe(flow, what.step, what.undo, state.time):
         raise OutOfOrderError(_named(flow), state="the former owner's req may yet run", order="unknown")
     if what.undo:
@@ -355,8 +402,9 @@
     back = not passed(flow)
     at = to_undo(flow) if back else current(flow)
     if flow.state != STUCK or what.step != at:
-        raise OutOfOrderError(_named(flow), state=f"{flow.state}, step {at}",
-                              order=f"settle step {what.step}")
+        raise OutOfOrderError(
+            _named(flow), state=f"{flow.state}, step {at}", order=f"settle step {what.step}"
+        )
     one = flow.steps[at]
     if what.how == f.AGAIN:
         one.allowed = (one.undo_tries if back else one.tries) + flow.definition.tries
@@ -392,6 +440,7 @@
 
 # Who may
 
+
 def _found(state: State, workflow: object) -> Flow:
     if not number(workflow, 1, NUMBER):
         raise UnreadableError("workflow", fault="its number")
@@ -425,6 +474,7 @@
 
 # To and from nested lists
 
+
 def plain(flows: Flows) -> list:
     """Equal definitions are written once."""
     definitions: dict[d.Definition, int] = {}
@@ -433,9 +483,20 @@
 
 
 def _row(flow: Flow, definitions: dict[d.Definition, int]) -> list:
-    return [flow.number, flow.tenant, flow.mark, definitions.setdefault(flow.definition, len(definitions)),
-            flow.owner, [list(one) for one in flow.values], flow.began, flow.since, flow.state, flow.left,
-            flow.ended, [list(_step_view(one)) for one in flow.steps]]
+    return [
+        flow.number,
+        flow.tenant,
+        flow.mark,
+        definitions.setdefault(flow.definition, len(definitions)),
+        flow.owner,
+        [list(one) for one in flow.values],
+        flow.began,
+        flow.since,
+        flow.state,
+        flow.left,
+        flow.ended,
+        [list(_step_view(one)) for one in flow.steps],
+    ]
 
 
 def read(told: list) -> Flows:
--- a/laurelcourse/fleet/budgets/divide.py
+++ b/laurelcourse/fleet/budgets/divide.py
@@ -25,16 +25,16 @@
 from laurelcourse.fleet.books.forms import Budget
 
 MILLION = 1_000_000
-RESERVE = 32      # this part of what is divided stays free, for the first shares of newcomers
-RAISE_WORTH = 8   # a raise is worth an entry in the log from this part of the share on, and from its root on:
+RESERVE = 32  # this part of what is divided stays free, for the first shares of newcomers
+RAISE_WORTH = 8  # a raise is worth an entry in the log from this part of the share on, and from its root on:
 # counts so small move by chance;
 FREED_WORTH = 100  # or if all raises together use this part of what is divided that would lie idle
-CUT_WORTH = 4     # a share that nobody waits for is asked back from this part of it on, and twice its root
-HEADROOM = 4      # this part of the demand on top, for bursts, of what nobody asks for
-GROWTH = 4        # whoever uses its share is believed so many times as much,
-SPARE = (3, 2)    # and whoever does not, so much as it uses: more than 1 / FULL_USE, lest shares swing
+CUT_WORTH = 4  # a share that nobody waits for is asked back from this part of it on, and twice its root
+HEADROOM = 4  # this part of the demand on top, for bursts, of what nobody asks for
+GROWTH = 4  # whoever uses its share is believed so many times as much,
+SPARE = (3, 2)  # and whoever does not, so much as it uses: more than 1 / FULL_USE, lest shares swing
 FULL_USE = (3, 4)  # of what is granted
-IDLE = 2          # a relay that uses less than one part in so many of what it asked for and has overstates
+IDLE = 2  # a relay that uses less than one part in so many of what it asked for and has overstates
 LEAST = MILLION // 16  # credit never falls below, so that a relay can prove itself again
 
 
@@ -42,10 +42,10 @@
     """What one session holds of a budget and asks of it."""
 
     session: int
-    demand: int    # what it could use in all, its floor included; in the budget's units (`forms.Budget`)
-    granted: int   # beside the floor: what it may still use
-    wanted: int    # beside the floor: what it is asked to come down to, or `granted`
-    used_of: int   # parts in a million of `granted` that it used lately, -1 unknown
+    demand: int  # what it could use in all, its floor included; in the budget's units (`forms.Budget`)
+    granted: int  # beside the floor: what it may still use
+    wanted: int  # beside the floor: what it is asked to come down to, or `granted`
+    used_of: int  # parts in a million of `granted` that it used lately, -1 unknown
     site: str
 
     def used(self) -> int:
@@ -100,24 +100,29 @@
     asks = [one.beyond(budget.floor) for one in asked]
     equal = room // max(1, len(asked))
     trusted = [credit.get(one.session, MILLION) == MILLION for one in asked]
-    believed = [min(ask, max(1, _proven(one), equal * credit.get(one.session, MILLION) // MILLION))
-                for ask, one in zip(asks, asked, strict=True)]
+    believed = [
+        min(ask, max(1, _proven(one), equal * credit.get(one.session, MILLION) // MILLION))
+        for ask, one in zip(asks, asked, strict=True)
+    ]
     shares = fill(room, believed)
-    for beyond in ([ask - known for ask, known in zip(asks, believed, strict=True)],
-                   [ask // HEADROOM for ask in asks]):
+    for beyond in (
+        [ask - known for ask, known in zip(asks, believed, strict=True)],
+        [ask // HEADROOM for ask in asks],
+    ):
         wants = [want if sure else 0 for want, sure in zip(beyond, trusted, strict=True)]
-        shares = [share + more
-                  for share, more in zip(shares, fill(room - sum(shares), wants), strict=True)]
+        shares = [share + more for share, more in zip(shares, fill(room - sum(shares), wants), strict=True)]
     return shares
 
 
-def divide(budget: Budget, asked: tuple[Asked, ...], held_by_others: int,
-           credit: dict[int, int]) -> tuple[tuple[int, int], ...]:
+def divide(
+    budget: Budget, asked: tuple[Asked, ...], held_by_others: int, credit: dict[int, int]
+) -> tuple[tuple[int, int], ...]:
     """The changes worth making: session and share, by session. `held_by_others`: what sessions that are not
     in `asked` may still use. Where parts are equal, the remainder goes first to the most credit, then to who
     is to have the most already, then to the lower session."""
-    asked = tuple(sorted(
-        asked, key=lambda one: (-credit.get(one.session, MILLION), -one.wanted, one.session)))
+    asked = tuple(
+        sorted(asked, key=lambda one: (-credit.get(one.session, MILLION), -one.wanted, one.session))
+    )
     room, reserve = divided(budget) - held_by_others, divided(budget) // RESERVE
     aims = targets(budget, asked, max(0, room - reserve), credit)
     free = room - sum(one.granted for one in asked)
@@ -132,8 +137,9 @@
         for place, more in zip(places, given, strict=True):
             shares[place] = max(shares[place], min(aims[place], asked[place].granted + more))
     _use_freed(budget, asked, aims, shares, free - reserve, room)
-    return tuple(sorted((one.session, share) for one, share in zip(asked, shares, strict=True)
-                        if share != one.wanted))
+    return tuple(
+        sorted((one.session, share) for one, share in zip(asked, shares, strict=True) if share != one.wanted)
+    )
 
 
 def _proven(one: Asked) -> int:
@@ -144,17 +150,21 @@
 
 def _raises(asked: Sequence[Asked], aims: Sequence[int]) -> dict[int, int]:
     """By place: what raises that are worth it take beside what is granted. A first share always is."""
-    return {place: max(0, aim - one.granted)
-            for place, (one, aim) in enumerate(zip(asked, aims, strict=True))
-            if aim - one.wanted >= max(1, isqrt(one.wanted), one.wanted // RAISE_WORTH)}
+    return {
+        place: max(0, aim - one.granted)
+        for place, (one, aim) in enumerate(zip(asked, aims, strict=True))
+        if aim - one.wanted >= max(1, isqrt(one.wanted), one.wanted // RAISE_WORTH)
+    }
 
 
 def _cut(asked: Sequence[Asked], aims: Sequence[int], shares: list[int], need: int) -> None:
     """Asks back what is far too much, and, where others wait for `need`, as much as pays for it: the largest
     excess first, so that few are asked. What is asked back already counts."""
     need -= sum(one.granted - one.wanted for one in asked)
-    excess = sorted((place for place, one in enumerate(asked) if one.wanted > aims[place]),
-                    key=lambda place: (aims[place] - asked[place].wanted, place))
+    excess = sorted(
+        (place for place, one in enumerate(asked) if one.wanted > aims[place]),
+        key=lambda place: (aims[place] - asked[place].wanted, place),
+    )
     for place in excess:
         over = shares[place] - aims[place]
         far = over >= max(2 * isqrt(shares[place]), shares[place] // CUT_WORTH)
@@ -163,8 +173,9 @@
         need -= back
 
 
-def _cut_unasked(budget: Budget, asked: Sequence[Asked], aims: Sequence[int], shares: list[int], free: int,
-                 room: int) -> None:
+def _cut_unasked(
+    budget: Budget, asked: Sequence[Asked], aims: Sequence[int], shares: list[int], free: int, room: int
+) -> None:
     """Single tokens that nobody asks for any more, of relays near idle, are each too little to pay for a
     raise. All together, and with what is free, they may be worth what `_use_freed` gives from there."""
     short = sum(_short(budget, asked, aims, shares))
@@ -176,12 +187,15 @@
 
 def _short(budget: Budget, asked: Sequence[Asked], aims: Sequence[int], shares: Sequence[int]) -> list[int]:
     """What each could use beyond the share that it is to have, of those that are to give nothing back."""
-    return [max(0, min(aim, one.beyond(budget.floor)) - share) if share >= one.granted else 0
-            for one, aim, share in zip(asked, aims, shares, strict=True)]
+    return [
+        max(0, min(aim, one.beyond(budget.floor)) - share) if share >= one.granted else 0
+        for one, aim, share in zip(asked, aims, shares, strict=True)
+    ]
 
 
-def _use_freed(budget: Budget, asked: Sequence[Asked], aims: Sequence[int], shares: list[int], free: int,
-               room: int) -> None:
+def _use_freed(
+    budget: Budget, asked: Sequence[Asked], aims: Sequence[int], shares: list[int], free: int, room: int
+) -> None:
     """What lies idle goes to whoever is short, however little to each, if it is worth it all together. Nobody
     is asked to give anything back for it, so it can't swing."""
     given = fill(free, _short(budget, asked, aims, shares))
--- a/laurelcourse/fleet/budgets/holder.py
+++ b/laurelcourse/fleet/budgets/holder.py
@@ -10,9 +10,9 @@
 from laurelcourse.fleet.errors import NoSuchBudgetError
 from laurelcourse.fleet.session import Session
 
-USES = 1024     # scopes at once, at most: beyond them a key has its floor in one use together with all such
+USES = 1024  # scopes at once, at most: beyond them a key has its floor in one use together with all such
 IDLE_LEASES = 4  # without a word, and its use goes
-OTHERS = "*"    # the key of what is beyond
+OTHERS = "*"  # the key of what is beyond
 
 
 class Holder:
@@ -20,8 +20,9 @@
 
     __slots__ = ("asked_at", "budgets", "session", "started", "uses", "waiting")
 
-    def __init__(self, session: Session, budgets: Iterable[Budget], now: int,
-                 waiting: Iterable[str] = ()) -> None:
+    def __init__(
+        self, session: Session, budgets: Iterable[Budget], now: int, waiting: Iterable[str] = ()
+    ) -> None:
         """`waiting`: names of budgets that reqs wait for when they are used up."""
         self.session, self.started, self.waiting = session, now, frozenset(waiting)
         self.budgets = {one.name: one for one in budgets}
--- a/laurelcourse/fleet/budgets/use.py
+++ b/laurelcourse/fleet/budgets/use.py
@@ -18,7 +18,7 @@
 
 MILLION = 1_000_000
 SECOND = 1_000_000
-BURST = 4    # a bucket holds one part in so many of a second's worth
+BURST = 4  # a bucket holds one part in so many of a second's worth
 SLICES = 16  # of the time that a budget's units are told in: a second, or a COUNT's window
 # Slices of a later part of it, and how many times the mean of its count the square of a difference is that
 # chance does not make: of a rise, of a fall. Few events that fall together by chance are many at once, while
@@ -33,10 +33,10 @@
 
     def __init__(self, peak: int) -> None:
         self.taken = self.refused = 0
-        self.peak = peak    # of a LEVEL, held at once
-        self.used = 0       # taken while there was a share,
-        self.span = 0       # in so many microseconds
-        self.offered = 0    # share * microseconds
+        self.peak = peak  # of a LEVEL, held at once
+        self.used = 0  # taken while there was a share,
+        self.span = 0  # in so many microseconds
+        self.offered = 0  # share * microseconds
 
 
 class Lately:
@@ -75,29 +75,44 @@
         return now - (self.last - len(self.slices) + 1) * self.length
 
     def unit(self) -> list[Slice]:
-        return list(self.slices)[-SLICES - 1:]
+        return list(self.slices)[-SLICES - 1 :]
 
 
 class Use:
     """One budget at one relay. Times: microseconds of the relay's monotonic clock, the one that `until` is
     told by; one that runs back is taken to stand still. Amounts: whole, in the budget's units."""
 
-    __slots__ = ("at", "bucket", "budget", "closed_until", "counted", "granted", "held", "lately", "left",
-                 "newest", "settled", "until", "wanted", "window", "word")
+    __slots__ = (
+        "at",
+        "bucket",
+        "budget",
+        "closed_until",
+        "counted",
+        "granted",
+        "held",
+        "lately",
+        "left",
+        "newest",
+        "settled",
+        "until",
+        "wanted",
+        "window",
+        "word",
+    )
 
     def __init__(self, budget: Budget, closed_until: int = 0) -> None:
         """`closed_until`: nothing is taken before. For a COUNT of which an earlier process of this relay may
         have used the floor just now: the end of a window from its start."""
         self.budget, self.closed_until = budget, closed_until
         self.granted = self.wanted = self.until = 0
-        self.newest, self.at = 0, -1   # the latest `until` told; -1: not looked at yet
-        self.word: int | None = None   # given: what this relay has said that it keeps,
-        self.settled = 0               # until it is told something that is good for so long; 0: not answered
-        self.bucket = 0                # RATE: millionths
+        self.newest, self.at = 0, -1  # the latest `until` told; -1: not looked at yet
+        self.word: int | None = None  # given: what this relay has said that it keeps,
+        self.settled = 0  # until it is told something that is good for so long; 0: not answered
+        self.bucket = 0  # RATE: millionths
         self.window: deque[tuple[int, int]] = deque()  # COUNT: when, how much
-        self.counted = self.held = 0   # COUNT: the sum of `window`; LEVEL
+        self.counted = self.held = 0  # COUNT: the sum of `window`; LEVEL
         self.lately = Lately(budget.window if budget.kind == COUNT else SECOND)
-        self.left = 0                  # millionths of the demand that are not told yet
+        self.left = 0  # millionths of the demand that are not told yet
 
     def told(self, now: int, share: Share | None, until: int) -> None:
         """What a renewal brought, good until then: a share, or None if it named none. A renewal asked earlier
@@ -163,9 +178,9 @@
         known = max(self.lately.known(self.at), unit)
         for slices, rise, fall in CHANGED:
             # The latest slice is not over: a part of the time is only what is whole.
-            times, count = SLICES // slices, sum(counts[-slices - 1:-1])
-            more = count * times * known - total * unit   # both by `known`
-            if more ** 2 > (rise if more > 0 else fall) * total * unit * times * known:
+            times, count = SLICES // slices, sum(counts[-slices - 1 : -1])
+            more = count * times * known - total * unit  # both by `known`
+            if more**2 > (rise if more > 0 else fall) * total * unit * times * known:
                 return count * times
         mean, self.left = divmod(total * unit * MILLION // known + self.left, MILLION)
         return max(mean, 1) if total and not self.budget.floor else mean
--- a/laurelcourse/fleet/calls/client.py
+++ b/laurelcourse/fleet/calls/client.py
@@ -36,13 +36,25 @@
 
 Told = Callable[[Answer | FleetError], None]
 # A keeper's words after which another keeper, or the same one later, may do better. All others are final.
-ELSEWHERE = ("no_quorum", "not_leader", "other_fleet", "other_version", "overloaded", "stopping",
-             "unknown_fate", "unreadable", "disk_full", "disk_failed", "older_disk", "damaged_books",
-             "books_differ")
+ELSEWHERE = (
+    "no_quorum",
+    "not_leader",
+    "other_fleet",
+    "other_version",
+    "overloaded",
+    "stopping",
+    "unknown_fate",
+    "unreadable",
+    "disk_full",
+    "disk_failed",
+    "older_disk",
+    "damaged_books",
+    "books_differ",
+)
 
 
 class Order(NamedTuple):
-    verb: str            # the call's name
+    verb: str  # the call's name
     what: Message
     told: Told
     until: int
@@ -91,8 +103,15 @@
 
 
 class Client:
-    def __init__(self, fleet: str, me: str, keepers: dict[str, str], limits: Limits,
-                 clock: Callable[[], int], chance: Chance) -> None:
+    def __init__(
+        self,
+        fleet: str,
+        me: str,
+        keepers: dict[str, str],
+        limits: Limits,
+        clock: Callable[[], int],
+        chance: Chance,
+    ) -> None:
         """`keepers`: addresses by name. `clock`: monotonic, whole microseconds, any thread."""
         self.fleet, self.me, self.limits, self.clock = fleet, me, limits, clock
         self.ways = {name: Way(keepers[name], limits, fleet_pb2_grpc.BooksStub) for name in sorted(keepers)}
@@ -100,7 +119,7 @@
         # Relays don't all turn to the same keeper first. A leader that was not heard is tried itself again
         # once in an order's time, which is no shorter than a lease.
         self.routes = Routes(names, chance.below(len(names)), limits.answer)
-        self.closed, self.said = False, ""    # who hands orders on, as logged: a change is told once
+        self.closed, self.said = False, ""  # who hands orders on, as logged: a change is told once
         self.lanes = {name: Lane(self, name) for name in ("submit", "renew", "ask")}
 
     # Each may raise OverloadedError, TooLargeError, UnreadableError or StoppingError at once and never
@@ -143,8 +162,9 @@
                 answer, by = self._asked(order, tried, min(left, self.limits.call))
             except UnheardError as error:
                 if error.too_large:
-                    return TooLargeError(tried.keeper, size=self.limits.message + 1,
-                                         at_most=self.limits.message)
+                    return TooLargeError(
+                        tried.keeper, size=self.limits.message + 1, at_most=self.limits.message
+                    )
                 sent |= error.sent
                 then = routes.unheard(self.clock(), tried)
             except FleetError as error:
@@ -178,9 +198,11 @@
     def _tell(self, via: str) -> None:
         if via != self.said:
             self.said = via
-            log.log(logging.WARNING if via else logging.INFO,
-                    "orders are handed on" if via else "orders go to the leader itself",
-                    extra={"leader": self.leader, "keeper": via or self.leader})
+            log.log(
+                logging.WARNING if via else logging.INFO,
+                "orders are handed on" if via else "orders go to the leader itself",
+                extra={"leader": self.leader, "keeper": via or self.leader},
+            )
 
     def _ended(self, order: Order, sent: bool, last: FleetError | None) -> FleetError:
         if sent and order.verb in ("Submit", "Change"):
@@ -192,12 +214,17 @@
     def _asked(self, order: Order, to: Try, timeout: int) -> tuple[Answer, str]:
         """The answer, and who gave it if it was handed on."""
         # All requests have the same fields; only their types differ.
-        request = REQUESTS[order.verb](head=codec.head(self.fleet, self.me, to.keeper), what=order.what,
-                                       hand_on=to.hand_on)
+        request = REQUESTS[order.verb](
+            head=codec.head(self.fleet, self.me, to.keeper), what=order.what, hand_on=to.hand_on
+        )
         reply = self.ways[to.keeper].call(order.verb, request, timeout)
         codec.check(reply, self.fleet, self.me)
         return codec.form_of(Answer, reply.answer), reply.by
 
 
-REQUESTS = {"Submit": wire.SubmitOrder, "Renew": wire.RenewOrder, "Ask": wire.AskOrder,
-            "Change": wire.ChangeOrder}
+REQUESTS = {
+    "Submit": wire.SubmitOrder,
+    "Renew": wire.RenewOrder,
+    "Ask": wire.AskOrder,
+    "Change": wire.ChangeOrder,
+}
--- a/laurelcourse/fleet/calls/codec.py
+++ b/laurelcourse/fleet/calls/codec.py
@@ -28,26 +28,75 @@
 from laurelcourse.fleet.workflows import definition
 
 LEAST, VERSION, MINOR = 1, 1, 0
-MOST = (1 << 63) - 1   # of a number
-TEXT = 4096            # bytes of a text
-DEEP = 8               # values within values
-
-KINDS = {(keeper.Entry, "kind"): (keeper.NOOP, keeper.BOOKS, keeper.KEEPERS),
-         (books.Budget, "kind"): (books.RATE, books.LEVEL, books.COUNT)}
-TALK = {"ask_vote": keeper.AskVote, "vote": keeper.Vote, "append": keeper.Append, "appended": keeper.Appended,
-        "piece": keeper.Piece, "piece_taken": keeper.PieceTaken, "take_over": keeper.TakeOver,
-        "hello": keeper.Hello, "known": keeper.Known}
-WHAT = {"open": books.Open, "close": books.Close, "lapse": books.Lapse, "define": books.Define,
-        "grant": books.Grant, "give_back": books.GiveBack, "limits": books.Limits, "begin": books.Begin,
-        "intend": books.Intend, "result": books.Result, "leave": books.Leave, "settle": books.Settle,
-        "adopt": books.Adopt}
-WHAT |= {"places": books.Places, "shrink": books.Shrink, "recall": books.Recall, "reserve": books.Reserve,
-         "move": books.Move, "resume": books.Resume, "progress": books.Progress, "commit": books.Commit,
-         "free": books.Free}
-FORMS = (keeper.Entry, keeper.Snapshot, keeper.Mark, *TALK.values(), books.Fence, *WHAT.values(),
-         definition.Send, definition.Step, definition.Definition, books.Budget, books.Command, books.Batch,
-         books.Done, orders.Submit, orders.Beat, orders.Share,
-         orders.Renewed, orders.Question, books.Link, books.Site, books.Job, books.Stretch)
+MOST = (1 << 63) - 1  # of a number
+TEXT = 4096  # bytes of a text
+DEEP = 8  # values within values
+
+KINDS = {
+    (keeper.Entry, "kind"): (keeper.NOOP, keeper.BOOKS, keeper.KEEPERS),
+    (books.Budget, "kind"): (books.RATE, books.LEVEL, books.COUNT),
+}
+TALK = {
+    "ask_vote": keeper.AskVote,
+    "vote": keeper.Vote,
+    "append": keeper.Append,
+    "appended": keeper.Appended,
+    "piece": keeper.Piece,
+    "piece_taken": keeper.PieceTaken,
+    "take_over": keeper.TakeOver,
+    "hello": keeper.Hello,
+    "known": keeper.Known,
+}
+WHAT = {
+    "open": books.Open,
+    "close": books.Close,
+    "lapse": books.Lapse,
+    "define": books.Define,
+    "grant": books.Grant,
+    "give_back": books.GiveBack,
+    "limits": books.Limits,
+    "begin": books.Begin,
+    "intend": books.Intend,
+    "result": books.Result,
+    "leave": books.Leave,
+    "settle": books.Settle,
+    "adopt": books.Adopt,
+}
+WHAT |= {
+    "places": books.Places,
+    "shrink": books.Shrink,
+    "recall": books.Recall,
+    "reserve": books.Reserve,
+    "move": books.Move,
+    "resume": books.Resume,
+    "progress": books.Progress,
+    "commit": books.Commit,
+    "free": books.Free,
+}
+FORMS = (
+    keeper.Entry,
+    keeper.Snapshot,
+    keeper.Mark,
+    *TALK.values(),
+    books.Fence,
+    *WHAT.values(),
+    definition.Send,
+    definition.Step,
+    definition.Definition,
+    books.Budget,
+    books.Command,
+    books.Batch,
+    books.Done,
+    orders.Submit,
+    orders.Beat,
+    orders.Share,
+    orders.Renewed,
+    orders.Question,
+    books.Link,
+    books.Site,
+    books.Job,
+    books.Stretch,
+)
 
 Two = tuple[Callable, Callable]  # a form's value to the message's, and back
 
@@ -61,6 +110,7 @@
         if type(value) is not int or not 0 <= value <= MOST:
             raise unreadable(where, "a number out of range")
         return value
+
     return both, both
 
 
@@ -69,6 +119,7 @@
         if type(value) is not bool:
             raise unreadable(where, "not true or false")
         return value
+
     return write, lambda value: value
 
 
@@ -77,6 +128,7 @@
         if type(value) is not bytes:
             raise unreadable(where, "not bytes")
         return value
+
     return write, lambda value: value
 
 
@@ -90,6 +142,7 @@
         if known is not None and value not in known:
             raise unreadable(where, f"no such kind '{value[:40]}'")
         return value
+
     return both, both
 
 
@@ -120,6 +173,7 @@
 
 def _result(where: str) -> Two:
     """What `Done.value` holds: a tuple, perhaps a Fence."""
+
     def read(value: Message) -> tuple:
         if value.WhichOneof("one") is None:
             return ()
@@ -132,11 +186,13 @@
         if not isinstance(value, tuple):
             raise unreadable(where, "not a tuple")
         return _value_to(value, where) if value else wire.Value()
+
     return write, read
 
 
 def _plain(where: str) -> Two:
     """A figure of an error: an int or a str."""
+
     def read(value: Message) -> int | str:
         found = _value_of(value, where)
         if isinstance(found, tuple):
@@ -147,6 +203,7 @@
         if isinstance(value, tuple):
             raise unreadable(where, "neither a number nor a text")
         return _value_to(value, where)
+
     return write, read
 
 
@@ -157,6 +214,7 @@
         if not isinstance(values, tuple):
             raise unreadable(where, "not a tuple")
         return [to(value) for value in values]
+
     return write, lambda values: tuple([of(value) for value in values])
 
 
@@ -169,6 +227,7 @@
         if not isinstance(pair, tuple) or len(pair) != 2:
             raise unreadable(where, "not a pair")
         return kind(**{first.name: to_1(pair[0]), second.name: to_2(pair[1])})
+
     return write, lambda pair: (of_1(getattr(pair, first.name)), of_2(getattr(pair, second.name)))
 
 
@@ -185,6 +244,7 @@
         if name is None:
             raise unreadable(where, "of no kind that this version knows")
         return _read(kinds[name], getattr(found, name))
+
     return write, read
 
 
@@ -193,6 +253,7 @@
         if type(form) is not kind:
             raise unreadable(where, f"not a {kind.__name__}")
         return _write(form)
+
     return write, lambda message: _read(kind, message)
 
 
@@ -243,8 +304,9 @@
 def _write(form: object) -> Message:
     layout = LAYOUTS[type(form)]
     fields = ((name, to, spare, getattr(form, name)) for name, to, _, _, spare in layout.fields)
-    return layout.message(**{name: to(value) for name, to, spare, value in fields
-                             if not (spare and value is None)})
+    return layout.message(
+        **{name: to(value) for name, to, spare, value in fields if not (spare and value is None)}
+    )
 
 
 def _read(form: type, message: Message) -> object:
@@ -328,6 +390,7 @@
 
 # Whom a message is from and for
 
+
 def head(fleet: str, sender: str, to: str) -> Message:
     return wire.Head(fleet=fleet, sender=sender, to=to, version=VERSION, minor=MINOR)
 
--- a/laurelcourse/fleet/calls/flows_service.py
+++ b/laurelcourse/fleet/calls/flows_service.py
@@ -22,7 +22,7 @@
 from laurelcourse.fleet.workflows.run import ERRORED, Tell
 from laurelcourse.fleet.workflows.work import WAITING, Flows
 
-CALLS = WAITING + 128   # under way at once: all that may wait, and those that look, leave or settle meanwhile
+CALLS = WAITING + 128  # under way at once: all that may wait, and those that look, leave or settle meanwhile
 MESSAGE = 256 << 10
 
 # gRPC answers strangers' bytes by itself (UNKNOWN), and would print a whole stack for each; a fault of the
@@ -34,7 +34,7 @@
     def __init__(self, flows: Flows, address: str, limits: Limits) -> None:
         """Listens at `address` (host:port) once `start` is called; OSError if another process has it."""
         self.flows, self.limits, self.stopping = flows, limits, False
-        self.waits: set[asyncio.Future] = set()      # of the loop's thread, as all that is done by calls
+        self.waits: set[asyncio.Future] = set()  # of the loop's thread, as all that is done by calls
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self._serve, name="fleet-flows", daemon=True)
         self.thread.start()
@@ -62,8 +62,9 @@
         return asyncio.run_coroutine_threadsafe(work, self.loop).result()
 
     async def _listen(self, address: str) -> aio.Server:
-        server = aio.server(options=options(self.limits._replace(message=MESSAGE, asks=CALLS)),
-                            maximum_concurrent_rpcs=CALLS)
+        server = aio.server(
+            options=options(self.limits._replace(message=MESSAGE, asks=CALLS)), maximum_concurrent_rpcs=CALLS
+        )
         fleet_pb2_grpc.add_FlowsServicer_to_server(self, server)
         server.add_insecure_port(address)
         return server
@@ -91,22 +92,29 @@
         until = self.flows.clock() + wait
 
         def ask(told: Callable) -> None:
-            self.flows.put(self.flows.start, request.definition, request.tenant, request.mark, values, until,
-                           told)
+            self.flows.put(
+                self.flows.start, request.definition, request.tenant, request.mark, values, until, told
+            )
+
         return await self._asked(ask, wait + self._spare(wait), leaves=True)
 
     async def Look(self, request: Message, context: aio.ServicerContext) -> Message:  # noqa: N802
-        return await self._asked(lambda told: self.flows.put(self.flows.look, request.number, told),
-                                 self._time(context, self.limits.answer))
+        return await self._asked(
+            lambda told: self.flows.put(self.flows.look, request.number, told),
+            self._time(context, self.limits.answer),
+        )
 
     async def Leave(self, request: Message, context: aio.ServicerContext) -> Message:  # noqa: N802
-        return await self._asked(lambda told: self.flows.put(self.flows.leave, request.number, told),
-                                 self._time(context, self.limits.answer))
+        return await self._asked(
+            lambda told: self.flows.put(self.flows.leave, request.number, told),
+            self._time(context, self.limits.answer),
+        )
 
     async def Settle(self, request: Message, context: aio.ServicerContext) -> Message:  # noqa: N802
-        return await self._asked(lambda told: self.flows.put(self.flows.settle, request.number, request.step,
-                                                             request.how, told),
-                                 self._time(context, self.limits.answer))
+        return await self._asked(
+            lambda told: self.flows.put(self.flows.settle, request.number, request.step, request.how, told),
+            self._time(context, self.limits.answer),
+        )
 
     def _time(self, context: aio.ServicerContext, most: int) -> int:
         """Seven eighths of the asker's time, so that the answer is there before it is over."""
@@ -124,6 +132,7 @@
             """From the task's thread; RuntimeError: the loop is closed, and whoever waited has an answer."""
             with contextlib.suppress(RuntimeError):
                 self.loop.call_soon_threadsafe(_set, future, answer)
+
         try:
             if self.stopping:
                 raise StoppingError("workflows")
--- a/laurelcourse/fleet/calls/hands.py
+++ b/laurelcourse/fleet/calls/hands.py
@@ -23,8 +23,11 @@
     def __init__(self, fleet: str, me: str, addresses: dict[str, str], limits: Limits) -> None:
         """`addresses` by keepers' names; this keeper's own is passed over."""
         self.fleet, self.me, self.limits = fleet, me, limits
-        self.ways = {name: Way(address, limits, fleet_pb2_grpc.BooksStub)
-                     for name, address in sorted(addresses.items()) if name != me}
+        self.ways = {
+            name: Way(address, limits, fleet_pb2_grpc.BooksStub)
+            for name, address in sorted(addresses.items())
+            if name != me
+        }
         self.lock, self.busy = threading.Lock(), 0
 
     def on(self, verb: str, order: Message, leader: str, timeout: int) -> Message:
@@ -43,8 +46,9 @@
             return self._heard(self.ways[leader].call(verb, request, timeout))
         except UnheardError as error:
             if error.too_large:
-                raise TooLargeError(leader, size=self.limits.message + 1,
-                                    at_most=self.limits.message) from error
+                raise TooLargeError(
+                    leader, size=self.limits.message + 1, at_most=self.limits.message
+                ) from error
             if error.sent:
                 raise UnknownFateError(leader) from error
             raise NotLeaderError(self.me, leader=leader) from error
--- a/laurelcourse/fleet/calls/peers.py
+++ b/laurelcourse/fleet/calls/peers.py
@@ -35,7 +35,7 @@
         self.queue: deque[keeper.Message] = deque()
         self.news = threading.Condition()
         self.closed, self.lost, self.pause = False, 0, 0
-        self.said = ""           # how it went last, as logged: a change is told once
+        self.said = ""  # how it went last, as logged: a change is told once
         self.thread = threading.Thread(target=self._run, name=f"fleet-peer-{name}", daemon=True)
         self.thread.start()
 
@@ -66,8 +66,11 @@
             how = self._carried(envelope)
             if how != self.said:
                 self.said = how
-                log.log(logging.WARNING if how else logging.INFO, "keeper refuses" if how else "keeper hears",
-                        extra={"keeper": self.name, "fault": how or "none"})
+                log.log(
+                    logging.WARNING if how else logging.INFO,
+                    "keeper refuses" if how else "keeper hears",
+                    extra={"keeper": self.name, "fault": how or "none"},
+                )
             if self.pause:
                 with self.news:
                     self.news.wait_for(lambda: self.closed, self.pause / SECOND)
@@ -120,8 +123,9 @@
 
 
 class Peers:
-    def __init__(self, fleet: str, me: str, addresses: dict[str, str], limits: Limits,
-                 chance: Chance) -> None:
+    def __init__(
+        self, fleet: str, me: str, addresses: dict[str, str], limits: Limits, chance: Chance
+    ) -> None:
         """`addresses` by keepers' names; this keeper's own is passed over."""
         self.fleet, self.me, self.limits, self.chance = fleet, me, limits, chance
         self.lock = threading.Lock()
--- a/laurelcourse/fleet/calls/service.py
+++ b/laurelcourse/fleet/calls/service.py
@@ -40,7 +40,7 @@
 
 def _cut(value: int | str) -> int | str:
     """So that an answer can be written whatever the error names."""
-    return value[:codec.TEXT // 4] if isinstance(value, str) else value
+    return value[: codec.TEXT // 4] if isinstance(value, str) else value
 
 
 def refusal(error: FleetError) -> Done:
@@ -65,8 +65,9 @@
 
 
 class Service(fleet_pb2_grpc.KeepersServicer, fleet_pb2_grpc.BooksServicer):
-    def __init__(self, keeping: Keeping, fleet: str, me: str, address: str, limits: Limits,
-                 hands: Hands) -> None:
+    def __init__(
+        self, keeping: Keeping, fleet: str, me: str, address: str, limits: Limits, hands: Hands
+    ) -> None:
         """Listens at `address` (host:port; port 0: any, see `port`) once `start` is called; OSError if
         another process has it. `hands` is closed with it."""
         self.keeping, self.fleet, self.me, self.limits, self.hands = keeping, fleet, me, limits, hands
@@ -135,8 +136,14 @@
     def Change(self, request: Message, context: grpc.ServicerContext) -> Message:  # noqa: N802
         return self._asked("Change", request, keeper.Keepers, self.keeping.change, context)
 
-    def _asked(self, verb: str, request: Message, kind: type, ask: Callable[[object], "Future[Answer]"],
-               context: grpc.ServicerContext) -> Message:
+    def _asked(
+        self,
+        verb: str,
+        request: Message,
+        kind: type,
+        ask: Callable[[object], "Future[Answer]"],
+        context: grpc.ServicerContext,
+    ) -> Message:
         wait, rest, sender = threading.Event(), Time(context), _cut(request.head.sender)
         try:
             codec.check(request, self.fleet, self.me)
@@ -158,12 +165,16 @@
     def _handed_on(self, verb: str, request: Message, sender: str, leader: str, rest: Time) -> Message:
         """The leader's answer as it is, whatever this version knows of it."""
         reply = self.hands.on(verb, request, leader, handing.time_for(rest.left(), self.limits.call))
-        return codec.fitting(wire.Reply(head=codec.head(self.fleet, self.me, sender), answer=reply.answer,
-                                        by=leader), self.limits.message)
+        return codec.fitting(
+            wire.Reply(head=codec.head(self.fleet, self.me, sender), answer=reply.answer, by=leader),
+            self.limits.message,
+        )
 
     def _reply(self, to: str, answer: Answer) -> Message:
-        return codec.fitting(wire.Reply(head=codec.head(self.fleet, self.me, to),
-                                        answer=codec.message_of(answer)), self.limits.message)
+        return codec.fitting(
+            wire.Reply(head=codec.head(self.fleet, self.me, to), answer=codec.message_of(answer)),
+            self.limits.message,
+        )
 
     def _enter(self, wait: threading.Event) -> None:
         with self.lock:
@@ -173,8 +184,14 @@
                 raise OverloadedError(self.me, waiting=len(self.waits), at_most=self.limits.asks)
             self.waits.add(wait)
 
-    def _waited(self, future: "Future[Answer]", kind: type, wait: threading.Event, rest: Time,
-                context: grpc.ServicerContext) -> Answer:
+    def _waited(
+        self,
+        future: "Future[Answer]",
+        kind: type,
+        wait: threading.Event,
+        rest: Time,
+        context: grpc.ServicerContext,
+    ) -> Answer:
         """An eighth of the asker's time is left for the way back, so that it hears an answer by type."""
         future.add_done_callback(lambda _: wait.set())
         if not context.add_callback(wait.set):  # the asker has gone: nobody needs this thread to wait
--- a/laurelcourse/fleet/calls/ways.py
+++ b/laurelcourse/fleet/calls/ways.py
@@ -13,7 +13,7 @@
 from laurelcourse.fleet.orders import Terms
 
 SECOND = 1_000_000
-ROOM = 64 << 10          # bytes of a message beside its entries
+ROOM = 64 << 10  # bytes of a message beside its entries
 
 # gRPC prints the whole stack for each message of strangers that it can't parse; it answers them by itself.
 logging.getLogger("grpc._common").setLevel(logging.CRITICAL)
@@ -22,26 +22,34 @@
 class Limits(NamedTuple):
     """Bytes, counts, and times in whole microseconds."""
 
-    message: int         # bytes of one message
-    talks: int           # threads for keepers' calls
-    asks: int            # calls of relays under way at once; each holds a thread while it waits
-    hands: int           # of those, handed on to the leader at once
-    queue: int           # what waits for one keeper, or for one kind of order, at most
-    talk: int            # a call between keepers
-    call: int            # a relay's call to one keeper
-    answer: int          # an order in all, over all keepers
-    pause: int           # the first one after a failure; it doubles up to `call`
-    idle: int            # without a word, after which a connection is looked at
+    message: int  # bytes of one message
+    talks: int  # threads for keepers' calls
+    asks: int  # calls of relays under way at once; each holds a thread while it waits
+    hands: int  # of those, handed on to the leader at once
+    queue: int  # what waits for one keeper, or for one kind of order, at most
+    talk: int  # a call between keepers
+    call: int  # a relay's call to one keeper
+    answer: int  # an order in all, over all keepers
+    pause: int  # the first one after a failure; it doubles up to `call`
+    idle: int  # without a word, after which a connection is looked at
 
 
 def limits(terms: Terms) -> Limits:
     """What the settings come to. A call to one keeper may outlast an election, an order no lease."""
     bounds, keepers = terms.bounds, len(terms.keepers.voters) + len(terms.keepers.learners)
     asks = 8 + terms.sessions // 4
-    return Limits(message=4 * max(bounds.batch, bounds.piece) + ROOM, talks=2 * keepers + 2,
-                  asks=asks, hands=asks // 2, queue=4 * (bounds.ahead + 4), talk=bounds.patience,
-                  call=2 * bounds.patience, answer=max(terms.lease, 2 * bounds.patience), pause=bounds.beat,
-                  idle=terms.lease)
+    return Limits(
+        message=4 * max(bounds.batch, bounds.piece) + ROOM,
+        talks=2 * keepers + 2,
+        asks=asks,
+        hands=asks // 2,
+        queue=4 * (bounds.ahead + 4),
+        talk=bounds.patience,
+        call=2 * bounds.patience,
+        answer=max(terms.lease, 2 * bounds.patience),
+        pause=bounds.beat,
+        idle=terms.lease,
+    )
 
 
 def options(limits: Limits) -> list[tuple[str, int]]:
@@ -51,15 +59,20 @@
     call does, so that the caller knows that nothing was sent."""
     idle, call, pause = (max(one // 1000, 1) for one in (limits.idle, limits.call, limits.pause))
     return [
-        ("grpc.max_receive_message_length", limits.message), ("grpc.max_send_message_length", limits.message),
+        ("grpc.max_receive_message_length", limits.message),
+        ("grpc.max_send_message_length", limits.message),
         ("grpc.max_concurrent_streams", limits.asks + limits.talks),
         ("grpc.server_handshake_timeout_ms", call),
-        ("grpc.keepalive_time_ms", idle), ("grpc.keepalive_timeout_ms", call),
+        ("grpc.keepalive_time_ms", idle),
+        ("grpc.keepalive_timeout_ms", call),
         ("grpc.http2.min_recv_ping_interval_without_data_ms", idle // 2),
-        ("grpc.so_reuseport", 0), ("grpc.use_local_subchannel_pool", 1), ("grpc.enable_http_proxy", 0),
+        ("grpc.so_reuseport", 0),
+        ("grpc.use_local_subchannel_pool", 1),
+        ("grpc.enable_http_proxy", 0),
         ("grpc.initial_reconnect_backoff_ms", max(pause, 100)),
         ("grpc.min_reconnect_backoff_ms", max(call // 2, 1)),
-        ("grpc.max_reconnect_backoff_ms", max(call, 100))]
+        ("grpc.max_reconnect_backoff_ms", max(call, 100)),
+    ]
 
 
 class UnheardError(Exception):
@@ -72,8 +85,11 @@
 
 def _unheard(error: grpc.RpcError) -> UnheardError:
     status, details = error.code(), error.details() or ""
-    return UnheardError(status.name.lower(), "failed to connect to all addresses" not in details,
-                        status is grpc.StatusCode.RESOURCE_EXHAUSTED and "larger than max" in details)
+    return UnheardError(
+        status.name.lower(),
+        "failed to connect to all addresses" not in details,
+        status is grpc.StatusCode.RESOURCE_EXHAUSTED and "larger than max" in details,
+    )
 
 
 class Way:
--- a/laurelcourse/fleet/errors.py
+++ b/laurelcourse/fleet/errors.py
@@ -29,6 +29,7 @@
 
 # The keepers and the way to them
 
+
 class NoQuorumError(FleetError):
     code, again = "no_quorum", True
     what = "fewer than half of the keepers answer, so the books can be neither read nor written"
@@ -85,6 +86,7 @@
 
 # What a keeper keeps
 
+
 class DamagedBooksError(FleetError):
     code = "damaged_books"
     what = "the file is damaged: {fault}"
@@ -153,6 +155,7 @@
 
 # Sessions
 
+
 class LapsedLeaseError(FleetError):
     code, again = "lapsed_lease", True
     what = "session {session} has lapsed"
@@ -191,6 +194,7 @@
 
 # Budgets
 
+
 class NoSuchBudgetError(FleetError):
     code = "no_such_budget"
     what = "no budget has this name"
@@ -223,6 +227,7 @@
 
 # Definitions, workflows, transfers
 
+
 class DefinitionRefusedError(FleetError):
     code = "definition_refused"
     what = "the definition is refused: {fault}"
--- a/laurelcourse/fleet/flows_client.py
+++ b/laurelcourse/fleet/flows_client.py
@@ -18,7 +18,7 @@
 
 DONE, UNDONE, ERRORED = "done", "undone", "errored"
 UNHEARD = "unheard"  # the state that is told when no relay said anything in time
-SPARE = 0.15     # of the time, for the way there and back
+SPARE = 0.15  # of the time, for the way there and back
 PAUSE = 0.05
 AGAIN = ("stopping", "no_quorum", "lapsed_lease", "fenced_off", "overloaded", "not_leader", "unknown_fate")
 
@@ -53,8 +53,14 @@
         given = [wire.Given(name=name, value=values[name]) for name in sorted(values)]
 
         def order(left: float) -> Message:
-            return wire.StartOrder(definition=definition, tenant=tenant, mark=mark, values=given,
-                                   wait=int(left * (1 - SPARE) * 1_000_000))
+            return wire.StartOrder(
+                definition=definition,
+                tenant=tenant,
+                mark=mark,
+                values=given,
+                wait=int(left * (1 - SPARE) * 1_000_000),
+            )
+
         return self._asked("Start", order, wait)
 
     def look(self, number: int, wait: float = 5.0) -> Told:
@@ -74,11 +80,16 @@
             stub, at = self.stubs[at % len(self.stubs)], at + 1
             try:
                 answer = getattr(stub, verb)(order(left), timeout=left)
-            except (grpc.RpcError, ValueError):   # ValueError: closed meanwhile
+            except (grpc.RpcError, ValueError):  # ValueError: closed meanwhile
                 time.sleep(min(PAUSE, max(over - time.monotonic(), 0)))
                 continue
-            found = Told(answer.number, answer.answer, answer.state,
-                         tuple((one.name, one.state) for one in answer.steps), answer.refused.code)
+            found = Told(
+                answer.number,
+                answer.answer,
+                answer.state,
+                tuple((one.name, one.state) for one in answer.steps),
+                answer.refused.code,
+            )
             if found.refused not in AGAIN:
                 return found
             time.sleep(min(PAUSE, max(over - time.monotonic(), 0)))
--- a/laurelcourse/fleet/handing.py
+++ b/laurelcourse/fleet/handing.py
@@ -43,8 +43,8 @@
         """`turn`: the keeper before the first one tried. `rest`: microseconds for which nobody turns to an
         unheard leader by itself."""
         self.names, self.turn, self.rest = names, turn, rest
-        self.leader = ""                 # '': not known
-        self.via = ""                    # who named it, or handed an order on to it, last
+        self.leader = ""  # '': not known
+        self.via = ""  # who named it, or handed an order on to it, last
         self.rests: dict[str, int] = {}  # when a keeper that was not heard is tried again
 
     def first(self, now: int) -> Try:
--- a/laurelcourse/fleet/keeper/changes.py
+++ b/laurelcourse/fleet/keeper/changes.py
@@ -31,6 +31,7 @@
 
 def changed(old: Keepers, new: Keepers) -> tuple[str, ...]:
     """Whose standing differs. Majorities of lists that differ by one voter overlap; by two, they may not."""
+
     def standing(keepers: Keepers, name: str) -> tuple[bool, bool]:
         return name in keepers.voters, name in keepers.learners
 
--- a/laurelcourse/fleet/keeper/core.py
+++ b/laurelcourse/fleet/keeper/core.py
@@ -51,8 +51,9 @@
 
 
 class Core:
-    def __init__(self, me: str, bounds: Bounds, chance: Chance, kept: Kept, keepers: Keepers,
-                 now: int) -> None:
+    def __init__(
+        self, me: str, bounds: Bounds, chance: Chance, kept: Kept, keepers: Keepers, now: int
+    ) -> None:
         """`keepers`: as the settings have them; they count only while the log and snapshot name none."""
         self.me, self.bounds, self.chance = me, bounds, chance
         self.role, self.term, self.leader, self.vote = PROVING, kept.term, "", kept.vote
@@ -160,8 +161,11 @@
         if not self._settled() or self.log.changed_at > self.commit:
             return self._refuse(token, "change_under_way")
         recent = {name for name, one in self._progress.items() if now < one.heard + self.bounds.patience}
-        caught_up = {name for name in recent if self._progress[name].state == STREAM
-                     and self._progress[name].match >= self._beat_commit}
+        caught_up = {
+            name
+            for name in recent
+            if self._progress[name].state == STREAM and self._progress[name].match >= self._beat_commit
+        }
         if not changes.fit(self.keepers, keepers, caught_up, recent | {self.me}):
             return self._refuse(token, "unfit_change")
         return self._take(now, token, KEEPERS, changes.told_keepers(keepers))
@@ -172,8 +176,9 @@
         able = [name for name in self.keepers.voters if name != self.me and to in ("", name)]
         if self.role == LEADER and able:
             recent = now - self.bounds.patience
-            self._handing = max(able, key=lambda name: (self._progress[name].heard > recent,
-                                                        self._progress[name].match, name))
+            self._handing = max(
+                able, key=lambda name: (self._progress[name].heard > recent, self._progress[name].match, name)
+            )
             self._handing_until = now + self.bounds.patience
             self._feed(now, self._handing)
             self._say_take_over()
@@ -201,8 +206,16 @@
             write = self.log.written(self.term, self.vote, self.marks.written())
             self._saved = (self.term, self.vote)
         told = (self.role, self.term, self.leader)
-        out = Out(write, tuple(self._send), self._restore, tuple(self._apply), tuple(self._taken),
-                  tuple(self._answered), tuple(self._refused), told if told != self._told else None)
+        out = Out(
+            write,
+            tuple(self._send),
+            self._restore,
+            tuple(self._apply),
+            tuple(self._taken),
+            tuple(self._answered),
+            tuple(self._refused),
+            told if told != self._told else None,
+        )
         self._told = told
         self._draft()
         return out
@@ -437,8 +450,10 @@
 
     def _sync_progress(self, now: int) -> None:
         names = changes.others(self.keepers, self.me)
-        self._progress = {name: self._progress.get(name) or Progress(now, self.last + 1, self.bounds.ahead)
-                          for name in names}
+        self._progress = {
+            name: self._progress.get(name) or Progress(now, self.last + 1, self.bounds.ahead)
+            for name in names
+        }
 
     def _append(self, kind: str, data: bytes) -> None:
         self.log.append(Entry(self.last + 1, self.term, kind, data))
@@ -523,8 +538,19 @@
         self._turn_to_pieces(one)
         while one.state != PIECES and one.may_send() and one.next <= self.last:
             entries = self.log.part(one.next, self.bounds.batch)
-            self._send.append((name, Append(self.term, one.next - 1, self.log.term_at(one.next - 1), entries,
-                                            self.commit, self._round)))
+            self._send.append(
+                (
+                    name,
+                    Append(
+                        self.term,
+                        one.next - 1,
+                        self.log.term_at(one.next - 1),
+                        entries,
+                        self.commit,
+                        self._round,
+                    ),
+                )
+            )
             one.sent(entries[-1].index)
         if one.state == PIECES and one.piece_at < 0:
             self._send_piece(now, name)
--- a/laurelcourse/fleet/keeper/desk.py
+++ b/laurelcourse/fleet/keeper/desk.py
@@ -41,7 +41,7 @@
 OWN = (Lapse, Define, Grant, Limits, Places, Recall)
 COMING = (Open, Close, Lapse)  # by which sessions come and go
 GOING = (Close, Lapse)
-FLUSHES = 8                    # in a beat, at most, while entries of commands are under way
+FLUSHES = 8  # in a beat, at most, while entries of commands are under way
 
 
 def older_disk(name: str, core: Core) -> OlderDiskError:
@@ -56,7 +56,7 @@
 
     token: int | None
     commands: tuple[Command, ...]
-    size: int                  # bytes, as an entry of its own
+    size: int  # bytes, as an entry of its own
 
 
 class Asking(NamedTuple):
@@ -78,15 +78,25 @@
 class Lead:
     """What this keeper knows as a leader, from its own NOOP's application on."""
 
-    __slots__ = ("account", "beat_at", "define", "dividing", "granting", "lapse_after", "limit", "members",
-                 "moving", "place")
+    __slots__ = (
+        "account",
+        "beat_at",
+        "define",
+        "dividing",
+        "granting",
+        "lapse_after",
+        "limit",
+        "members",
+        "moving",
+        "place",
+    )
 
     def __init__(self, now: int, terms: Terms, books: Books) -> None:
         self.members = Members(terms, now, [live.number for live in books.sessions()])
         self.account = Account(now, books.time)
         self.dividing = Dividing()
         self.beat_at = self.lapse_after = now
-        self.granting = 0                       # Grants under way: the books are about to change
+        self.granting = 0  # Grants under way: the books are about to change
         self.define = books.defined() != terms.budgets
         self.limit = terms.limits is not None and books.limits() != terms.limits
         self.moving = Moving()
@@ -94,26 +104,36 @@
 
 
 class Desk:
-    def __init__(self, name: str, site: str, terms: Terms, chance: Chance, kept: Kept, now: int, *,
-                 encode: Callable[[Batch], bytes], decode: Callable[[bytes], Batch]) -> None:
+    def __init__(
+        self,
+        name: str,
+        site: str,
+        terms: Terms,
+        chance: Chance,
+        kept: Kept,
+        now: int,
+        *,
+        encode: Callable[[Batch], bytes],
+        decode: Callable[[bytes], Batch],
+    ) -> None:
         """`decode` raises ValueError or FleetError. Raises DamagedBooksError."""
         self.name, self.site, self.terms = name, site, terms
         self.encode, self.decode = encode, decode
-        self.books, self.applied, self.since = Books(), 0, 0    # since: entries applied after a snapshot
+        self.books, self.applied, self.since = Books(), 0, 0  # since: entries applied after a snapshot
         if kept.snapshot is not None:
             self.books, self.applied = Books.restored(kept.snapshot.data), kept.snapshot.index
         self.core = Core(name, terms.bounds, chance, kept, terms.keepers, now)
         self.lead: Lead | None = None
-        self.led = 0                                # the term in which this keeper leads
+        self.led = 0  # the term in which this keeper leads
         self.stopping = False
-        self.tokens = 0                             # the core's; askers have theirs
+        self.tokens = 0  # the core's; askers have theirs
         self.queue: list[Order] = []
         self.flush_at = 0
-        self.proposed: dict[int, Under] = {}        # by the core's token, until taken
-        self.under: dict[int, Under] = {}           # by index
+        self.proposed: dict[int, Under] = {}  # by the core's token, until taken
+        self.under: dict[int, Under] = {}  # by index
         self.asking: list[Asking] = []
-        self.reading: tuple[int, tuple[Asking, ...]] | None = None     # the core's token
-        self.confirmed: list[tuple[int, tuple[Asking, ...]]] = []      # by index, to be applied first
+        self.reading: tuple[int, tuple[Asking, ...]] | None = None  # the core's token
+        self.confirmed: list[tuple[int, tuple[Asking, ...]]] = []  # by index, to be applied first
         self.doing = Together()
 
     @property
@@ -280,10 +300,16 @@
         for under in (*self.proposed.values(), *self.under.values()):
             if under.term != self.core.term or self.core.role != LEADER:
                 self._unknown(under)
-        self.proposed = {token: under for token, under in self.proposed.items()
-                         if under.term == self.core.term and self.core.role == LEADER}
-        self.under = {index: under for index, under in self.under.items()
-                      if under.term == self.core.term and self.core.role == LEADER}
+        self.proposed = {
+            token: under
+            for token, under in self.proposed.items()
+            if under.term == self.core.term and self.core.role == LEADER
+        }
+        self.under = {
+            index: under
+            for index, under in self.under.items()
+            if under.term == self.core.term and self.core.role == LEADER
+        }
         if self.core.role != LEADER or (self.led and self.led != self.core.term):
             self._refuse_waiting(self._not_leader())
             self.lead = None
@@ -295,8 +321,11 @@
 
     def _refuse_waiting(self, refused: Done) -> None:
         tokens = [order.token for order in self.queue if order.token is not None]
-        for asked in (self.asking, self.reading[1] if self.reading else (),
-                      *(asked for _, asked in self.confirmed)):
+        for asked in (
+            self.asking,
+            self.reading[1] if self.reading else (),
+            *(asked for _, asked in self.confirmed),
+        ):
             tokens += [one.token for one in asked]
         self.doing.answers += [(token, refused) for token in tokens]
         self.queue, self.asking, self.reading, self.confirmed = [], [], None, []
@@ -331,7 +360,8 @@
                 lead.granting += 1
                 self._own(now, grant)
         waits = any(map(self.books.held, self.books.scopes())) or lead.moving.ends(
-            self.books, lead.account.at(now))
+            self.books, lead.account.at(now)
+        )
         if not self.queue and not self.under and waits:
             # What is free by time is freed by a later batch alone: an empty one brings the time.
             self._propose(now, ())
@@ -383,8 +413,7 @@
             if role == REFUSED:
                 fields = older_disk(self.name, self.core).fields()
                 self._note("error", "keeper takes no part", **fields)
-            self._note("info", "keeper is now", role=role, term=term,
-                       leader=leader)
+            self._note("info", "keeper is now", role=role, term=term, leader=leader)
 
     def _apply(self, now: int, entry: Entry) -> None:
         self.applied, self.since = entry.index, self.since + 1
@@ -402,7 +431,7 @@
         if under.change is not None:
             self.doing.answers.append((under.change, Done((entry.index,))))
         for order in under.orders:
-            mine, dones = dones[:len(order.commands)], dones[len(order.commands):]
+            mine, dones = dones[: len(order.commands)], dones[len(order.commands) :]
             if order.token is not None:
                 self.doing.answers.append((order.token, mine))
             else:
@@ -423,16 +452,22 @@
                 self.lead.beat_at = now
         return dones
 
-    def _own_done(self, now: int, what: Lapse | Define | Grant | Limits | Places | Recall,
-                  done: Done) -> None:
+    def _own_done(
+        self, now: int, what: Lapse | Define | Grant | Limits | Places | Recall, done: Done
+    ) -> None:
         if isinstance(what, Grant) and self.lead is not None:
             self.lead.granting -= 1
             if done.code:
                 self.lead.dividing.rests[what.budget] = now + self.terms.lease
         # A session may have closed before its Lapse, or a Grant to it, came in the log.
         if done.code and done.code != "lapsed_lease":
-            self._note("warning", "leader's order refused", order=type(what).__name__.lower(), code=done.code,
-                       to=done.to)
+            self._note(
+                "warning",
+                "leader's order refused",
+                order=type(what).__name__.lower(),
+                code=done.code,
+                to=done.to,
+            )
 
     def _not_taken(self, now: int, token: int, code: str) -> None:
         if self.reading is not None and self.reading[0] == token:
@@ -532,23 +567,27 @@
             if job and (job.origin, job.to) not in {(one.origin, one.to) for one in self.terms.links}:
                 return Done(code="no_direct_link", to=job.name, told=(("link", f"{job.origin}>{job.to}"),))
             return Done((time, views_of_moves.pieces(moving.plan(self.books, time, job)) if job else ()))
-        owners = ("*", "0", of) if of != "*" else ()     # of 'moves': a session's, and orphans; '*': all
-        mine = [one for one in self.books.jobs() if one.job.name == of or (
-            question.what == "moves" and (not owners or str(one.owner) in owners))]
+        owners = ("*", "0", of) if of != "*" else ()  # of 'moves': a session's, and orphans; '*': all
+        mine = [
+            one
+            for one in self.books.jobs()
+            if one.job.name == of or (question.what == "moves" and (not owners or str(one.owner) in owners))
+        ]
         seen = moving.seen(self.books, time, mine)
-        return Done(views_of_moves.told(seen._replace(
-            ended=self.books.ended(of) if question.what == "move" else "")))
+        return Done(
+            views_of_moves.told(seen._replace(ended=self.books.ended(of) if question.what == "move" else ""))
+        )
 
     def _flows_told(self, numbers: str) -> Done:
         """As `workflows/views.py` has it, in the order asked."""
         found = [int(one) for one in numbers.split(",") if one.isascii() and one.isdigit()]
-        return Done(tuple(views.told(self.books.workflow(one)) for one in found[:views.AT_ONCE]))
+        return Done(tuple(views.told(self.books.workflow(one)) for one in found[: views.AT_ONCE]))
 
     def _flows_of(self, session: str) -> Done:
         mine = int(session) if session.isascii() and session.isdigit() else 0
-        orphans = self.books.orphans()[:views.NUMBERS]
+        orphans = self.books.orphans()[: views.NUMBERS]
         live = tuple(one.number for one in self.books.sessions()) if orphans else ()
-        return Done((self.books.workflows_of(mine)[:views.NUMBERS], orphans, live))
+        return Done((self.books.workflows_of(mine)[: views.NUMBERS], orphans, live))
 
     def _note(self, level: str, msg: str, **fields: str | int) -> None:
         self.doing.notes.append(Note(level, msg, tuple(fields.items())))
--- a/laurelcourse/fleet/keeper/dividing.py
+++ b/laurelcourse/fleet/keeper/dividing.py
@@ -32,7 +32,7 @@
                 granted, wants = shares.get(session, (0, 0))
                 live = books.numbered(session)
                 if live is None or members.refuses(session):
-                    others += granted       # being lapsed: still in use, and nothing it could be asked
+                    others += granted  # being lapsed: still in use, and nothing it could be asked
                     continue
                 demand = members.demand(now, session, scope, wants + defined[name].floor)
                 used = members.used_of(session, scope)
--- a/laurelcourse/fleet/keeper/forms.py
+++ b/laurelcourse/fleet/keeper/forms.py
@@ -17,12 +17,12 @@
 class Bounds(NamedTuple):
     """Times in microseconds; counts and bytes as named."""
 
-    beat: int              # a leader's heartbeat
-    patience: int          # without a leader for so long, and up to twice, a keeper asks to be elected
-    batch: int             # bytes of entries in one message at most
-    ahead: int             # messages with entries under way to one keeper at most, unanswered
-    piece: int             # bytes of a snapshot in one message
-    waiting: int           # proposals and reads that wait at once, at most
+    beat: int  # a leader's heartbeat
+    patience: int  # without a leader for so long, and up to twice, a keeper asks to be elected
+    batch: int  # bytes of entries in one message at most
+    ahead: int  # messages with entries under way to one keeper at most, unanswered
+    piece: int  # bytes of a snapshot in one message
+    waiting: int  # proposals and reads that wait at once, at most
 
 
 class Entry(NamedTuple):
@@ -59,12 +59,12 @@
 class Kept(NamedTuple):
     """What a disk holds at start. Entries follow each other from the snapshot's index + 1 on."""
 
-    disk: str                       # made at random when the file was made, the same for its life
+    disk: str  # made at random when the file was made, the same for its life
     term: int
-    vote: str                       # whom this keeper voted for in `term`, or ''
+    vote: str  # whom this keeper voted for in `term`, or ''
     snapshot: Snapshot | None
     entries: tuple[Entry, ...]
-    marks: dict[str, Mark]          # of the other keepers, by name
+    marks: dict[str, Mark]  # of the other keepers, by name
 
 
 class Write(NamedTuple):
@@ -75,21 +75,22 @@
 
     term: int
     vote: str
-    cut: int = 0                    # 0: none go
+    cut: int = 0  # 0: none go
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
-    snapshot_whole: bool = False    # the log does not go on from this snapshot: all entries go
+    snapshot_whole: bool = False  # the log does not go on from this snapshot: all entries go
     marks: dict[str, Mark] | None = None  # all of them, where they changed
 
 
 # What keepers tell each other. Every message bears its sender's term.
 
+
 class AskVote(NamedTuple):
     term: int
     last_index: int
     last_term: int
-    trial: bool                     # pre-vote: would you, if I asked? Nothing is changed by it
-    handed: bool                    # asked for by the leader itself, which wants this one to lead
+    trial: bool  # pre-vote: would you, if I asked? Nothing is changed by it
+    handed: bool  # asked for by the leader itself, which wants this one to lead
 
 
 class Vote(NamedTuple):
@@ -106,14 +107,14 @@
     before_term: int
     entries: tuple[Entry, ...]
     commit: int
-    round: int                      # of heartbeats, for reads: answered back as it came
+    round: int  # of heartbeats, for reads: answered back as it came
     marks: tuple[tuple[str, Mark], ...] = ()  # what the leader knows the keepers to hold
 
 
 class Appended(NamedTuple):
     term: int
     ok: bool
-    index: int                      # ok: held up to here; else: try again from here, at the most
+    index: int  # ok: held up to here; else: try again from here, at the most
     round: int
 
 
@@ -133,7 +134,7 @@
 class PieceTaken(NamedTuple):
     term: int
     index: int
-    offset: int                     # go on from here
+    offset: int  # go on from here
     done: bool
     round: int
 
@@ -155,12 +156,12 @@
 
 class Known(NamedTuple):
     term: int
-    disk: str                       # as in the Hello that this answers
-    older: bool                     # more than that has been seen of this keeper, or another disk
-    mark: Mark                      # what was seen
+    disk: str  # as in the Hello that this answers
+    older: bool  # more than that has been seen of this keeper, or another disk
+    mark: Mark  # what was seen
 
 
-Message = (AskVote | Vote | Append | Appended | Piece | PieceTaken | TakeOver | Hello | Known)
+Message = AskVote | Vote | Append | Appended | Piece | PieceTaken | TakeOver | Hello | Known
 
 
 class Out(NamedTuple):
@@ -168,9 +169,9 @@
 
     write: Write | None = None
     send: tuple[tuple[str, Message], ...] = ()
-    restore: Snapshot | None = None               # the books are replaced by these
-    apply: tuple[Entry, ...] = ()                 # committed, in order, each once
+    restore: Snapshot | None = None  # the books are replaced by these
+    apply: tuple[Entry, ...] = ()  # committed, in order, each once
     taken: tuple[tuple[int, int, int], ...] = ()  # proposals by token: index and term they were appended at
-    reads: tuple[tuple[int, int], ...] = ()       # by token: may be answered once this index is applied
-    refused: tuple[tuple[int, str], ...] = ()     # proposals and reads by token: code of `fleet.errors`
-    now: tuple[str, int, str] | None = None       # changed: what this keeper is, its term, the leader or ''
+    reads: tuple[tuple[int, int], ...] = ()  # by token: may be answered once this index is applied
+    refused: tuple[tuple[int, str], ...] = ()  # proposals and reads by token: code of `fleet.errors`
+    now: tuple[str, int, str] | None = None  # changed: what this keeper is, its term, the leader or ''
--- a/laurelcourse/fleet/keeper/keeping.py
+++ b/laurelcourse/fleet/keeper/keeping.py
@@ -42,12 +42,18 @@
     lost, as one on the way may be. A future holds an `Answer` (a refusal too is one), or a `FleetError` from
     here: of orders that the desk had taken before this keeper's part ended, the fate is not known."""
 
-    def __init__(self, desk: Desk, store: Store, send: Callable[[str, Message], None],
-                 clock: Callable[[], int], log: logging.Logger) -> None:
+    def __init__(
+        self,
+        desk: Desk,
+        store: Store,
+        send: Callable[[str, Message], None],
+        clock: Callable[[], int],
+        log: logging.Logger,
+    ) -> None:
         self.desk, self.store, self.send, self.clock, self.log = desk, store, send, clock, log
         self.beat, self.most = desk.terms.bounds.beat, desk.terms.bounds.waiting
         self.state, self.error, self.until = TAKING, None, 0
-        self.told = False               # whether the desk has heard that it is being stopped
+        self.told = False  # whether the desk has heard that it is being stopped
         self.changed = threading.Condition()
         self.heards: deque[tuple[str, Message]] = deque()
         self.orders: deque[Asked] = deque()
@@ -86,8 +92,9 @@
         self.thread.join((timeout + self.beat) / SECOND)
         return not self.thread.is_alive()
 
-    def _ask(self, how: Callable[[int, int, Any], Acts],
-             what: Submit | Beat | Question | Keepers) -> "Future[Answer]":
+    def _ask(
+        self, how: Callable[[int, int, Any], Acts], what: Submit | Beat | Question | Keepers
+    ) -> "Future[Answer]":
         future: Future[Answer] = Future()
         with self.changed:
             error, waiting = self.error, len(self.orders)
@@ -100,8 +107,13 @@
             future.set_exception(error)
         return future
 
-    def _turn(self, state: str, error: errors.FleetError | None, fate: errors.FleetError | None = None,
-              until: int = 0) -> bool:
+    def _turn(
+        self,
+        state: str,
+        error: errors.FleetError | None,
+        fate: errors.FleetError | None = None,
+        until: int = 0,
+    ) -> bool:
         """The one place where `state` changes, if it may. `error` is what orders hear from now on, and those
         that the desk has not seen; `fate`, at the end, what the others do."""
         with self.changed:
@@ -249,9 +261,16 @@
         return future
 
 
-def kept_in(folder: Path, fleet: str, keeper: str, seed: int, make: Callable[[Kept], Desk],
-            send: Callable[[str, Message], None], clock: Callable[[], int],
-            log: logging.Logger) -> Keeping | Aside:
+def kept_in(
+    folder: Path,
+    fleet: str,
+    keeper: str,
+    seed: int,
+    make: Callable[[Kept], Desk],
+    send: Callable[[str, Message], None],
+    clock: Callable[[], int],
+    log: logging.Logger,
+) -> Keeping | Aside:
     """The keeper of that folder, or, after one line in the log, one that takes no part until it is started
     anew; the process goes on either way. `make` builds the desk from what was kept."""
     try:
--- a/laurelcourse/fleet/keeper/log.py
+++ b/laurelcourse/fleet/keeper/log.py
@@ -11,8 +11,17 @@
 
 
 class Log:
-    __slots__ = ("_changes", "_cut", "_fresh", "_taken", "_whole", "entries", "first", "first_term",
-                 "snapshot")
+    __slots__ = (
+        "_changes",
+        "_cut",
+        "_fresh",
+        "_taken",
+        "_whole",
+        "entries",
+        "first",
+        "first_term",
+        "snapshot",
+    )
 
     def __init__(self, snapshot: Snapshot | None, entries: tuple[Entry, ...], keepers: Keepers) -> None:
         """`keepers` count while neither snapshot nor entries name any."""
@@ -61,7 +70,7 @@
         return tuple(self.entries[begin:end])
 
     def between(self, after: int, last: int) -> tuple[Entry, ...]:
-        return tuple(self.entries[after - self.first:last - self.first])
+        return tuple(self.entries[after - self.first : last - self.first])
 
     def term_begins(self, index: int) -> int:
         """The first index held of the term that `index` has."""
@@ -80,7 +89,7 @@
     def cut(self, index: int) -> None:
         """Entries from `index` on go; keepers that they named are no longer in force."""
         assert index > self.first
-        del self.entries[index - self.first - 1:]
+        del self.entries[index - self.first - 1 :]
         self._fresh = [one for one in self._fresh if one.index < index]
         self._cut = min(index, self._cut) if self._cut else index
         while len(self._changes) > 1 and self._changes[-1][0] >= index:
@@ -96,7 +105,7 @@
     def take(self, snapshot: Snapshot) -> None:
         """The snapshot stands for all up to its index; what follows stays if it goes on from just there."""
         goes_on = self.term_at(snapshot.index) == snapshot.term
-        self.entries = self.entries[snapshot.index - self.first:] if goes_on else []
+        self.entries = self.entries[snapshot.index - self.first :] if goes_on else []
         later = [one for one in self._changes if one[0] > snapshot.index] if goes_on else []
         self._changes = [(snapshot.index, snapshot.keepers), *later]
         self._fresh = [one for one in self._fresh if one.index > snapshot.index] if goes_on else []
--- a/laurelcourse/fleet/keeper/moving.py
+++ b/laurelcourse/fleet/keeper/moving.py
@@ -11,11 +11,11 @@
 from laurelcourse.fleet.books.state import GRACE, SLICE
 from laurelcourse.fleet.transfers import plan, views
 
-GRAINS = 96          # that are planned for: the leader's own beats must not wait
-SOON = 3             # slices ahead that a plan begins which waits for others to park
-WISHES = 16          # newcomers for whom others may have to let go, remembered
-SPARE, LEAST = 32, 32 << 10   # a plan carries so much (a part, and bytes) more: pauses are not made up for
-STANDS = 4           # beats for which room made by a recall is kept for whom it was made
+GRAINS = 96  # that are planned for: the leader's own beats must not wait
+SOON = 3  # slices ahead that a plan begins which waits for others to park
+WISHES = 16  # newcomers for whom others may have to let go, remembered
+SPARE, LEAST = 32, 32 << 10  # a plan carries so much (a part, and bytes) more: pauses are not made up for
+STANDS = 4  # beats for which room made by a recall is kept for whom it was made
 
 
 class Moving:
@@ -43,14 +43,28 @@
         if time < self.until:
             return None
         jobs = books.jobs()
-        self.wishes = {name: job for name, job in self.wishes.items()
-                       if job.deadline > time and all(one.job.name != name for one in jobs)}
+        self.wishes = {
+            name: job
+            for name, job in self.wishes.items()
+            if job.deadline > time and all(one.job.name != name for one in jobs)
+        }
         if not self.wishes and not books.over():
             return None
         last = max([*(one.job.deadline for one in jobs), *(job.deadline for job in self.wishes.values())])
         room = _room(books, time, last, SOON)
-        held = tuple(plan.held(room, one.job, one.proven, one.pieces, time // SLICE, one.state == RECALLED,
-                               (time - 2 * beat) // SLICE) for one in jobs if one.pieces)
+        held = tuple(
+            plan.held(
+                room,
+                one.job,
+                one.proven,
+                one.pieces,
+                time // SLICE,
+                one.state == RECALLED,
+                (time - 2 * beat) // SLICE,
+            )
+            for one in jobs
+            if one.pieces
+        )
         new = [_spared(plan.wanted(room, self.wishes[name])) for name in sorted(self.wishes)]
         changes = plan.replanned(plan.whole(room, held), held, tuple(new))
         self.wishes = {}
@@ -58,8 +72,9 @@
             return None
         self.until = time + STANDS * beat
         of = {one.job.name: one.job for one in jobs} | {want.job.name: want.job for want in new}
-        self.meant = {name: (of[name], plan.stretches(room, parts))
-                      for name, parts in sorted(changes.plan.items())}
+        self.meant = {
+            name: (of[name], plan.stretches(room, parts)) for name, parts in sorted(changes.plan.items())
+        }
         return Recall(changes.recall)
 
     def ends(self, books: Books, time: int) -> bool:
--- a/laurelcourse/fleet/keeper/progress.py
+++ b/laurelcourse/fleet/keeper/progress.py
@@ -14,12 +14,26 @@
     """PROBE: where the logs part is not known, one message at a time. STREAM: messages run ahead of their
     answers, up to a bound. PIECES: it lacks what the leader has cut off, and is sent a snapshot."""
 
-    __slots__ = ("_ahead", "_asked", "heard", "marks", "marks_round", "marks_sent", "match", "next", "offset",
-                 "piece_at", "round", "sending", "state", "under_way")
+    __slots__ = (
+        "_ahead",
+        "_asked",
+        "heard",
+        "marks",
+        "marks_round",
+        "marks_sent",
+        "match",
+        "next",
+        "offset",
+        "piece_at",
+        "round",
+        "sending",
+        "state",
+        "under_way",
+    )
 
     def __init__(self, now: int, following: int, ahead: int) -> None:
         self.match, self.next, self._ahead, self.heard, self.round = 0, following, ahead, now, 0
-        self.marks: tuple[tuple[str, Mark], ...] = ()       # that it is known to have
+        self.marks: tuple[tuple[str, Mark], ...] = ()  # that it is known to have
         self.marks_sent: tuple[tuple[str, Mark], ...] = ()  # sent last, in `marks_round`
         self.marks_round, self.offset, self.piece_at = 0, 0, 0
         self.sending: Snapshot | None = None
--- a/laurelcourse/fleet/keeper/reads.py
+++ b/laurelcourse/fleet/keeper/reads.py
@@ -9,8 +9,8 @@
 
 class _Read(NamedTuple):
     token: int
-    round: int   # that must be confirmed; 0: none has been begun for it yet
-    index: int   # committed when that round was begun
+    round: int  # that must be confirmed; 0: none has been begun for it yet
+    index: int  # committed when that round was begun
 
 
 class Reads:
--- a/laurelcourse/fleet/keeper/snapshot.py
+++ b/laurelcourse/fleet/keeper/snapshot.py
@@ -31,6 +31,14 @@
 
 def piece_of(snapshot: Snapshot, term: int, offset: int, size: int, round_: int) -> Piece:
     """The piece from `offset` on, of at most `size` bytes."""
-    data = snapshot.data[offset:offset + size]
-    return Piece(term, snapshot.index, snapshot.term, snapshot.keepers, offset, data,
-                 offset + len(data) >= len(snapshot.data), round_)
+    data = snapshot.data[offset : offset + size]
+    return Piece(
+        term,
+        snapshot.index,
+        snapshot.term,
+        snapshot.keepers,
+        offset,
+        data,
+        offset + len(data) >= len(snapshot.data),
+        round_,
+    )
--- a/laurelcourse/fleet/keeper/store.py
+++ b/laurelcourse/fleet/keeper/store.py
@@ -23,18 +23,33 @@
 FILE, PART, LOCK = "books.sqlite", "books.part", "books.lock"
 TABLES = {
     "head": "CREATE TABLE head (disk TEXT, fleet TEXT, keeper TEXT, term INTEGER, vote TEXT, first INTEGER,"
-            " last INTEGER, base BLOB, tip BLOB, snapshot BLOB, marks BLOB, sum BLOB)",
+    " last INTEGER, base BLOB, tip BLOB, snapshot BLOB, marks BLOB, sum BLOB)",
     "log": "CREATE TABLE log (place INTEGER PRIMARY KEY, term INTEGER, kind TEXT, data BLOB, sum BLOB)",
     "marks": "CREATE TABLE marks (keeper TEXT, disk TEXT, term INTEGER, place INTEGER)",
-    "snapshot": "CREATE TABLE snapshot (place INTEGER, term INTEGER, voters TEXT, learners TEXT, data BLOB)"}
+    "snapshot": "CREATE TABLE snapshot (place INTEGER, term INTEGER, voters TEXT, learners TEXT, data BLOB)",
+}
 # A rollback journal, not a WAL: bits lost at a WAL's end silently take back votes that were told. It stays
 # there, since to cut or delete it waits for the whole file system. Commits/s, alone and on a busy disk:
 # WAL 12,900, 210-640; PERSIST 3,200, 170-540; TRUNCATE 1,100, 7-24. A keeper makes a few dozen at most.
-SETTINGS = ("journal_mode = PERSIST", "synchronous = EXTRA", "locking_mode = EXCLUSIVE",
-            "cell_size_check = ON", "trusted_schema = OFF")
+SETTINGS = (
+    "journal_mode = PERSIST",
+    "synchronous = EXTRA",
+    "locking_mode = EXCLUSIVE",
+    "cell_size_check = ON",
+    "trusted_schema = OFF",
+)
 FULL = frozenset((errno.ENOSPC, errno.EDQUOT))
-DAMAGED = frozenset((0, sqlite3.SQLITE_ERROR, sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB,
-                     sqlite3.SQLITE_FORMAT, sqlite3.SQLITE_SCHEMA, sqlite3.SQLITE_TOOBIG))
+DAMAGED = frozenset(
+    (
+        0,
+        sqlite3.SQLITE_ERROR,
+        sqlite3.SQLITE_CORRUPT,
+        sqlite3.SQLITE_NOTADB,
+        sqlite3.SQLITE_FORMAT,
+        sqlite3.SQLITE_SCHEMA,
+        sqlite3.SQLITE_TOOBIG,
+    )
+)
 
 
 class Head(NamedTuple):
@@ -198,8 +213,10 @@
         return head._replace(last=index, tip=tip)
 
     def _term_at(self, place: int) -> int:
-        found = self.db.execute("SELECT term FROM log WHERE place = ? UNION ALL"
-                                " SELECT term FROM snapshot WHERE place = ?", (place, place)).fetchone()
+        found = self.db.execute(
+            "SELECT term FROM log WHERE place = ? UNION ALL SELECT term FROM snapshot WHERE place = ?",
+            (place, place),
+        ).fetchone()
         return found[0] if found else 0
 
     def _sum_at(self, head: Head, place: int) -> bytes:
@@ -223,8 +240,13 @@
 
 def connected(path: Path) -> sqlite3.Connection:
     """For whichever thread opens it and then the one that owns it: never two at once."""
-    db = sqlite3.connect(f"{path.absolute().as_uri()}?mode=rw", uri=True, isolation_level=None,
-                         check_same_thread=False, timeout=0)
+    db = sqlite3.connect(
+        f"{path.absolute().as_uri()}?mode=rw",
+        uri=True,
+        isolation_level=None,
+        check_same_thread=False,
+        timeout=0,
+    )
     try:
         for setting in SETTINGS:
             db.execute(f"PRAGMA {setting}")
@@ -283,8 +305,9 @@
         raise UnfitError("the head's sum does not fit")
     if (head.fleet, head.keeper) != (fleet, keeper):
         raise errors.ForeignBooksError(to, fleet=head.fleet, keeper=head.keeper)
-    return head, Kept(head.disk, head.term, head.vote, read_snapshot(db, head), read_log(db, head),
-                      read_marks(db, head))
+    return head, Kept(
+        head.disk, head.term, head.vote, read_snapshot(db, head), read_log(db, head), read_marks(db, head)
+    )
 
 
 def read_snapshot(db: sqlite3.Connection, head: Head) -> Snapshot | None:
--- a/laurelcourse/fleet/keeper/together.py
+++ b/laurelcourse/fleet/keeper/together.py
@@ -31,7 +31,15 @@
         kept = tuple(entry for entry in kept if entry.index < two.cut)
     cuts = [cut for cut in (one.cut, two.cut) if cut]
     # The snapshot is carried out first: entries that it covers would be written behind it.
-    entries = tuple(entry for entry in (*kept, *two.entries)
-                    if snapshot is None or entry.index > snapshot.index)
-    return Write(two.term, two.vote, min(cuts, default=0), entries, snapshot,
-                 one.snapshot_whole or two.snapshot_whole, one.marks if two.marks is None else two.marks)
+    entries = tuple(
+        entry for entry in (*kept, *two.entries) if snapshot is None or entry.index > snapshot.index
+    )
+    return Write(
+        two.term,
+        two.vote,
+        min(cuts, default=0),
+        entries,
+        snapshot,
+        one.snapshot_whole or two.snapshot_whole,
+        one.marks if two.marks is None else two.marks,
+    )
--- a/laurelcourse/fleet/member.py
+++ b/laurelcourse/fleet/member.py
@@ -42,13 +42,21 @@
 
 
 class Member:
-    def __init__(self, scheduler: Scheduler, session: Session, holder: Holder, client: Client,
-                 letters: Letters, clock: Callable[[], int], counters: Counters) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        session: Session,
+        holder: Holder,
+        client: Client,
+        letters: Letters,
+        clock: Callable[[], int],
+        counters: Counters,
+    ) -> None:
         """`clock`: monotonic microseconds, the one that the session's leases are counted by."""
         self.scheduler, self.session, self.holder = scheduler, session, holder
         self.client, self.letters, self.clock, self.counters = client, letters, clock, counters
         self.told, self.fault = session.state, ""
-        self.others: Callable[[Command, Done], None] = lambda *_: None   # hears of commands not its own
+        self.others: Callable[[Command, Done], None] = lambda *_: None  # hears of commands not its own
 
     def work(self) -> None:
         """Until the letters are closed."""
@@ -130,8 +138,14 @@
     def _tell(self) -> None:
         if self.session.state != self.told:
             self.told, fence = self.session.state, self.session.fence
-            log.info("session is now", extra={"state": self.told, "session": fence.session if fence else 0,
-                                              "boot": fence.boot if fence else 0})
+            log.info(
+                "session is now",
+                extra={
+                    "state": self.told,
+                    "session": fence.session if fence else 0,
+                    "boot": fence.boot if fence else 0,
+                },
+            )
             self.counters.add(f"fleet.sessions.{self.told}")
 
     def close(self, timeout: int) -> None:
--- a/laurelcourse/fleet/members.py
+++ b/laurelcourse/fleet/members.py
@@ -29,9 +29,9 @@
     __slots__ = ("demands", "heard", "lapsing", "told", "uses")
 
     def __init__(self, heard: int) -> None:
-        self.heard = heard             # the lease counts from here
-        self.lapsing = False           # a Lapse has been proposed
-        self.demands: dict[str, int] | None = None   # not told since this leader began
+        self.heard = heard  # the lease counts from here
+        self.lapsing = False  # a Lapse has been proposed
+        self.demands: dict[str, int] | None = None  # not told since this leader began
         self.uses: dict[str, int] = {}
         self.told = heard
 
@@ -43,7 +43,7 @@
         """`live`: the sessions in the books as the leader's own NOOP was applied, `now`."""
         self.terms = terms
         self.live = {session: Member(now) for session in sorted(live)}
-        self.soonest = now + terms.binds()      # no lease is over before; looked up anew only then
+        self.soonest = now + terms.binds()  # no lease is over before; looked up anew only then
 
     def follow(self, now: int, live: Iterable[int]) -> None:
         """As an entry has been applied: sessions opened are counted from `now`, those ended are forgotten."""
@@ -72,8 +72,11 @@
         """Sessions that are to be lapsed; from now on their renewals are refused."""
         if now < self.soonest:
             return []
-        ended = [session for session, one in sorted(self.live.items())
-                 if not one.lapsing and now >= one.heard + self.terms.binds()]
+        ended = [
+            session
+            for session, one in sorted(self.live.items())
+            if not one.lapsing and now >= one.heard + self.terms.binds()
+        ]
         for session in ended:
             self.live[session].lapsing = True
         heard = [one.heard for one in self.live.values() if not one.lapsing]
--- a/laurelcourse/fleet/orders.py
+++ b/laurelcourse/fleet/orders.py
@@ -12,15 +12,15 @@
 class Terms(NamedTuple):
     """What the operators' settings say of leases; the same at every process of the fleet. Microseconds."""
 
-    fleet: str                   # the fleet's name, held against every message and file
-    lease: int                   # of a session
-    drift: int                   # parts of a million that a clock may run fast or slow against another
-    beat: int                    # how often a relay renews, and how often the leader divides budgets
-    sessions: int                # live at once, at most
+    fleet: str  # the fleet's name, held against every message and file
+    lease: int  # of a session
+    drift: int  # parts of a million that a clock may run fast or slow against another
+    beat: int  # how often a relay renews, and how often the leader divides budgets
+    sessions: int  # live at once, at most
     bounds: Bounds
-    keepers: Keepers             # as the settings have them, for a log that has none yet
+    keepers: Keepers  # as the settings have them, for a log that has none yet
     budgets: tuple[Budget, ...]
-    snapshot_every: int          # entries after which the books are written out and the log is cut
+    snapshot_every: int  # entries after which the books are written out and the log is cut
     limits: Limits | None = None  # on workflows; None: as the books have them
     links: tuple[Link, ...] = ()
     sites: tuple[Site, ...] = ()
@@ -40,7 +40,7 @@
 
     fence: Fence
     demands: tuple[tuple[str, int], ...] = ()
-    asked_at: int = 0            # by the relay's clock; its session gets it back with the answer; not sent
+    asked_at: int = 0  # by the relay's clock; its session gets it back with the answer; not sent
     uses: tuple[tuple[str, int], ...] = ()
 
 
@@ -66,18 +66,18 @@
 
     what: str
     of: str = ""
-    job: Job | None = None       # of 'plan': when it may move; 'moves' and 'move' tell of transfers
+    job: Job | None = None  # of 'plan': when it may move; 'moves' and 'move' tell of transfers
 
 
 class Note(NamedTuple):
     """A line for the people on call."""
 
-    level: str                   # 'info', 'warning', 'error'
+    level: str  # 'info', 'warning', 'error'
     msg: str
     fields: tuple[tuple[str, str | int], ...] = ()
 
 
-Answer = Renewed | tuple[Done, ...] | Done   # of a Beat; of commands, one each; of a Question or a refusal
+Answer = Renewed | tuple[Done, ...] | Done  # of a Beat; of commands, one each; of a Question or a refusal
 
 
 class Acts(NamedTuple):
@@ -93,4 +93,4 @@
     """Commands of one session (or one `Open`), in the order of their marks."""
 
     commands: tuple[Command, ...]
-    asked_at: int = 0            # as in Beat; not sent
+    asked_at: int = 0  # as in Beat; not sent
--- a/laurelcourse/fleet/session.py
+++ b/laurelcourse/fleet/session.py
@@ -15,13 +15,18 @@
 AWAY, OPENING, HELD, LAPSED = "away", "opening", "held", "lapsed"
 CLOSING, ENDED = "closing", "ended"
 TURNS = {  # LAPSED: over by the own clock; the keepers may still have the session, and renew it
-    AWAY: (OPENING, ENDED), OPENING: (HELD, AWAY, ENDED), HELD: (LAPSED, OPENING, CLOSING),
-    LAPSED: (HELD, OPENING, CLOSING), CLOSING: (ENDED,), ENDED: ()}
+    AWAY: (OPENING, ENDED),
+    OPENING: (HELD, AWAY, ENDED),
+    HELD: (LAPSED, OPENING, CLOSING),
+    LAPSED: (HELD, OPENING, CLOSING),
+    CLOSING: (ENDED,),
+    ENDED: (),
+}
 
 OVER = ("lapsed_lease", "fenced_off")  # the keepers have ended the session
-MARKS = 64        # the books know what came of so many marks
+MARKS = 64  # the books know what came of so many marks
 MARK_BOUND = 1 << 31
-DOUBLINGS = 5     # of the pause between openings, in beats; never longer than a lease
+DOUBLINGS = 5  # of the pause between openings, in beats; never longer than a lease
 
 
 class Kept(NamedTuple):
@@ -30,8 +35,8 @@
     budget: str
     keeps: int
     made: int
-    lower: bool                # than what could be used until then: seen again that low, it was carried out
-    known: int | None = None   # when its outcome was heard
+    lower: bool  # than what could be used until then: seen again that low, it was carried out
+    known: int | None = None  # when its outcome was heard
 
 
 class Session:
@@ -41,18 +46,18 @@
         self.name, self.site, self.terms, self.chance = name, site, terms, chance
         self.state = AWAY
         self.fence: Fence | None = None
-        self.demands: tuple[tuple[str, int], ...] = ()     # told with each Beat, as in `orders.Beat`;
-        self.uses: tuple[tuple[str, int], ...] = ()        # set by whoever uses budgets
-        self.now = now                                     # the latest that was told
-        self.next_at = now                                 # when the next order is due
-        self.failures = 0                                  # openings that came to nothing, in a row
+        self.demands: tuple[tuple[str, int], ...] = ()  # told with each Beat, as in `orders.Beat`;
+        self.uses: tuple[tuple[str, int], ...] = ()  # set by whoever uses budgets
+        self.now = now  # the latest that was told
+        self.next_at = now  # when the next order is due
+        self.failures = 0  # openings that came to nothing, in a row
         self.mark = self.open_mark = 0
-        self.first_asked = now                             # of the Open under way, with its mark
-        self.granted_at: int | None = None                 # asking time of the newest answer granted
+        self.first_asked = now  # of the Open under way, with its mark
+        self.granted_at: int | None = None  # asking time of the newest answer granted
         self.held: dict[str, Share] = {}
-        self.given_back: dict[int, Kept] = {}               # by mark
-        self.unknown: dict[int, Command] = {}              # by mark
-        self.out: dict[int, tuple[int, ...]] = {}          # orders under way: marks by asking time
+        self.given_back: dict[int, Kept] = {}  # by mark
+        self.unknown: dict[int, Command] = {}  # by mark
+        self.out: dict[int, tuple[int, ...]] = {}  # orders under way: marks by asking time
         self.found: list[tuple[Command, Done]] = []
 
     def _turn(self, state: str) -> None:
@@ -101,8 +106,10 @@
         return {name: self._capped(self.held[name]) for name in sorted(self.held)}
 
     def _capped(self, share: Share) -> Share:
-        least = min((kept.keeps for kept in self.given_back.values() if kept.budget == share.budget),
-                    default=share.granted)
+        least = min(
+            (kept.keeps for kept in self.given_back.values() if kept.budget == share.budget),
+            default=share.granted,
+        )
         return share._replace(granted=min(share.granted, least), wanted=min(share.wanted, least))
 
     def orders(self, now: int) -> list[Submit | Beat]:
@@ -153,7 +160,7 @@
             return
         self.granted_at = asked_at
         if not self._in_lease(now):
-            return                              # it came too late to be of use
+            return  # it came too late to be of use
         self.held = {share.budget: share for share in answer.shares}
         self._uncap(now, asked_at)
         if self.state == LAPSED:
@@ -167,8 +174,13 @@
             alone = sum(other.budget == kept.budget for other in self.given_back.values()) == 1
             if kept.known is not None and asked_at > kept.known:
                 del self.given_back[mark]
-            elif kept.known is None and alone and kept.lower and asked_at > kept.made \
-                    and (share is None or share.granted <= kept.keeps):
+            elif (
+                kept.known is None
+                and alone
+                and kept.lower
+                and asked_at > kept.made
+                and (share is None or share.granted <= kept.keeps)
+            ):
                 self.given_back[mark] = kept._replace(known=now)
 
     def _opened(self, now: int, done: Done) -> None:
--- a/laurelcourse/fleet/terms.py
+++ b/laurelcourse/fleet/terms.py
@@ -17,15 +17,37 @@
         return time and time + time * fleet.drift // 1_000_000 + 1
 
     return Terms(
-        fleet=fleet.name, lease=fleet.lease, drift=fleet.drift, beat=fleet.beat, sessions=fleet.sessions,
-        bounds=Bounds(beat=told.heartbeat, patience=told.patience, batch=told.batch, ahead=told.ahead,
-                      piece=told.piece, waiting=told.waiting),
+        fleet=fleet.name,
+        lease=fleet.lease,
+        drift=fleet.drift,
+        beat=fleet.beat,
+        sessions=fleet.sessions,
+        bounds=Bounds(
+            beat=told.heartbeat,
+            patience=told.patience,
+            batch=told.batch,
+            ahead=told.ahead,
+            piece=told.piece,
+            waiting=told.waiting,
+        ),
         keepers=Keepers(tuple(sorted(one.name for one in fleet.keepers))),
-        budgets=tuple(Budget(one.name, one.kind, one.whole, one.floor, one.relays, longer(one.window),
-                             longer(one.freed_after)) for one in budgets),
-        snapshot_every=told.snapshot_every, limits=meaning_workflows.limits(fleet),
+        budgets=tuple(
+            Budget(
+                one.name,
+                one.kind,
+                one.whole,
+                one.floor,
+                one.relays,
+                longer(one.window),
+                longer(one.freed_after),
+            )
+            for one in budgets
+        ),
+        snapshot_every=told.snapshot_every,
+        limits=meaning_workflows.limits(fleet),
         links=tuple(sorted(Link(one.origin, one.to, one.capacity, one.kept) for one in fleet.links)),
-        sites=tuple(sorted(Site(one.name, one.slots) for one in fleet.sites)))
+        sites=tuple(sorted(Site(one.name, one.slots) for one in fleet.sites)),
+    )
 
 
 def address_of(fleet: Fleet, relay: str) -> Address | None:
--- a/laurelcourse/fleet/transfers/arrivals.py
+++ b/laurelcourse/fleet/transfers/arrivals.py
@@ -113,8 +113,8 @@
         path = self.parts / name
         if not path.exists():
             return False
-        with _locked(path, job):              # nobody writes to it meanwhile
-            if (self.whole / name).exists():      # another relay of the site was first
+        with _locked(path, job):  # nobody writes to it meanwhile
+            if (self.whole / name).exists():  # another relay of the site was first
                 path.unlink()
                 return False
             path.rename(self.whole / name)
--- a/laurelcourse/fleet/transfers/best.py
+++ b/laurelcourse/fleet/transfers/best.py
@@ -10,18 +10,19 @@
 
 from laurelcourse.fleet.transfers.plan import MILLION, Part, Plan, Room, Want, earned, planned
 
-EARNS = 1_010_000       # of a million: the led plan must earn so much more than the greedy one
-UNITS = 1_000           # of the widest link
+EARNS = 1_010_000  # of a million: the led plan must earn so much more than the greedy one
+UNITS = 1_000  # of the widest link
 
 
 class Best(NamedTuple):
     plan: Plan
-    bound: int          # no plan on this grid (and by these units) earns more
-    proved: bool        # the plan earns just that
+    bound: int  # no plan on this grid (and by these units) earns more
+    proved: bool  # the plan earns just that
 
 
-def best(room: Room, wants: Iterable[Want], seconds: float, seed: int = 1,
-         hint: Plan | None = None) -> Best | None:
+def best(
+    room: Room, wants: Iterable[Want], seconds: float, seed: int = 1, hint: Plan | None = None
+) -> Best | None:
     """None where the solver is not there or finds nothing in so many seconds."""
     try:
         from ortools.sat.python import cp_model
@@ -89,10 +90,16 @@
     if solver is None:
         return None
     solver.SetTimeLimit(int(seconds * 1_000))
-    links_of = {(link, grain): solver.Constraint(0, float(amount)) for link, free in room.links.items()
-                for grain, amount in enumerate(free)}
-    sites_of = {(site, grain): solver.Constraint(0, float(amount)) for site, free in room.sites.items()
-                for grain, amount in enumerate(free)}
+    links_of = {
+        (link, grain): solver.Constraint(0, float(amount))
+        for link, free in room.links.items()
+        for grain, amount in enumerate(free)
+    }
+    sites_of = {
+        (site, grain): solver.Constraint(0, float(amount))
+        for site, free in room.sites.items()
+        for grain, amount in enumerate(free)
+    }
     goal, moves = solver.Objective(), {}
     for want in wants:
         job, need, link = want.job, room.rate(want.left), f"{want.job.origin}>{want.job.to}"
--- a/laurelcourse/fleet/transfers/pace.py
+++ b/laurelcourse/fleet/transfers/pace.py
@@ -9,8 +9,8 @@
 from laurelcourse.fleet.books.forms import Stretch
 
 MICRO = 1_000_000
-BURST = 50_000          # microseconds of its rate that a sender may send at once
-SLACK = 200_000         # microseconds of its rate that may come at once: the way's bursts add to the sender's
+BURST = 50_000  # microseconds of its rate that a sender may send at once
+SLACK = 200_000  # microseconds of its rate that may come at once: the way's bursts add to the sender's
 
 
 def rates(pieces: Iterable[Stretch], slice_us: int) -> tuple[tuple[int, int], ...]:
@@ -34,8 +34,14 @@
 
     __slots__ = ("_at", "_credit", "_steps", "burst", "least", "message")
 
-    def __init__(self, steps: tuple[tuple[int, int], ...], now: int, burst: int = BURST,
-                 least: int = 0, message: int = 0) -> None:
+    def __init__(
+        self,
+        steps: tuple[tuple[int, int], ...],
+        now: int,
+        burst: int = BURST,
+        least: int = 0,
+        message: int = 0,
+    ) -> None:
         self._steps, self._at, self._credit = steps, now, 0
         self.burst, self.least, self.message = burst, least, message
 
--- a/laurelcourse/fleet/transfers/plan.py
+++ b/laurelcourse/fleet/transfers/plan.py
@@ -14,12 +14,12 @@
 from laurelcourse.fleet.books.forms import Job, Stretch
 
 MILLION = 1_000_000
-BETTER = 1_100_000      # of a million: a new plan must earn so much more than the one that stands
-TRIES = 64              # jobs left out for which room is sought by pushing others out
-PUSHED = 3              # at most so many for one
-ROUNDS = 200            # orders tried by chance, at most
-FILLS = 20_000          # jobs placed anew in all of them, at most
-IN_VAIN = 80            # so many that earn no more end the search
+BETTER = 1_100_000  # of a million: a new plan must earn so much more than the one that stands
+TRIES = 64  # jobs left out for which room is sought by pushing others out
+PUSHED = 3  # at most so many for one
+ROUNDS = 200  # orders tried by chance, at most
+FILLS = 20_000  # jobs placed anew in all of them, at most
+IN_VAIN = 80  # so many that earn no more end the search
 
 
 class Want(NamedTuple):
@@ -53,15 +53,19 @@
         return -(-size * MILLION // (self.grain * self.slice))
 
 
-Part = tuple[int, int, tuple[str, ...]]                  # grain, rate, way
-Plan = dict[str, tuple[Part, ...]]                       # by job's name, those that move
+Part = tuple[int, int, tuple[str, ...]]  # grain, rate, way
+Plan = dict[str, tuple[Part, ...]]  # by job's name, those that move
 
 
 def wanted(room: Room, job: Job, proven: int = 0) -> Want:
     long = room.grain * room.slice
     start = room.start * room.slice
-    return Want(job, job.size - proven, max(0, -(-(job.earliest - start) // long)),
-                min(room.grains(), max(0, (job.deadline - start) // long)))
+    return Want(
+        job,
+        job.size - proven,
+        max(0, -(-(job.earliest - start) // long)),
+        min(room.grains(), max(0, (job.deadline - start) // long)),
+    )
 
 
 def links(way: tuple[str, ...]) -> list[str]:
@@ -98,8 +102,11 @@
         if want.left <= 0 or link is None or not {job.origin, job.to} <= self.sites.keys():
             return ()
         there, here = self.sites[job.origin], self.sites[job.to]
-        found = [grain for grain in range(want.first, want.until)
-                 if link[grain] > 0 and min(there[grain], here[grain]) >= job.slots]
+        found = [
+            grain
+            for grain in range(want.first, want.until)
+            if link[grain] > 0 and min(there[grain], here[grain]) >= job.slots
+        ]
         if fullest:
             found.sort(key=lambda grain: (-link[grain], grain))
         parts, left = [], want.left
@@ -192,9 +199,15 @@
     for want in sorted((one for one in wants if one.job.name not in plan), key=_by_earnings)[:TRIES]:
         job = want.job
         near = {job.origin, job.to}
-        others = sorted((by_name[name] for name in plan if by_name[name].job.earnings < job.earnings
-                         and near & {by_name[name].job.origin, by_name[name].job.to}),
-                        key=lambda one: (one.job.earnings, one.job.name))
+        others = sorted(
+            (
+                by_name[name]
+                for name in plan
+                if by_name[name].job.earnings < job.earnings
+                and near & {by_name[name].job.origin, by_name[name].job.to}
+            ),
+            key=lambda one: (one.job.earnings, one.job.name),
+        )
         out, lost = [], 0
         parts = free.fit(want, fullest)
         for other in others:
@@ -237,20 +250,38 @@
     untold: int = 0
 
 
-def seen(names: Iterable[str], free: Callable[[str, int, int], tuple[int, ...]], start: int, grain: int,
-         slice_us: int, grains: int) -> Room:
+def seen(
+    names: Iterable[str],
+    free: Callable[[str, int, int], tuple[int, ...]],
+    start: int,
+    grain: int,
+    slice_us: int,
+    grains: int,
+) -> Room:
     """The room that books tell of (`Books.resources`, `Books.room`): each grain has its narrowest slice's.
     `start` is a multiple of `grain`, so that plans made at different times have the same grains."""
     found = {}
     for name in names:
         slices = free(name, start, start + grain * grains)
-        found[name] = tuple(min(slices[at:at + grain]) for at in range(0, grain * grains, grain))
-    return Room(start, grain, slice_us, {name: one for name, one in found.items() if ">" in name},
-                {name: one for name, one in found.items() if ">" not in name})
-
-
-def held(room: Room, job: Job, proven: int, pieces: Iterable[Stretch], now: int, told: bool,
-         since: int | None = None) -> Held:
+        found[name] = tuple(min(slices[at : at + grain]) for at in range(0, grain * grains, grain))
+    return Room(
+        start,
+        grain,
+        slice_us,
+        {name: one for name, one in found.items() if ">" in name},
+        {name: one for name, one in found.items() if ">" not in name},
+    )
+
+
+def held(
+    room: Room,
+    job: Job,
+    proven: int,
+    pieces: Iterable[Stretch],
+    now: int,
+    told: bool,
+    since: int | None = None,
+) -> Held:
     """A job as the books have it. What it moves from slice `now` to the room's start is taken as moved; what
     it moved from slice `since` to `now` may not be told yet."""
     soon, untold, parts = 0, 0, []
@@ -270,8 +301,10 @@
     free = Free(room)
     for one in there:
         free.put(one.want.job, one.parts, 1)
-    return room._replace(links={name: tuple(free.links[name]) for name in free.links},
-                         sites={name: tuple(free.sites[name]) for name in free.sites})
+    return room._replace(
+        links={name: tuple(free.links[name]) for name in free.links},
+        sites={name: tuple(free.sites[name]) for name in free.sites},
+    )
 
 
 class Changes(NamedTuple):
@@ -308,8 +341,16 @@
     if earned(wants, anew) * MILLION > earned(wants, stands) * BETTER:
         before = {one.want.job.name: one.parts for one in stay}
         plan = {name: parts for name, parts in sorted(anew.items()) if before.get(name) != parts}
-        return Changes(tuple(sorted(one.want.job.name for one in held if one.want.job.name not in told
-                                    and anew.get(one.want.job.name) != one.parts)), plan)
+        return Changes(
+            tuple(
+                sorted(
+                    one.want.job.name
+                    for one in held
+                    if one.want.job.name not in told and anew.get(one.want.job.name) != one.parts
+                )
+            ),
+            plan,
+        )
     return Changes(tuple(sorted(one.want.job.name for one in moved if one.want.job.name not in told)), plan)
 
 
@@ -320,10 +361,12 @@
 def _fits(free: Free, one: Held) -> bool:
     job = one.want.job
     if any(link not in free.links for _, _, way in one.parts for link in links(way)) or not (
-            job.origin in free.sites and job.to in free.sites):
+        job.origin in free.sites and job.to in free.sites
+    ):
         return False
     free.put(job, one.parts)
     fits = all(free.links[link][grain] >= 0 for grain, _, way in one.parts for link in links(way)) and all(
-        min(free.sites[job.origin][grain], free.sites[job.to][grain]) >= 0 for grain, _, _ in one.parts)
+        min(free.sites[job.origin][grain], free.sites[job.to][grain]) >= 0 for grain, _, _ in one.parts
+    )
     free.put(job, one.parts, 1)
     return fits
--- a/laurelcourse/fleet/transfers/stream.py
+++ b/laurelcourse/fleet/transfers/stream.py
@@ -41,9 +41,9 @@
 
 log = logging.getLogger(__name__)
 
-CHUNK = 16 << 10        # bytes
-PROOF = 200_000         # microseconds between two proofs
-STREAMS = 16            # into one relay at once
+CHUNK = 16 << 10  # bytes
+PROOF = 200_000  # microseconds between two proofs
+STREAMS = 16  # into one relay at once
 
 
 class Books:
@@ -93,8 +93,17 @@
 class Door(fleet_pb2_grpc.MovesServicer):
     """Where one relay takes what is sent to its site."""
 
-    def __init__(self, fleet: str, me: str, site: str, arrivals: Arrivals, books: Books, beat: int,
-                 limits: Limits, address: str) -> None:
+    def __init__(
+        self,
+        fleet: str,
+        me: str,
+        site: str,
+        arrivals: Arrivals,
+        books: Books,
+        beat: int,
+        limits: Limits,
+        address: str,
+    ) -> None:
         """OSError when the address is taken."""
         self.fleet, self.me, self.site, self.arrivals, self.books = fleet, me, site, arrivals, books
         self.beat, self.limits, self.closed = beat, limits, threading.Event()
@@ -134,8 +143,9 @@
             return
         except FleetError as error:
             log.warning("stream refused", extra=error.fields())
-            yield wire.Proof(head=codec.head(self.fleet, self.me, sender),
-                             refused=codec.message_of(refusal(error)).done)
+            yield wire.Proof(
+                head=codec.head(self.fleet, self.me, sender), refused=codec.message_of(refusal(error)).done
+            )
         finally:
             if part is not None:
                 part.close()
@@ -143,8 +153,15 @@
                 if self.open.get(job) is context:
                     del self.open[job]
 
-    def _carried(self, chunks: Iterator[Message], context: grpc.ServicerContext, part: Part, fence: Fence,
-                 view: views.View, sender: str) -> Iterator[Message]:
+    def _carried(
+        self,
+        chunks: Iterator[Message],
+        context: grpc.ServicerContext,
+        part: Part,
+        fence: Fence,
+        view: views.View,
+        sender: str,
+    ) -> Iterator[Message]:
         rate = pace.receiver(view.pieces, SLICE, self.books.now() - pace.SLACK, CHUNK)
         looked = proved = ready = self.books.clock()
         slow = 0
@@ -197,8 +214,9 @@
             raise NoSuchJobError(job, end=seen.ended)
         view = seen.views[0]
         if view.owner != fence:
-            raise FencedOffError(fence.name, session=fence.session,
-                                 newer=view.owner.session if view.owner else 0)
+            raise FencedOffError(
+                fence.name, session=fence.session, newer=view.owner.session if view.owner else 0
+            )
         if view.state != RESERVED or view.job.to != self.site:
             raise OutOfOrderError(job, state=view.state, order=f"bytes for {self.site}")
         return view
@@ -243,9 +261,18 @@
     """One job's bytes on their way. `told(job, proven or error)` is called from this thread; it ends by
     itself when all is proven, nothing is reserved any more, `until` has passed or `stop` is set."""
 
-    def __init__(self, fleet: str, me: str, to: tuple[str, str], view: views.View, source: Path, books: Books,
-                 limits: Limits, told: Callable[[str, "int | FleetError", "Sending"], None],
-                 until: int) -> None:
+    def __init__(
+        self,
+        fleet: str,
+        me: str,
+        to: tuple[str, str],
+        view: views.View,
+        source: Path,
+        books: Books,
+        limits: Limits,
+        told: Callable[[str, "int | FleetError", "Sending"], None],
+        until: int,
+    ) -> None:
         """`to`: the receiving relay's name and address; `until`: by the books' clock function's clock."""
         super().__init__(name=f"fleet-send-{view.job.name}", daemon=True)
         self.fleet, self.me, self.to, self.view, self.source = fleet, me, to, view, source
@@ -269,8 +296,11 @@
                     self.begin.set()
                 self.told(job, proof.proven, self)
         except grpc.RpcError as error:
-            outcome = StoppingError(self.to[0]) if self.stop.is_set() else NoQuorumError(
-                f"{self.to[0]} ({error.code().name.lower()})")
+            outcome = (
+                StoppingError(self.to[0])
+                if self.stop.is_set()
+                else NoQuorumError(f"{self.to[0]} ({error.code().name.lower()})")
+            )
         except FleetError as error:
             outcome = error
         finally:
@@ -285,8 +315,11 @@
 
     def _chunks(self) -> Iterator[Message]:
         view = self.view
-        yield wire.Chunk(head=codec.head(self.fleet, self.me, self.to[0]), job=view.job.name,
-                         fence=codec.message_of(view.owner))
+        yield wire.Chunk(
+            head=codec.head(self.fleet, self.me, self.to[0]),
+            job=view.job.name,
+            fence=codec.message_of(view.owner),
+        )
         self.begin.wait()
         rate = pace.sender(view.pieces, SLICE, self.books.now(), CHUNK)
         at, size = self.start_at, view.job.size
@@ -296,7 +329,7 @@
             while at < size and not self.stop.is_set():
                 now, length = self.books.now(), min(CHUNK, size - at)
                 while not (due := rate.due(now, length)) and length > 1:
-                    length //= 2                 # what is left of the stretch carries less than a chunk
+                    length //= 2  # what is left of the stretch carries less than a chunk
                 data = file.read(length)
                 if not data or not due:
                     return
--- a/laurelcourse/fleet/transfers/views.py
+++ b/laurelcourse/fleet/transfers/views.py
@@ -6,7 +6,7 @@
 from laurelcourse.fleet.books.forms import Fence, Job, Stretch
 from laurelcourse.fleet.errors import UnreadableError
 
-AT_ONCE = 64     # jobs told in one answer
+AT_ONCE = 64  # jobs told in one answer
 
 
 class View(NamedTuple):
@@ -28,9 +28,14 @@
 
 
 def told(seen: Seen) -> tuple:
-    return seen.time, seen.ended, tuple(
-        (tuple(one.job), tuple(one.owner or ()), pieces(one.pieces), one.proven, one.state)
-        for one in seen.views[:AT_ONCE])
+    return (
+        seen.time,
+        seen.ended,
+        tuple(
+            (tuple(one.job), tuple(one.owner or ()), pieces(one.pieces), one.proven, one.state)
+            for one in seen.views[:AT_ONCE]
+        ),
+    )
 
 
 def pieces(found: Iterable[Stretch]) -> tuple:
@@ -52,8 +57,13 @@
     """What `told` made. Raises UnreadableError."""
     try:
         time, ended, rows = value
-        return Seen(time, ended, tuple(
-            View(Job(*job), Fence(*owner) if owner else None, seen_pieces(found), proven, state)
-            for job, owner, found, proven, state in rows))
+        return Seen(
+            time,
+            ended,
+            tuple(
+                View(Job(*job), Fence(*owner) if owner else None, seen_pieces(found), proven, state)
+                for job, owner, found, proven, state in rows
+            ),
+        )
     except (TypeError, ValueError) as error:
         raise UnreadableError("transfer", fault=type(error).__name__) from error
--- a/laurelcourse/fleet/transfers/work.py
+++ b/laurelcourse/fleet/transfers/work.py
@@ -39,16 +39,23 @@
 
 log = logging.getLogger(__name__)
 
-NEW = 16                # jobs laid down that are asked for in a beat
-FILE = 4096             # bytes of a job's file
+NEW = 16  # jobs laid down that are asked for in a beat
+FILE = 4096  # bytes of a job's file
 PLAIN = etree.XMLParser(resolve_entities=False, no_network=True, load_dtd=False)
 Then = Callable[[Done], None]
 
 
 class Moves:
-    def __init__(self, member: "Member", letters: Letters, site: str, folder: Path,
-                 doors: dict[str, tuple[tuple[str, str], ...]], books: "Books",
-                 begin: "Callable[..., Sending]") -> None:
+    def __init__(
+        self,
+        member: "Member",
+        letters: Letters,
+        site: str,
+        folder: Path,
+        doors: dict[str, tuple[tuple[str, str], ...]],
+        books: "Books",
+        begin: "Callable[..., Sending]",
+    ) -> None:
         """`begin` makes a stream (`stream.Sending`).
         `doors`: of each site relays and their addresses. `letters`: a function and its arguments."""
         self.member, self.letters, self.site, self.folder = member, letters, site, folder
@@ -56,13 +63,13 @@
         self.session, self.clock, self.counters = member.session, member.clock, member.counters
         self.beat = self.session.terms.beat
         self.sending: dict[str, Sending] = {}
-        self.busy: dict[str, int] = {}          # jobs with an order under way, and since when
-        self.proven: dict[str, int] = {}        # told by the far end, not yet by the books
-        self.turn: dict[str, int] = {}          # which door of the other site is tried next
-        self.done: set[str] = set()             # laid down, and asked for no more
+        self.busy: dict[str, int] = {}  # jobs with an order under way, and since when
+        self.proven: dict[str, int] = {}  # told by the far end, not yet by the books
+        self.turn: dict[str, int] = {}  # which door of the other site is tried next
+        self.done: set[str] = set()  # laid down, and asked for no more
         self.recalled: set[str] = set()
-        self.linkless: set[str] = set()         # told of once: asked for on, in case the link is named
-        self.rests: dict[str, int] = {}         # laid down, and in others' hands: asked for later
+        self.linkless: set[str] = set()  # told of once: asked for on, in case the link is named
+        self.rests: dict[str, int] = {}  # laid down, and in others' hands: asked for later
         self.next_at, self.patience = 0, 2 * member.client.limits.answer
 
     def work(self) -> None:
@@ -107,8 +114,11 @@
         if isinstance(answer, Done) and not answer.code:
             self.books.hear(asked, answer.value[0])
             then(answer)
-        elif (isinstance(answer, Done) and answer.code == NoDirectLinkError.code
-                and answer.to not in self.linkless):
+        elif (
+            isinstance(answer, Done)
+            and answer.code == NoDirectLinkError.code
+            and answer.to not in self.linkless
+        ):
             self.linkless.add(answer.to)
             log.warning("transfer can't go", extra=made(answer.code, answer.to, dict(answer.told)).fields())
 
@@ -169,8 +179,13 @@
                 mine.add(name)
                 self._own(view, seen.time)
             elif view.state == ORPHAN and view.job.origin == self.site and (self.folder / name).is_file():
-                self._order(name, Resume(name), lambda _, view=view: log.info(
-                    "transfer taken over", extra={"job": view.job.name, "proven": view.proven}))
+                self._order(
+                    name,
+                    Resume(name),
+                    lambda _, view=view: log.info(
+                        "transfer taken over", extra={"job": view.job.name, "proven": view.proven}
+                    ),
+                )
         for name in sorted(set(self.sending) - mine):
             self.sending[name].stop.set()
         self._laid_down(seen.time)
@@ -193,8 +208,9 @@
                 # What it held is free only once nothing of it is sent any more.
                 self._order(name, Move(name, ()))
         elif job.deadline <= time:
-            self._order(name, Free(name), lambda _: log.warning("transfer late: given up",
-                                                               extra={"job": name}))
+            self._order(
+                name, Free(name), lambda _: log.warning("transfer late: given up", extra={"job": name})
+            )
         elif not view.pieces or view.pieces[-1].until * SLICE <= time:
             self._ask(Question("plan", name, job), lambda done: self._planned(done, name))
         elif view.state == RESERVED and sending is None:
@@ -218,8 +234,16 @@
         to = doors[self.turn.get(name, 0) % len(doors)]
         until = self.session.granted_at + self.session.terms.holds()
         one = self.sending[name] = self.begin(
-            self.session.terms.fleet, self.session.name, to, view, self.folder / name, self.books,
-            self.member.client.limits, lambda *said: self._late(self._said, *said), until)
+            self.session.terms.fleet,
+            self.session.name,
+            to,
+            view,
+            self.folder / name,
+            self.books,
+            self.member.client.limits,
+            lambda *said: self._late(self._said, *said),
+            until,
+        )
         one.start()
 
     def _said(self, name: str, what: int | FleetError, sending: "Sending") -> None:
@@ -268,9 +292,17 @@
             told = etree.fromstring(path.read_bytes()[:FILE], PLAIN)
             numbers = {one: int(told.get(one, "0")) for one in ("begin-in", "within", "earnings", "slots")}
             size = (self.folder / name).stat().st_size
-            return Job(name, told.get("firm", ""), self.site, told.get("to", ""), size,
-                       time + numbers["begin-in"], time + numbers["within"], numbers["earnings"],
-                       numbers["slots"])
+            return Job(
+                name,
+                told.get("firm", ""),
+                self.site,
+                told.get("to", ""),
+                size,
+                time + numbers["begin-in"],
+                time + numbers["within"],
+                numbers["earnings"],
+                numbers["slots"],
+            )
         except (OSError, ValueError, etree.XMLSyntaxError) as error:
             log.warning("job can't be read", extra={"job": name, "fault": str(error)[:120]})
             return None
--- a/laurelcourse/fleet/wiring.py
+++ b/laurelcourse/fleet/wiring.py
@@ -36,7 +36,7 @@
 
 log = logging.getLogger(__name__)
 
-LETTERS = 8192      # of workflows, waiting for their task
+LETTERS = 8192  # of workflows, waiting for their task
 
 
 def clock() -> int:
@@ -51,21 +51,33 @@
 class Keeper:
     """The books' keeping on this relay: disk, decisions, and the way to the other keepers."""
 
-    def __init__(self, name: str, fleet: Fleet, terms: Terms, bounds: Limits, folder: Path,
-                 seed: int) -> None:
+    def __init__(
+        self, name: str, fleet: Fleet, terms: Terms, bounds: Limits, folder: Path, seed: int
+    ) -> None:
         """Raises OSError when the address is taken."""
+
         def desk(kept: Kept) -> Desk:
-            return Desk(name, settings.site_of(fleet, name), terms, Chance(seed), kept, clock(),
-                        encode=codec.packed, decode=codec.unpacked)
+            return Desk(
+                name,
+                settings.site_of(fleet, name),
+                terms,
+                Chance(seed),
+                kept,
+                clock(),
+                encode=codec.packed,
+                decode=codec.unpacked,
+            )
 
         self.bounds = bounds
         addresses = {one.name: shown(one.address) for one in fleet.keepers}
         self.peers = Peers(fleet.name, name, addresses, bounds, Chance(seed + 1))
         self.keeping = kept_in(
-            folder / fleet.folder, fleet.name, name, seed, desk, self.peers.send, clock, log)
+            folder / fleet.folder, fleet.name, name, seed, desk, self.peers.send, clock, log
+        )
         listen = fleet.listen or settings.address_of(fleet, name)
-        self.service = Service(self.keeping, fleet.name, name, shown(listen), bounds,
-                               Hands(fleet.name, name, addresses, bounds))
+        self.service = Service(
+            self.keeping, fleet.name, name, shown(listen), bounds, Hands(fleet.name, name, addresses, bounds)
+        )
         self.service.start()
 
     def close(self) -> None:
@@ -82,8 +94,14 @@
     bounds, ends = limits(terms), []
     if settings.address_of(fleet, name):
         ends.append(Keeper(name, fleet, terms, bounds, folder, seed).close)
-    client = Client(fleet.name, name, {one.name: shown(one.address) for one in fleet.keepers}, bounds, clock,
-                    Chance(seed + 2))
+    client = Client(
+        fleet.name,
+        name,
+        {one.name: shown(one.address) for one in fleet.keepers},
+        bounds,
+        clock,
+        Chance(seed + 2),
+    )
     # Another chance at each start of the process, for its session must not bear the mark of the one before.
     session = Session(name, settings.site_of(fleet, name, zone), terms, Chance(seed ^ clock()), clock())
     letters = Letters(host.scheduler, bounds.queue)
@@ -99,16 +117,25 @@
     host.closing.extend([lambda: member.close(bounds.talk), *ends])
 
 
-def transfers(host: Host, fleet: Fleet, member: Member, bounds: Limits,
-              folder: Path) -> list[Callable[[], None]]:
+def transfers(
+    host: Host, fleet: Fleet, member: Member, bounds: Limits, folder: Path
+) -> list[Callable[[], None]]:
     """Transfers from this relay's site, and into it; gives what is to be called at the end."""
     name, books = host.config.name, Books(member.client, clock)
     site = next((one for one in fleet.sites if any(door.relay == name for door in one.doors)), None)
     if site is None:
         return []
     place = folder / site.folder
-    door = Door(fleet.name, name, site.name, Arrivals(place), books, fleet.beat, bounds,
-                shown(next(one.address for one in site.doors if one.relay == name)))
+    door = Door(
+        fleet.name,
+        name,
+        site.name,
+        Arrivals(place),
+        books,
+        fleet.beat,
+        bounds,
+        shown(next(one.address for one in site.doors if one.relay == name)),
+    )
     door.start()
     doors = {one.name: tuple((each.relay, shown(each.address)) for each in one.doors) for one in fleet.sites}
     moves = Moves(member, Letters(host.scheduler, LETTERS), site.name, place, doors, books, Sending)
@@ -119,10 +146,16 @@
 def workflows(host: Host, fleet: Fleet, member: Member, bounds: Limits) -> list[Callable[[], None]]:
     """Workflows at this relay, and the service for their clients; gives what is to be called at the end."""
     main, routes = host.main, host.config.settings.routes
-    steps = Steps(host.scheduler, main.choices, main.tries, host.counters,
-                  {one.name: one.repeat for one in routes})
-    flows = Flows(member, Letters(host.scheduler, LETTERS), steps, meaning.definitions(fleet, routes),
-                  Chance(host.config.seed + 3))
+    steps = Steps(
+        host.scheduler, main.choices, main.tries, host.counters, {one.name: one.repeat for one in routes}
+    )
+    flows = Flows(
+        member,
+        Letters(host.scheduler, LETTERS),
+        steps,
+        meaning.definitions(fleet, routes),
+        Chance(host.config.seed + 3),
+    )
     host.works.append(flows.work)
     ends = [flows.letters.close]
     if fleet.flows_port:
--- a/laurelcourse/fleet/workflows/run.py
+++ b/laurelcourse/fleet/workflows/run.py
@@ -33,7 +33,7 @@
     UNKNOWN, FAILED. The sender looks at the lease once more when it writes it to the unit."""
 
     id: str
-    key: str                     # by which units know a repeat
+    key: str  # by which units know a repeat
     route: str
     statement: str
     until: int
@@ -43,9 +43,9 @@
     """The client's one answer."""
 
     workflow: int
-    answer: str                  # DONE, UNDONE, ERRORED
+    answer: str  # DONE, UNDONE, ERRORED
     state: str
-    fates: tuple[tuple[str, str], ...]    # of each step: its name and state
+    fates: tuple[tuple[str, str], ...]  # of each step: its name and state
 
 
 ERRORED = "errored"
@@ -53,8 +53,13 @@
 
 # What a run is at; `_turn` changes it
 READY, WRITING, SENDING, WAITING, OVER = "ready", "writing", "sending", "waiting", "over"
-TURNS = {READY: (WRITING, WAITING, OVER), WRITING: (READY, SENDING, WAITING, OVER),
-         SENDING: (READY, OVER), WAITING: (READY, OVER), OVER: ()}
+TURNS = {
+    READY: (WRITING, WAITING, OVER),
+    WRITING: (READY, SENDING, WAITING, OVER),
+    SENDING: (READY, OVER),
+    WAITING: (READY, OVER),
+    OVER: (),
+}
 
 
 class Run:
@@ -65,8 +70,8 @@
         self.number, self._chance, self._left = number, chance, left_at
         self.state = READY
         self._what: Order | None = None
-        self._sent: tuple[f.Intend, int] | None = None      # the try that this run sent, and until when
-        self._known: f.Result | None = None                 # its fate, not in the books yet
+        self._sent: tuple[f.Intend, int] | None = None  # the try that this run sent, and until when
+        self._known: f.Result | None = None  # its fate, not in the books yet
         self._until = 0
         self._since = -1
 
@@ -82,8 +87,9 @@
     def client_left(self) -> None:
         self._left = -1
 
-    def step(self, now: int, view: View | None, me: int, usable: bool,
-             may_undo: Callable[[], bool]) -> tuple[Effect, ...]:
+    def step(
+        self, now: int, view: View | None, me: int, usable: bool, may_undo: Callable[[], bool]
+    ) -> tuple[Effect, ...]:
         """`view`: the books' latest; `me`: my session; `usable`: whether its lease is, at this moment;
         `may_undo` takes one try out of the budget of undos."""
         if self.state == OVER:
@@ -124,7 +130,7 @@
                 self._wait(now, view, tried)
                 return None
             return f.Intend(self.number, at, True, tried + 1)
-        self._turn(WAITING, now + view.definition.longest)     # stuck: an operator's word is waited for
+        self._turn(WAITING, now + view.definition.longest)  # stuck: an operator's word is waited for
         return None
 
     def _of_unknown_fate(self, now: int, view: View, at: int, undo: bool) -> f.Result | None:
@@ -148,7 +154,7 @@
 
     def _late(self, now: int, view: View, at: int) -> bool:
         """Whether this step and all undos, each with its whole timeout, would end after the client's time."""
-        undos = sum(step.undo.timeout for step in view.definition.steps[:at + 1] if step.undo)
+        undos = sum(step.undo.timeout for step in view.definition.steps[: at + 1] if step.undo)
         return now + view.definition.steps[at].send.timeout + undos > self._left
 
     def _wait(self, now: int, view: View, tried: int) -> None:
@@ -218,8 +224,9 @@
     """Of a workflow that is stuck: the place of the step that a person must settle, and what to do."""
     passed = books.passed(view)
     at = books.current(view) if passed else books.to_undo(view)
-    kind, tries = ((StepStuckError, view.steps[at].tries) if passed
-                   else (UndoStuckError, view.steps[at].undo_tries))
+    kind, tries = (
+        (StepStuckError, view.steps[at].tries) if passed else (UndoStuckError, view.steps[at].undo_tries)
+    )
     return at, kind(f"workflow {view.number}", step=view.definition.steps[at].name, tries=tries)
 
 
@@ -241,5 +248,9 @@
             return None
         self._told = True
         steps = zip(view.definition.steps, view.steps, strict=True) if view else ()
-        return Tell(self.number, state if state in books.ENDED else ERRORED, state,
-                    tuple((step.name, one.state) for step, one in steps))
+        return Tell(
+            self.number,
+            state if state in books.ENDED else ERRORED,
+            state,
+            tuple((step.name, one.state) for step, one in steps),
+        )
--- a/laurelcourse/fleet/workflows/steps.py
+++ b/laurelcourse/fleet/workflows/steps.py
@@ -37,7 +37,7 @@
 
     def __init__(self, tries: Tries) -> None:
         self.tries = tries
-        self.usable: dict[str, Callable[[], bool]] = {}   # by the req's name
+        self.usable: dict[str, Callable[[], bool]] = {}  # by the req's name
         self.statuses: dict[str, list[str]] = {}
 
     def begin(self, number: int, unit: int, limit: int, asked: Statement, box: Mailbox) -> Try:
@@ -64,20 +64,28 @@
 
 
 class Steps:
-    def __init__(self, scheduler: Scheduler, choices: Choices, tries: Tries, counters: Counters,
-                 repeats: dict[str, str]) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        choices: Choices,
+        tries: Tries,
+        counters: Counters,
+        repeats: dict[str, str],
+    ) -> None:
         """`repeats`: of each route."""
         self.scheduler, self.counters, self.repeats = scheduler, counters, repeats
         self.tries = Owned(tries)
         self.lives = Lives(scheduler, choices, self.tries, counters)
 
-    def send(self, send: Send, left: int, again: bool, usable: Callable[[], bool],
-             came: Callable[[str], None]) -> None:
+    def send(
+        self, send: Send, left: int, again: bool, usable: Callable[[], bool], came: Callable[[str], None]
+    ) -> None:
         """`came` hears the outcome once, from a task of the scheduler."""
         self.scheduler.spawn(self._send, send, left, again, usable, came)
 
-    def _send(self, send: Send, left: int, again: bool, usable: Callable[[], bool],
-              came: Callable[[str], None]) -> None:
+    def _send(
+        self, send: Send, left: int, again: bool, usable: Callable[[], bool], came: Callable[[str], None]
+    ) -> None:
         found = UNKNOWN
         try:
             found = self._sent(send, left, again, usable)
--- a/laurelcourse/fleet/workflows/takeover.py
+++ b/laurelcourse/fleet/workflows/takeover.py
@@ -14,11 +14,11 @@
 
 
 class Pace(NamedTuple):
-    most: int                    # asked for in one `every`
-    every: int                   # microseconds
-    held: int                    # workflows in flight that a relay may own and still ask
-    patience: int                # after which the next in an orphan's order asks too
-    looked: int = 512            # orphans whose order is worked out in one call: each takes all live sessions
+    most: int  # asked for in one `every`
+    every: int  # microseconds
+    held: int  # workflows in flight that a relay may own and still ask
+    patience: int  # after which the next in an orphan's order asks too
+    looked: int = 512  # orphans whose order is worked out in one call: each takes all live sessions
 
 
 def weight(workflow: int, session: int) -> int:
@@ -40,16 +40,17 @@
 
     def __init__(self, pace: Pace) -> None:
         self._pace = pace
-        self._seen: dict[tuple[int, int], int] = {}      # when an orphan was first seen here
+        self._seen: dict[tuple[int, int], int] = {}  # when an orphan was first seen here
         self._begun, self._asked = 0, 0
         self._live: tuple[int, ...] = ()
-        self._ranks: dict[int, int] = {}                 # of me, for each orphan, among these live ones
+        self._ranks: dict[int, int] = {}  # of me, for each orphan, among these live ones
 
     def due(self) -> int:
         return self._begun + self._pace.every
 
-    def take(self, now: int, orphans: tuple[tuple[int, int], ...], live: tuple[int, ...], me: int,
-             held: int) -> tuple[Adopt, ...]:
+    def take(
+        self, now: int, orphans: tuple[tuple[int, int], ...], live: tuple[int, ...], me: int, held: int
+    ) -> tuple[Adopt, ...]:
         """`orphans`: number and former owner, of the books; `held`: how many I own; call only with a usable
         lease."""
         if now >= self._begun + self._pace.every:
--- a/laurelcourse/fleet/workflows/views.py
+++ b/laurelcourse/fleet/workflows/views.py
@@ -7,8 +7,8 @@
 from laurelcourse.fleet.errors import UnreadableError
 from laurelcourse.fleet.workflows import definition as d
 
-AT_ONCE = 8      # workflows told in one answer: each may bear a whole definition
-NUMBERS = 512    # of one kind told in one answer
+AT_ONCE = 8  # workflows told in one answer: each may bear a whole definition
+NUMBERS = 512  # of one kind told in one answer
 
 
 def told(view: View | None) -> tuple:
@@ -43,8 +43,20 @@
     `elapsed`: microseconds since the owner came by it, by its own clock; should the books have gone another
     way for their time, they refuse the next order. Raises FleetErrors."""
     state = State()
-    row = [view.number, view.tenant, view.mark, 0, view.owner, view.values, view.began, view.since,
-           view.state, view.left, view.ended, view.steps]
+    row = [
+        view.number,
+        view.tenant,
+        view.mark,
+        0,
+        view.owner,
+        view.values,
+        view.began,
+        view.since,
+        view.state,
+        view.left,
+        view.ended,
+        view.steps,
+    ]
     state.flows = books.read([view.number, Limits(1, 1, 1, 1), [d.plain(view.definition)], [row]])
     state.time = view.since + elapsed
     books.carry_out(state, Session(Fence("", view.owner, 0, 0), "", 0, 0), what)
--- a/laurelcourse/fleet/workflows/work.py
+++ b/laurelcourse/fleet/workflows/work.py
@@ -43,10 +43,10 @@
 
 log = logging.getLogger(__name__)
 
-UNDOS = "undos"              # the budget that tries of undos are taken from, if the operators name one
-AT_ONCE, BEGINS = 32, 2      # commands of one Submit, and those among them that bear a definition
-ORPHANS, HELD = 32, 1_000    # asked for in a beat; owned, above which none is asked for
-WAITING = 1_000              # clients at one relay
+UNDOS = "undos"  # the budget that tries of undos are taken from, if the operators name one
+AT_ONCE, BEGINS = 32, 2  # commands of one Submit, and those among them that bear a definition
+ORPHANS, HELD = 32, 1_000  # asked for in a beat; owned, above which none is asked for
+WAITING = 1_000  # clients at one relay
 
 Then = Callable[[Done], None]
 Told = Callable[[run.Tell | FleetError], None]
@@ -63,8 +63,14 @@
 
 
 class Flows:
-    def __init__(self, member: "Member", letters: Letters, sender: steps.Steps,
-                 definitions: dict[str, Definition], chance: Chance) -> None:
+    def __init__(
+        self,
+        member: "Member",
+        letters: Letters,
+        sender: steps.Steps,
+        definitions: dict[str, Definition],
+        chance: Chance,
+    ) -> None:
         """`letters`: what comes from other threads and tasks: a function and its arguments."""
         self.member, self.letters, self.sender = member, letters, sender
         self.definitions, self.chance = definitions, chance
@@ -76,15 +82,15 @@
         self.runs: dict[int, run.Run] = {}
         self.seen: dict[int, View] = {}
         self.clients: dict[int, list[Client]] = {}
-        self.opening: list[tuple[int, Told]] = []        # clients whose Begin is not answered yet
+        self.opening: list[tuple[int, Told]] = []  # clients whose Begin is not answered yet
         self.outbox: list[Item] = []
-        self.under: tuple[int, tuple[tuple[Command, Item], ...]] | None = None   # since when, what
-        self.lost: dict[tuple[int, int], Item] = {}      # by session and mark
+        self.under: tuple[int, tuple[tuple[Command, Item], ...]] | None = None  # since when, what
+        self.lost: dict[tuple[int, int], Item] = {}  # by session and mark
         self.to_look: dict[int, list[Callable[[], None]]] = {}
         self.looking: tuple[int, tuple[int, ...]] | None = None
         self.next_round, self.stuck = 0, set()
         self.by_client: dict[int, int] = {}
-        self.owned_at: dict[int, int] = {}               # of each run: since when, by the own clock
+        self.owned_at: dict[int, int] = {}  # of each run: since when, by the own clock
         member.others = self._settled
 
     # From other threads: a letter each. Raises FleetErrors at once.
@@ -101,8 +107,9 @@
 
     # What clients ask, in the scheduler's task
 
-    def start(self, name: str, tenant: str, mark: str, values: tuple[tuple[str, str], ...], until: int,
-              told: Told) -> None:
+    def start(
+        self, name: str, tenant: str, mark: str, values: tuple[tuple[str, str], ...], until: int, told: Told
+    ) -> None:
         definition = self.definitions.get(name)
         if definition is None:
             told(DefinitionRefusedError(name, fault="the settings name no such workflow"))
@@ -133,6 +140,7 @@
             self.by_client[number] = until
             self.clients.setdefault(number, []).append(Client(run.Waiting(number, until), told))
             self._look(number)
+
         self.outbox.append(Item(Begin(tenant, mark, definition, values), then))
 
     def look(self, number: int, told: Told) -> None:
@@ -161,6 +169,7 @@
                 told(made(done.code, done.to, dict(done.told)))
             else:
                 self.look(number, told)
+
         self.outbox.append(Item(what, then))
 
     # The task
@@ -178,9 +187,14 @@
             self._tell(now)
             self._flush(now, usable)
             self._ask(now)
-            due = min([self.next_round, *(one.due() for one in self.runs.values() if usable),
-                       *(one.waiting.due() for there in self.clients.values() for one in there),
-                       *(until for until, _ in self.opening)])
+            due = min(
+                [
+                    self.next_round,
+                    *(one.due() for one in self.runs.values() if usable),
+                    *(one.waiting.due() for there in self.clients.values() for one in there),
+                    *(until for until, _ in self.opening),
+                ]
+            )
             came = self.letters.get(self.member.scheduler.now() + max(due - self.clock(), 0))
             if came is not None:
                 came[0](*came[1])
@@ -252,17 +266,22 @@
                 now = self.clock()
                 usable = self._usable(now)
                 self._effects(number, one.wrote(now, done, self.seen.get(number), self.me, usable))
+
             if done.code or not self._foreseen(number, what):
                 self._look(number, fresh)
             else:
                 fresh()
+
         return then
 
     def _foreseen(self, number: int, what: run.Order) -> bool:
         """Whether the view could be brought on without asking the books: on the way that most go."""
         view = self.seen.get(number)
-        if view is None or view.owner != self.me or not (
-                isinstance(what, Intend) or (isinstance(what, Result) and what.outcome == COMPLETED)):
+        if (
+            view is None
+            or view.owner != self.me
+            or not (isinstance(what, Intend) or (isinstance(what, Result) and what.outcome == COMPLETED))
+        ):
             return False
         try:
             found = views.after(view, what, max(self.clock() - self.owned_at.get(number, 0), 0))
@@ -281,6 +300,7 @@
         def came(outcome: str) -> None:
             one.came(self.clock(), what, outcome)
             self.late(len, ())
+
         self.sender.send(send, left, what.tried > 1, usable, came)
 
     def _tell(self, now: int) -> None:
@@ -299,8 +319,11 @@
                 del self.clients[number]
                 if number not in self.runs:
                     self.by_client.pop(number, None)
-        for number in [one for one in self.seen if one not in self.runs and one not in self.clients
-                       and one not in self.to_look]:
+        for number in [
+            one
+            for one in self.seen
+            if one not in self.runs and one not in self.clients and one not in self.to_look
+        ]:
             del self.seen[number]
 
     # Commands
@@ -325,13 +348,16 @@
             return
         under = self.under = now, tuple(pairs)
         try:
-            self.member.client.submit(Submit(tuple(command for command, _ in pairs), now),
-                                      lambda answer: self.late(self._submitted, under, answer))
+            self.member.client.submit(
+                Submit(tuple(command for command, _ in pairs), now),
+                lambda answer: self.late(self._submitted, under, answer),
+            )
         except FleetError as error:
             self._submitted(under, error)
 
-    def _submitted(self, under: tuple[int, tuple[tuple[Command, Item], ...]],
-                   answer: Answer | FleetError) -> None:
+    def _submitted(
+        self, under: tuple[int, tuple[tuple[Command, Item], ...]], answer: Answer | FleetError
+    ) -> None:
         if self.under is not under:
             return
         self.under, now = None, self.clock()
@@ -361,14 +387,19 @@
             self.looking = None
         if self.looking is not None or not self.to_look:
             return
-        numbers = tuple(sorted(self.to_look)[:views.AT_ONCE])
+        numbers = tuple(sorted(self.to_look)[: views.AT_ONCE])
         looking = self.looking = now, numbers
         thens = {one: self.to_look.pop(one) for one in numbers}
-        self._question(Question("flow", ",".join(map(str, numbers))),
-                       lambda answer: self._looked(looking, thens, answer))
-
-    def _looked(self, looking: tuple[int, tuple[int, ...]], thens: dict[int, list[Callable[[], None]]],
-                answer: Answer | FleetError) -> None:
+        self._question(
+            Question("flow", ",".join(map(str, numbers))), lambda answer: self._looked(looking, thens, answer)
+        )
+
+    def _looked(
+        self,
+        looking: tuple[int, tuple[int, ...]],
+        thens: dict[int, list[Callable[[], None]]],
+        answer: Answer | FleetError,
+    ) -> None:
         if self.looking is looking:
             self.looking = None
         try:
@@ -379,7 +410,8 @@
             # Not answered: asked again a beat later, for runs wait on it.
             for number in looking[1]:
                 self.member.scheduler.after(
-                    self.beat, lambda number=number: self.late(self._again, number, thens[number]))
+                    self.beat, lambda number=number: self.late(self._again, number, thens[number])
+                )
             return
         for number, view in found.items():
             self._saw(number, view)
--- a/laurelcourse/fronts/postgres/exchange.py
+++ b/laurelcourse/fronts/postgres/exchange.py
@@ -77,7 +77,7 @@
             except ProtocolError as error:
                 return self._nonsense(error)
             if found:
-                raw = bytes(buffer.data[buffer.start:found.end])
+                raw = bytes(buffer.data[buffer.start : found.end])
                 buffer.start = found.end
                 return raw
             due = self.scheduler.now() + self.limits.part if begun or buffer else until
--- a/laurelcourse/fronts/postgres/front.py
+++ b/laurelcourse/fronts/postgres/front.py
@@ -15,8 +15,15 @@
 
 
 class Front:
-    def __init__(self, scheduler: Scheduler, config: Config, choices: Choices, lives: Lives, doors: Doors,
-                 counters: Counters) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        config: Config,
+        choices: Choices,
+        lives: Lives,
+        doors: Doors,
+        counters: Counters,
+    ) -> None:
         self.scheduler, self.limits, self.choices = scheduler, config.limits, choices
         self.lives, self.doors, self.counters = lives, doors, counters
         self.repeats = {route.name: route.repeat for route in config.settings.routes}
@@ -42,7 +49,7 @@
                     elif reason != GOT:
                         return False
                     continue
-                payload = bytes(buffer.data[found.begin:found.end])
+                payload = bytes(buffer.data[found.begin : found.end])
                 buffer.start = found.end
                 code = wire.code_of_startup(payload)
                 if code in (wire.SSL, wire.GSS) and code not in refused:
@@ -86,7 +93,7 @@
                 elif skipping:
                     continue
                 elif letter == "Q":
-                    answer = self._query(client, wire.text(bytes(buffer.data[begin:found.end])))
+                    answer = self._query(client, wire.text(bytes(buffer.data[begin : found.end])))
                 elif found.kind in wire.EXTENDED:
                     skipping = True
                     raise ProtocolError(wire.UNSUPPORTED, "simple queries only")
--- a/laurelcourse/fronts/postgres/wire.py
+++ b/laurelcourse/fronts/postgres/wire.py
@@ -19,15 +19,28 @@
     rb"(?:SELECT blob FROM rows WHERE handle = '([^'\\]{1,256})'"
     rb"|INSERT INTO rows \(handle, blob\) VALUES \('([^'\\]{1,256})', '\\x([0-9a-fA-F]*)'\)"
     rb" RETURNING blob)"
-    rb" /\* ?([^*]{1,1024}?) ?\*/;?")
+    rb" /\* ?([^*]{1,1024}?) ?\*/;?"
+)
 FIELDS = re.compile(rb"[^=, ]+=[^, ]*(?:,[^=, ]+=[^, ]*)*")
 TIME = re.compile(rb"[*, ]d=")
 
 
 # What a unit may send, and how long each message may be said to be; a row as long as the reader allows.
-LONGEST = {ord(letter): most for letter, most in (
-    ("R", 4096), ("S", 8192), ("K", 64), ("Z", 5), ("T", 4096), ("D", None), ("C", 64), ("E", 8192),
-    ("N", 8192), ("A", 8192))}
+LONGEST = {
+    ord(letter): most
+    for letter, most in (
+        ("R", 4096),
+        ("S", 8192),
+        ("K", 64),
+        ("Z", 5),
+        ("T", 4096),
+        ("D", None),
+        ("C", 64),
+        ("E", 8192),
+        ("N", 8192),
+        ("A", 8192),
+    )
+}
 TAG = re.compile(rb"(?:SELECT 1|INSERT 0 1|SHOW)\0")
 CODE = re.compile(r"[0-9A-Z]{5}")
 LOAD = re.compile(r" *([^=, ]+) *= *(\d{1,15}(?:\.\d{1,15})?) *")
@@ -46,8 +59,8 @@
 
 
 class Frame(NamedTuple):
-    kind: int       # the type byte; 0 for a startup message
-    begin: int      # of the payload
+    kind: int  # the type byte; 0 for a startup message
+    begin: int  # of the payload
     end: int
 
 
@@ -58,7 +71,7 @@
     mark: str
     repeated: bool
     key: int | None
-    before: bytes   # the statement's bytes on both sides of the time it names
+    before: bytes  # the statement's bytes on both sides of the time it names
     after: bytes
 
     def waiting(self, ms: int) -> bytes:
@@ -127,9 +140,15 @@
     except ValueError:
         number = None
     return Statement(
-        req=fields[b"id"].decode("latin-1"), route=fields[b"c"].decode("utf-8", "replace"), left_ms=int(wait),
-        mark=fields.get(b"k", b"").decode("latin-1"), repeated=fields.get(b"r") == b"1",
-        key=number, before=sql[:place], after=sql[place + len(wait):])
+        req=fields[b"id"].decode("latin-1"),
+        route=fields[b"c"].decode("utf-8", "replace"),
+        left_ms=int(wait),
+        mark=fields.get(b"k", b"").decode("latin-1"),
+        repeated=fields.get(b"r") == b"1",
+        key=number,
+        before=sql[:place],
+        after=sql[place + len(wait) :],
+    )
 
 
 def message(kind: bytes, payload: bytes = b"") -> bytes:
@@ -155,8 +174,14 @@
 
 READY = message(b"Z", b"I")
 EMPTY = message(b"I")
-PARAMETERS = (("server_version", "15.0"), ("server_encoding", "UTF8"), ("client_encoding", "UTF8"),
-              ("standard_conforming_strings", "on"), ("integer_datetimes", "on"), ("DateStyle", "ISO, MDY"))
+PARAMETERS = (
+    ("server_version", "15.0"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("standard_conforming_strings", "on"),
+    ("integer_datetimes", "on"),
+    ("DateStyle", "ISO, MDY"),
+)
 
 
 TOLD = b"".join(message(b"S", f"{name}\0{value}\0".encode()) for name, value in PARAMETERS)
@@ -172,8 +197,11 @@
     """An error's fields; raises unless they stand as they must and hold a code."""
     parts = payload.decode("latin-1").split("\0")
     found = {part[:1]: part[1:] for part in parts[:-2]}
-    if parts[-2:] != ["", ""] or len(found) != len(parts) - 2 or not (
-            {"S", "C", "M"} <= found.keys() and all(found.values()) and CODE.fullmatch(found["C"])):
+    if (
+        parts[-2:] != ["", ""]
+        or len(found) != len(parts) - 2
+        or not ({"S", "C", "M"} <= found.keys() and all(found.values()) and CODE.fullmatch(found["C"]))
+    ):
         raise ProtocolError(VIOLATION, "an unreadable error")
     return found
 
--- a/laurelcourse/fronts/tuf/decide_fresh.py
+++ b/laurelcourse/fronts/tuf/decide_fresh.py
@@ -7,8 +7,8 @@
 # What to do with one who asks for the newest metadata.
 GIVE, BEGIN, JOIN, REFUSE = "give", "begin", "join", "refuse"
 FEWEST_PAUSES, MOST_PAUSES = 1, 32  # pauses after refreshes that fail, as multiples of `ask_again`
-MOST_EMPTY = 2                      # likewise, while there is nothing to give meanwhile
-COME_BACK_LEAST = 1_000_000         # the header that tells when to come back counts in seconds
+MOST_EMPTY = 2  # likewise, while there is nothing to give meanwhile
+COME_BACK_LEAST = 1_000_000  # the header that tells when to come back counts in seconds
 
 
 class Bounds(NamedTuple):
@@ -27,7 +27,7 @@
 
     def __init__(self, bounds: Bounds, chance: Chance) -> None:
         self.bounds, self.chance = bounds, chance
-        self.proven_at: int | None = None   # when a mirror last bore out what is held
+        self.proven_at: int | None = None  # when a mirror last bore out what is held
         self.began: int | None = None
         self.pause = self.not_before = 0
         self.doubted = False
--- a/laurelcourse/fronts/tuf/decide_mirrors.py
+++ b/laurelcourse/fronts/tuf/decide_mirrors.py
@@ -7,9 +7,9 @@
 from typing import NamedTuple
 
 LONGEST_BEHIND, LONGEST_WRONG = 16, 64  # a rest on end, as a multiple of the first
-SUSPECTED = 2       # files in whose wrong bytes a mirror had a part, each beside another one
-STRANGE_LASTS = 4   # of the rest for being behind: a mirror ahead of the others is not ahead for longer
-REMEMBERED = 16     # of the rest for a lie: so long a wrong answer counts
+SUSPECTED = 2  # files in whose wrong bytes a mirror had a part, each beside another one
+STRANGE_LASTS = 4  # of the rest for being behind: a mirror ahead of the others is not ahead for longer
+REMEMBERED = 16  # of the rest for a lie: so long a wrong answer counts
 
 
 class Bounds(NamedTuple):
@@ -25,8 +25,8 @@
 
     def __init__(self, build: int) -> None:
         self.build = build
-        self.lagged = self.lied = 0       # on end
-        self.until = 0                    # rests until then
+        self.lagged = self.lied = 0  # on end
+        self.until = 0  # rests until then
         self.odd_since: int | None = None
         self.wrong_at: int | None = None
         self.suspected: dict[int, int] = {}  # by the other mirror that had a part, when
@@ -40,8 +40,10 @@
     def listed(self, builds: dict[int, int]) -> None:
         """The mirrors that are ready, by their builds; one with another build is another mirror."""
         old = self.known
-        self.known = {unit: old[unit] if unit in old and old[unit].build == build else Mirror(build)
-                      for unit, build in builds.items()}
+        self.known = {
+            unit: old[unit] if unit in old and old[unit].build == build else Mirror(build)
+            for unit, build in builds.items()
+        }
 
     def rests(self, now: int, unit: int) -> bool:
         return unit in self.known and self.known[unit].until > now
@@ -118,4 +120,5 @@
         fellows = [other for name, other in self.known.items() if other.build == one.build and name != unit]
         recent = now - REMEMBERED * self.bounds.wrong
         return not fellows or any(
-            other.wrong_at is not None and other.wrong_at >= recent for other in fellows)
+            other.wrong_at is not None and other.wrong_at >= recent for other in fellows
+        )
--- a/laurelcourse/fronts/tuf/decide_pace.py
+++ b/laurelcourse/fronts/tuf/decide_pace.py
@@ -12,8 +12,8 @@
     def __init__(self, rate: int, over: int) -> None:
         """At least `rate` bytes a second, over each `over` microseconds of waiting."""
         self.rate, self.over = rate, over
-        self.window = self.got = 0     # of the stretch that is being judged
-        self.waited = self.total = 0   # of all
+        self.window = self.got = 0  # of the stretch that is being judged
+        self.waited = self.total = 0  # of all
 
     def left(self) -> int:
         """How long the next read may wait before the stretch is judged, in microseconds."""
--- a/laurelcourse/fronts/tuf/exchange.py
+++ b/laurelcourse/fronts/tuf/exchange.py
@@ -19,7 +19,7 @@
 from laurelcourse.operator.form import MANIFEST, METADATA, TARGET, Limits
 
 PART = "part"
-HEARD_SHARE = 8          # of the latency objective: how often a file under way is told of as heard
+HEARD_SHARE = 8  # of the latency objective: how often a file under way is told of as heard
 MOST_ANSWER = 256 << 10  # bytes of a director's answer
 FULL = frozenset((429, 503))
 ABSENT = frozenset((403, 404, 410))
@@ -45,8 +45,17 @@
 
     route, repeated, key = TARGET, False, None
 
-    def __init__(self, req: str, path: str, left_ms: int, moving: Transfer, older: int | None,
-                 client: Mailbox, acks: Mailbox, doubt: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        req: str,
+        path: str,
+        left_ms: int,
+        moving: Transfer,
+        older: int | None,
+        client: Mailbox,
+        acks: Mailbox,
+        doubt: Callable[[], None],
+    ) -> None:
         """`doubt` hears that a mirror may be ahead of what is proven."""
         self.doubt = doubt
         self.req, self.path, self.left_ms, self.moving, self.older = req, path, left_ms, moving, older
@@ -82,16 +91,24 @@
         self.lag: int | None = None
         self.parser: h11.Connection | None = None
         self.value: Any = None
-        self.ended = ""   # what the answer itself proves, whatever became of the connection
+        self.ended = ""  # what the answer itself proves, whatever became of the connection
 
     def whole(self) -> Any:  # noqa: ANN401
         return self.value
 
 
 class Exchange:
-    def __init__(self, scheduler: Scheduler, limits: Limits, name: str, objective: int, counters: Counters,
-                 judged: Callable[[int, str, Offer], None], heard: Callable[[str, int], None],
-                 full: Callable[[int, bool], None]) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        name: str,
+        objective: int,
+        counters: Counters,
+        judged: Callable[[int, str, Offer], None],
+        heard: Callable[[str, int], None],
+        full: Callable[[int, bool], None],
+    ) -> None:
         """`judged` hears what a mirror's answer was worth, `heard` of each part of a file, `full` of parts
         that begin and end at a mirror."""
         self.scheduler, self.limits, self.name, self.counters = scheduler, limits, name, counters
@@ -269,8 +286,9 @@
             self.judged(answer.unit, TARGET, Offer(WRONG, "a content coding that was not asked for"))
             return face.RESET
         length = fields.get("content-length", "")
-        fit = asked.moving.begin(answer.unit, status, int(length) if length.isdigit() else None,
-                                 http.span_of(fields), asked.older)
+        fit = asked.moving.begin(
+            answer.unit, status, int(length) if length.isdigit() else None, http.span_of(fields), asked.older
+        )
         if fit == transfer.FINE:
             return face.OK
         self.counters.add(f"parts_{fit}")
@@ -317,8 +335,9 @@
     def _over(self, answer: Answer) -> None:
         """The answer is whole: its connection may be used again if nothing is behind it."""
         parser = answer.parser
-        answer.ready = parser.their_state is h11.DONE and parser.our_state is h11.DONE and not (
-            parser.trailing_data[0])
+        answer.ready = (
+            parser.their_state is h11.DONE and parser.our_state is h11.DONE and not (parser.trailing_data[0])
+        )
 
     def _drained(self, answer: Answer) -> None:
         """All bytes are there: if the end of the answer is too, the connection stays."""
