--- a/laurelcourse/fronts/tuf/front.py
+++ b/laurelcourse/fronts/tuf/front.py
@@ -24,9 +24,9 @@
 from laurelcourse.operator.form import MANIFEST, TARGET, Tuf
 
 SECOND = 1_000_000
-KEPT_CHUNKS = 2         # of one file, in memory
-READER_PATIENCE = 4     # a client's stretch, as a multiple of a mirror's
-LATER = 2 * SECOND      # when to come back where nobody says
+KEPT_CHUNKS = 2  # of one file, in memory
+READER_PATIENCE = 4  # a client's stretch, as a multiple of a mirror's
+LATER = 2 * SECOND  # when to come back where nobody says
 
 log = logging.getLogger(__name__)
 
@@ -41,9 +41,19 @@
 
 
 class Front:
-    def __init__(self, scheduler: Scheduler, limits: Limits, settings: Tuf, lives: Lives, doors: Doors,
-                 repositories: dict[str, Repository], room: Room, blocks: Blocks, name: Callable[[], str],
-                 counters: Counters) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        settings: Tuf,
+        lives: Lives,
+        doors: Doors,
+        repositories: dict[str, Repository],
+        room: Room,
+        blocks: Blocks,
+        name: Callable[[], str],
+        counters: Counters,
+    ) -> None:
         """`name` gives a req's name."""
         self.scheduler, self.limits, self.settings, self.lives = scheduler, limits, settings, lives
         self.doors, self.repositories, self.room, self.blocks = doors, repositories, room, blocks
@@ -87,7 +97,7 @@
                         return None
                     continue
                 self.doors.partial.pop(client, None)
-                raw = bytes(buffer.data[buffer.start:end])
+                raw = bytes(buffer.data[buffer.start : end])
                 buffer.start = end
                 head = http.head(raw)
                 body = head.method == "POST"
@@ -135,8 +145,9 @@
                 return self._target(client, head, one.name, path.removeprefix(one.targets), pins)
         raise BadRequestError(404, "no such path")
 
-    def _metadata(self, client: Client, head: Head, name: str, file: str,
-                  pins: dict[str, View | None]) -> bool:
+    def _metadata(
+        self, client: Client, head: Head, name: str, file: str, pins: dict[str, View | None]
+    ) -> bool:
         repository = self.repositories[name]
         found, pins[name] = repository.metadata(file, pins.get(name), Mailbox(self.scheduler))
         if found is None:
@@ -191,7 +202,7 @@
             for path, digest in trust.paths(asked):
                 target = self._sought(repository, one, path, box)
                 if target and (not digest or digest in target.hashes.values()):
-                    before = views[place + 1:] and trust.seek(views[place + 1], path).target
+                    before = views[place + 1 :] and trust.seek(views[place + 1], path).target
                     return Found(target, before.length if before else None, bool(digest))
         return None
 
@@ -224,13 +235,24 @@
         """By what the director says now, and said until lately: vehicles may be half-way."""
         if not director.trust.usable(self.scheduler.now()):
             director.newest(Mailbox(self.scheduler))
-        views = [one for one in (director.trust.view, director.trust.before)
-                 if one and not one.expired(self.scheduler.now())]
+        views = [
+            one
+            for one in (director.trust.view, director.trust.before)
+            if one and not one.expired(self.scheduler.now())
+        ]
         said = [self._sought(director, one, image.path, Mailbox(self.scheduler)) for one in views]
         return uptane.judge(image, [one for one in said if one])
 
-    def _send(self, client: Client, head: Head, moving: Transfer, older: int | None,
-              doubt: Callable[[], None], fields: dict[str, str], status: int) -> bool:
+    def _send(
+        self,
+        client: Client,
+        head: Head,
+        moving: Transfer,
+        older: int | None,
+        doubt: Callable[[], None],
+        fields: dict[str, str],
+        status: int,
+    ) -> bool:
         """A file's way to the client, part by part, with an eye on the client while a part is awaited. Once
         its head is out it ends whole, or with the connection."""
         if self._left(client, TARGET):
@@ -288,7 +310,7 @@
         while at < len(data):
             began = self.scheduler.now()
             # Small enough that a slow reader shows between two of them.
-            piece = view[at:at + (16 << 10)]
+            piece = view[at : at + (16 << 10)]
             if not client.conn.write(piece, min(due, began + reader.left())):
                 return False
             at += len(piece)
@@ -331,7 +353,7 @@
             conn.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         while True:
             take = min(len(conn.buffer), head.length - len(found))
-            found += conn.buffer.data[conn.buffer.start:conn.buffer.start + take]
+            found += conn.buffer.data[conn.buffer.start : conn.buffer.start + take]
             conn.buffer.skip(take)
             if len(found) == head.length:
                 return bytes(found)
--- a/laurelcourse/fronts/tuf/http.py
+++ b/laurelcourse/fronts/tuf/http.py
@@ -16,10 +16,23 @@
 LENGTH = re.compile(rb"[0-9]{1,12}")
 SPAN = re.compile(r"bytes ([0-9]{1,18})-([0-9]{1,18})/([0-9]{1,18})")
 SEGMENT = re.compile(r"[^\x00-\x1f\x7f\\]+")
-REASONS = {200: "OK", 206: "Partial Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-           408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large",
-           414: "URI Too Long", 416: "Range Not Satisfiable", 431: "Request Header Fields Too Large",
-           502: "Bad Gateway", 503: "Service Unavailable", 505: "HTTP Version Not Supported"}
+REASONS = {
+    200: "OK",
+    206: "Partial Content",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    411: "Length Required",
+    413: "Content Too Large",
+    414: "URI Too Long",
+    416: "Range Not Satisfiable",
+    431: "Request Header Fields Too Large",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
 
 
 class BadRequestError(Exception):
@@ -32,10 +45,10 @@
 
 class Head(NamedTuple):
     method: str
-    target: str                 # as it came, percent-encoded
+    target: str  # as it came, percent-encoded
     fields: dict[str, str]
-    length: int                 # of the body
-    stays: bool                 # whether the connection stays open after the answer
+    length: int  # of the body
+    stays: bool  # whether the connection stays open after the answer
     parser: h11.Connection
 
     @property
@@ -60,7 +73,7 @@
 
 def head(raw: bytes) -> Head:
     """A whole head, up to its empty line."""
-    first, *lines = raw[:-len(END)].split(b"\r\n")
+    first, *lines = raw[: -len(END)].split(b"\r\n")
     if len(first) > MOST_LINE:
         raise BadRequestError(414, "a request line too long")
     if len(lines) > MOST_FIELDS:
@@ -148,8 +161,9 @@
     return parser.send(h11.Response(status_code=status, reason=reason, headers=told))
 
 
-def request(method: str, path: str, host: str, via: str, fields: dict[str, str],
-            body: bytes) -> tuple[h11.Connection, bytes]:
+def request(
+    method: str, path: str, host: str, via: str, fields: dict[str, str], body: bytes
+) -> tuple[h11.Connection, bytes]:
     """A request to a mirror, and the parser for its answer. `via` names the relay (RFC 9110, 7.6.3)."""
     parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
     told = [("Host", host), ("Via", f"1.1 {via}"), ("Accept-Encoding", "identity"), *fields.items()]
--- a/laurelcourse/fronts/tuf/kept.py
+++ b/laurelcourse/fronts/tuf/kept.py
@@ -46,9 +46,13 @@
 
 
 def packed(state: State) -> bytes:
-    body = json.dumps({
-        "roots": [base64.b64encode(raw).decode() for raw in state.roots], "proven_at": state.proven_at,
-        "files": {role: base64.b64encode(raw).decode() for role, raw in state.files.items()}})
+    body = json.dumps(
+        {
+            "roots": [base64.b64encode(raw).decode() for raw in state.roots],
+            "proven_at": state.proven_at,
+            "files": {role: base64.b64encode(raw).decode() for role, raw in state.files.items()},
+        }
+    )
     digest = hashlib.sha256(body.encode()).hexdigest()
     return json.dumps({"format": FORMAT, "sha256": digest, "body": body}).encode()
 
@@ -98,9 +102,9 @@
     `step` hears of each, so that a test can end the process between them."""
     part = path.with_suffix(UNFINISHED)
     with part.open("wb") as file:
-        file.write(raw[:len(raw) // 2])
+        file.write(raw[: len(raw) // 2])
         step("half")
-        file.write(raw[len(raw) // 2:])
+        file.write(raw[len(raw) // 2 :])
         file.flush()
         step("written")
         os.fsync(file.fileno())
@@ -139,8 +143,9 @@
         except FileNotFoundError:
             log.info("nothing kept, the pinned root counts", extra={"file": path})
         except (OSError, StateError) as error:
-            log.warning("what was kept can't be used, the pinned root counts", extra={
-                "file": path, "fault": error})
+            log.warning(
+                "what was kept can't be used, the pinned root counts", extra={"file": path, "fault": error}
+            )
         return None
 
     def write(self, name: str, state: State) -> None:
--- a/laurelcourse/fronts/tuf/listing.py
+++ b/laurelcourse/fronts/tuf/listing.py
@@ -17,8 +17,15 @@
 
 
 class Listing:
-    def __init__(self, scheduler: Scheduler, choices: Choices, mirrors: Mirrors, room: Room,
-                 counters: Counters, left: Callable[[int], None]) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        choices: Choices,
+        mirrors: Mirrors,
+        room: Room,
+        counters: Counters,
+        left: Callable[[int], None],
+    ) -> None:
         """`left` hears of a mirror that drains or is withdrawn."""
         self.scheduler, self.choices, self.mirrors, self.room = scheduler, choices, mirrors, room
         self.counters, self.left = counters, left
@@ -82,8 +89,10 @@
             mirrors.blame(now, unit)
         elif (mirrors.wrong if lies else mirrors.behind)(now, unit):
             rest = (mirrors.known[unit].until - now) // 1000
-            log.warning("a mirror rests", extra={
-                "mirror": unit, "verdict": offer.verdict, "why": offer.why, "rest_ms": rest})
+            log.warning(
+                "a mirror rests",
+                extra={"mirror": unit, "verdict": offer.verdict, "why": offer.why, "rest_ms": rest},
+            )
             self._tell(unit)
             self.scheduler.after(mirrors.known[unit].until - now, lambda: self._tell(unit))
         else:
--- a/laurelcourse/fronts/tuf/repository.py
+++ b/laurelcourse/fronts/tuf/repository.py
@@ -39,7 +39,7 @@
 
 class Given(NamedTuple):
     raw: bytes
-    age: int     # microseconds since a mirror last bore it out
+    age: int  # microseconds since a mirror last bore it out
 
 
 class Shared:
@@ -56,16 +56,27 @@
 
 
 class Repository:
-    def __init__(self, name: str, prefix: str, trust: Trust, bounds: decide_fresh.Bounds, timeout: int,
-                 scheduler: Scheduler, lives: Lives, names: Callable[[], str], chance: Chance,
-                 counters: Counters, adopted: Callable[["Repository"], None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        prefix: str,
+        trust: Trust,
+        bounds: decide_fresh.Bounds,
+        timeout: int,
+        scheduler: Scheduler,
+        lives: Lives,
+        names: Callable[[], str],
+        chance: Chance,
+        counters: Counters,
+        adopted: Callable[["Repository"], None],
+    ) -> None:
         """`names` gives a req's name; `adopted` hears of each newer view."""
         self.name, self.prefix, self.trust, self.timeout = name, prefix, trust, timeout
         self.scheduler, self.lives, self.names, self.counters = scheduler, lives, names, counters
         self.adopted = adopted
         self.fresh = Freshness(bounds, chance)
         self.refreshing: Shared | None = None
-        self.ahead_since = 0   # when later roots came that no whole view is proven under
+        self.ahead_since = 0  # when later roots came that no whole view is proven under
         self.roles: dict[str, Shared] = {}
         self.back = decide_fresh.COME_BACK_LEAST
 
@@ -178,8 +189,10 @@
         refresh, before = Refresh(self.trust), self.trust.view
         began, roots = self.scheduler.now(), self.trust.root.version
         try:
-            while (want := refresh.wants()) and (self._fetch(
-                    want, lambda raw: self._judged(refresh, raw), began + self.timeout) or refresh.failed()):
+            while (want := refresh.wants()) and (
+                self._fetch(want, lambda raw: self._judged(refresh, raw), began + self.timeout)
+                or refresh.failed()
+            ):
                 pass
         finally:
             now = self.scheduler.now()
@@ -213,6 +226,7 @@
             if want.role in view.roles:
                 return Offer(PROVEN)
             return self.trust.offer_role(view, want.role, raw, self.scheduler.now())
+
         shared = self.roles[key]
         try:
             self._fetch(want, judge, self.scheduler.now() + self.timeout)
--- a/laurelcourse/fronts/tuf/transfer.py
+++ b/laurelcourse/fronts/tuf/transfer.py
@@ -62,8 +62,9 @@
 
 
 class Transfer:
-    def __init__(self, target: TargetFile, first: int, last: int, chunk: int, blocks: Blocks,
-                 versioned: bool = True) -> None:
+    def __init__(
+        self, target: TargetFile, first: int, last: int, chunk: int, blocks: Blocks, versioned: bool = True
+    ) -> None:
         """The bytes `first` to `last` of a target, both included, as its proven metadata tells it.
         `versioned`: the path that mirrors are asked for names its hash: what differs is no other version."""
         self.versioned = versioned
@@ -71,22 +72,27 @@
         self.name, self.length = name_of(target), target.length
         self.known = blocks.get(self.name)
         self.state = WAITING
-        self.held = bytearray()       # taken from mirrors, not yet passed on
+        self.held = bytearray()  # taken from mirrors, not yet passed on
         self.sources: list[Source] = []
         self.fresh: list[bytes] = []  # block hashes, as they are found; the last block's so far
         self.block, self.in_block = new_block(), 0
-        self.fetched = 0              # bytes taken from mirrors, all tries together
-        self.skip = 0                 # bytes that come before what was asked for
-        self.given = 0                # bytes that went on to the client
+        self.fetched = 0  # bytes taken from mirrors, all tries together
+        self.skip = 0  # bytes that come before what was asked for
+        self.given = 0  # bytes that went on to the client
         self._restart()
 
     def _restart(self) -> None:
         # Known blocks let a part begin at its own block; else all from the first byte on must be read.
         self.start = self.first // self.blocks.size * self.blocks.size if self.known else 0
         self.at = self.passed = self.start
-        self.hashes = {} if self.known else {
-            algorithm: hashlib.new(algorithm) for algorithm in self.target.hashes if algorithm in HASHES}
-        self.tail = b""               # the last of what is wanted, while bytes behind it are to be proven
+        self.hashes = (
+            {}
+            if self.known
+            else {
+                algorithm: hashlib.new(algorithm) for algorithm in self.target.hashes if algorithm in HASHES
+            }
+        )
+        self.tail = b""  # the last of what is wanted, while bytes behind it are to be proven
         self.held.clear()
         self.sources.clear()
         self.fresh.clear()
@@ -108,8 +114,9 @@
         """The range to ask of a mirror, both ends included; None for the whole file."""
         return None if self.at == 0 and self.end == self.length else (self.at, self.end - 1)
 
-    def begin(self, unit: int, status: int, length: int | None, span: tuple[int, int, int] | None,
-              older: int | None) -> str:
+    def begin(
+        self, unit: int, status: int, length: int | None, span: tuple[int, int, int] | None, older: int | None
+    ) -> str:
         """Holds a mirror's head against what was asked. `span` is its Content-Range as first, last, whole;
         `older` the length of the file that the path named in the view before."""
         asked = self.asks()
@@ -142,7 +149,7 @@
             passed = min(self.skip, len(data))
             self.skip -= passed
             data = data[passed:]
-        data = data[:max(self.end - self.at, 0)]
+        data = data[: max(self.end - self.at, 0)]
         if not data:
             return []
         self.held += data
@@ -158,10 +165,10 @@
         """The hashes by block of a file that is read for the first time, should it be proven."""
         view, size = memoryview(data), self.blocks.size
         while len(view):
-            now = view[:size - self.in_block]
+            now = view[: size - self.in_block]
             self.block.update(now)
             self.in_block += len(now)
-            view = view[len(now):]
+            view = view[len(now) :]
             if self.in_block == size:
                 self._end_block()
 
@@ -192,8 +199,8 @@
         out = []
         if self.at < self.length:
             if len(self.held) > self.chunk:  # the last chunk stays
-                part = bytes(self.held[:-self.chunk])
-                del self.held[:-self.chunk]
+                part = bytes(self.held[: -self.chunk])
+                del self.held[: -self.chunk]
                 out += self._wanted(part)
             return out
         if self.in_block:
--- a/laurelcourse/fronts/tuf/trust.py
+++ b/laurelcourse/fronts/tuf/trust.py
@@ -19,8 +19,8 @@
 # STRANGE: signed by keys that no proven root knows, as a mirror ahead of a rotation has them, and a liar.
 PROVEN, SAME, BEHIND, STRANGE, WRONG = "proven", "same", "behind", "strange", "wrong"
 ROOT, TIMESTAMP, SNAPSHOT, TARGETS = "root", "timestamp", "snapshot", "targets"
-MOST_ROOTS = 256   # rotations in one refresh, as python-tuf's client allows
-MOST_ROLES = 32    # delegated roles looked through for one target, likewise
+MOST_ROOTS = 256  # rotations in one refresh, as python-tuf's client allows
+MOST_ROLES = 32  # delegated roles looked through for one target, likewise
 MOST_REACHED = 64  # and on the way to a role that is asked for by its name
 NAMED = re.compile(r"(?:([1-9][0-9]{0,8})\.)?([^/]{1,512})\.json")
 PREFIXED = re.compile(r"((?:[^/]+/)*)([0-9a-f]{32,128})\.([^/]+)")
@@ -46,7 +46,7 @@
     role: str
     raw: bytes
     signed: Any
-    payload: bytes     # what was signed, in canonical form
+    payload: bytes  # what was signed, in canonical form
     signatures: Any
 
     @property
@@ -90,8 +90,11 @@
     """The metadata, unproven; None if the bytes are no metadata of this kind."""
     try:
         found = Metadata.from_bytes(raw)
-        return Proven(role, raw, found.signed, found.signed_bytes, found.signatures) if isinstance(
-            found.signed, kind) else None
+        return (
+            Proven(role, raw, found.signed, found.signed_bytes, found.signatures)
+            if isinstance(found.signed, kind)
+            else None
+        )
     except (DeserializationError, RecursionError, ValueError):
         return None
 
@@ -118,13 +121,17 @@
     if given is None:
         return False
     return role in (given.roles or ()) or (
-        given.succinct_roles is not None and given.succinct_roles.is_delegated_role(role))
+        given.succinct_roles is not None and given.succinct_roles.is_delegated_role(role)
+    )
 
 
 def renewed(old: Root, new: Root) -> bool:
     """Whether timestamp's or snapshot's keys changed."""
-    return any((set(old.roles[role].keyids), old.roles[role].threshold)
-               != (set(new.roles[role].keyids), new.roles[role].threshold) for role in (TIMESTAMP, SNAPSHOT))
+    return any(
+        (set(old.roles[role].keyids), old.roles[role].threshold)
+        != (set(new.roles[role].keyids), new.roles[role].threshold)
+        for role in (TIMESTAMP, SNAPSHOT)
+    )
 
 
 class Trust:
@@ -192,8 +199,10 @@
     def outlives(self) -> bool:
         """Whether all of the view is signed by the latest root's keys."""
         view = self.view
-        return view is not None and all(signed_by(self.latest.signed, one.role, one) for one in (
-            view.timestamp, view.snapshot, view.roles[TARGETS]))
+        return view is not None and all(
+            signed_by(self.latest.signed, one.role, one)
+            for one in (view.timestamp, view.snapshot, view.roles[TARGETS])
+        )
 
     def floor_now(self) -> tuple[Proven, Proven] | None:
         """What a newer view must not go behind, by the latest root."""
@@ -206,8 +215,11 @@
         if changed:
             self.floor = None
         # Clients that are half-way may still ask for what the new keys vouch for, by its version.
-        kept = [one for one in (self.view, self.before) if one and signed_by(new, SNAPSHOT, one.snapshot)
-                and signed_by(new, TARGETS, one.roles[TARGETS])]
+        kept = [
+            one
+            for one in (self.view, self.before)
+            if one and signed_by(new, SNAPSHOT, one.snapshot) and signed_by(new, TARGETS, one.roles[TARGETS])
+        ]
         if changed or self.view not in kept:
             self.view = None
         self.before = next((one for one in kept if one is not self.view), None)
@@ -331,8 +343,14 @@
             given = view.roles[name].signed.delegations
             for child in (given.roles or {}) if given else ():
                 kept, meta = old.roles.get(child), view.snapshot.signed.meta.get(f"{child}.json")
-                if (kept and meta and child not in view.roles and kept.version == meta.version
-                        and fits(meta, kept.raw) and signed_by(view.roles[name].signed, child, kept)):
+                if (
+                    kept
+                    and meta
+                    and child not in view.roles
+                    and kept.version == meta.version
+                    and fits(meta, kept.raw)
+                    and signed_by(view.roles[name].signed, child, kept)
+                ):
                     view.roles[child] = kept
                     queue.append(child)
         self.view = view
@@ -430,8 +448,12 @@
     def _stands(self, have: Proven, now: int) -> bool:
         """Whether the file that is held is the one that is wanted now."""
         meta = self._meta()
-        return have.version == meta.version and fits(meta, have.raw) and not have.expired(now) and signed_by(
-            self.trust.latest.signed, self.stage, have)
+        return (
+            have.version == meta.version
+            and fits(meta, have.raw)
+            and not have.expired(now)
+            and signed_by(self.trust.latest.signed, self.stage, have)
+        )
 
     def _snapshot(self, raw: bytes, now: int) -> Offer:
         trust, found = self.trust, parsed(SNAPSHOT, Snapshot, raw)
--- a/laurelcourse/fronts/tuf/uptane.py
+++ b/laurelcourse/fronts/tuf/uptane.py
@@ -18,8 +18,11 @@
 def same(one: TargetFile, other: TargetFile) -> bool:
     """Length and every hash that both name; one such hash at least (5.4.4.2, full verification)."""
     common = one.hashes.keys() & other.hashes.keys()
-    return one.length == other.length and bool(common) and all(
-        one.hashes[name] == other.hashes[name] for name in common)
+    return (
+        one.length == other.length
+        and bool(common)
+        and all(one.hashes[name] == other.hashes[name] for name in common)
+    )
 
 
 def hardware(image: TargetFile) -> set[str]:
@@ -32,8 +35,9 @@
     """The hardware that the director means it for: `ecuIdentifiers`, each with a hardwareId."""
     found = target.custom.get("ecuIdentifiers", {}) if target.custom else {}
     ecus = found.values() if isinstance(found, dict) else ()
-    return {one["hardwareId"] for one in ecus
-            if isinstance(one, dict) and isinstance(one.get("hardwareId"), str)}
+    return {
+        one["hardwareId"] for one in ecus if isinstance(one, dict) and isinstance(one.get("hardwareId"), str)
+    }
 
 
 def judge(image: TargetFile, directed: Iterable[TargetFile]) -> str:
--- a/laurelcourse/fronts/tuf/wiring.py
+++ b/laurelcourse/fronts/tuf/wiring.py
@@ -23,8 +23,8 @@
 from laurelcourse.net.forms import Members, State
 from laurelcourse.operator.form import MANIFEST, METADATA, TARGET, Tuf
 
-MEMORY_SHARE = 64   # of the relay's memory: hashes of blocks
-HASH_BYTES = 80     # about what one takes, its place in a tuple included
+MEMORY_SHARE = 64  # of the relay's memory: hashes of blocks
+HASH_BYTES = 80  # about what one takes, its place in a tuple included
 
 log = logging.getLogger(__name__)
 
@@ -32,42 +32,84 @@
 def routes(front: Tuf) -> tuple[known.Route, ...]:
     """The front's routes; a manifest is sent again only where the director drops repeats by their counter."""
     deduped = front.uptane is not None and front.uptane.counter is not None
-    repeats = {METADATA: known.RETRIABLE, TARGET: known.RETRIABLE,
-               MANIFEST: known.DEDUPED if deduped else known.NON_RETRIABLE}
+    repeats = {
+        METADATA: known.RETRIABLE,
+        TARGET: known.RETRIABLE,
+        MANIFEST: known.DEDUPED if deduped else known.NON_RETRIABLE,
+    }
     memory = front.uptane.memory if front.uptane else 0
-    return tuple(known.Route(one.name, one.objective, one.timeout, one.earnings, 0.0, repeats[one.name],
-                             known.GROUP_ALL, memory) for one in front.routes)
+    return tuple(
+        known.Route(
+            one.name,
+            one.objective,
+            one.timeout,
+            one.earnings,
+            0.0,
+            repeats[one.name],
+            known.GROUP_ALL,
+            memory,
+        )
+        for one in front.routes
+    )
 
 
 def settings(base: known.Settings, front: Tuf) -> known.Settings:
     """The platform's obligations with the front's own routes and stages. Nothing is tried twice at once: a
     file has one way to its client."""
     found = base._replace(
-        routes=routes(front), max_tries=front.tries, may_duplicate=False, may_probe=False, may_tell=False,
-        must_ask=False, keys_stay=False, shielded=0, complaint_share=1.0)
+        routes=routes(front),
+        max_tries=front.tries,
+        may_duplicate=False,
+        may_probe=False,
+        may_tell=False,
+        must_ask=False,
+        keys_stay=False,
+        shielded=0,
+        complaint_share=1.0,
+    )
     if front.release is None:
         return found
     release = front.release
     return found._replace(
-        cap_free=release.free, cap_window=release.window, stage_caps=release.caps,
-        stage_shares=release.shares, bake=release.bake, control=known.ANY, votes_on=1, votes_back=1)
+        cap_free=release.free,
+        cap_window=release.window,
+        stage_caps=release.caps,
+        stage_shares=release.shares,
+        bake=release.bake,
+        control=known.ANY,
+        votes_on=1,
+        votes_back=1,
+    )
 
 
 def config(base: Config, front: Tuf, fronts: int) -> Config:
     """The front's configuration; fronts share descriptors and memory evenly."""
     share, limits, release = fronts + 1, base.limits, front.release
-    entries = [(face.Listed(forms.number(one.name), one.zone, 0, one.build, face.READY, 1.0, face.LONG_AGO),
-                one.address) for one in front.mirrors.listed]
+    entries = [
+        (
+            face.Listed(forms.number(one.name), one.zone, 0, one.build, face.READY, 1.0, face.LONG_AGO),
+            one.address,
+        )
+        for one in front.mirrors.listed
+    ]
     newest = max((one.build for one in front.mirrors.listed), default=0)
     decided = settings(base.settings, front)
     return base._replace(
-        listen=front.listen, directory=front.mirrors.directory or base.directory,
+        listen=front.listen,
+        directory=front.mirrors.directory or base.directory,
         deployer=release.deployer if release else base.deployer,
         news=State(newest, len(decided.stage_caps) - 1, face.RELEASED, 1.0, 0),
-        known=Members(0, True, entries), load_told=False, settings=decided,
+        known=Members(0, True, entries),
+        load_told=False,
+        settings=decided,
         limits=limits._replace(
-            clients=limits.clients // share, roomy=limits.roomy // share, crowd=max(limits.crowd // share, 1),
-            upstream=max(limits.upstream // share, 8), unfinished=limits.unfinished // share))
+            clients=limits.clients // share,
+            roomy=limits.roomy // share,
+            crowd=max(limits.crowd // share, 1),
+            upstream=max(limits.upstream // share, 8),
+            unfinished=limits.unfinished // share,
+        ),
+    )
 
 
 # They tell each signature that is no good; here that is counted, and a mirror's rest told.
@@ -81,15 +123,23 @@
     counters = relay.counters.under(front.name)
     mirrors = decide_mirrors.Mirrors(decide_mirrors.Bounds(*front.rests[1:]))
     limits = front.limits
-    room = decide_room.Room(decide_room.Bounds(
-        limits.files, limits.files_per_mirror, limits.files_per_client, limits.bytes))
+    room = decide_room.Room(
+        decide_room.Bounds(limits.files, limits.files_per_mirror, limits.files_per_client, limits.bytes)
+    )
     objectives = {one.name: one.objective for one in front.routes}
     made: list[Listing] = []
 
     def exchange(choices: Choices) -> Exchange:
-        found = Exchange(scheduler, limits, relay.config.name, objectives[TARGET], counters,
-                         lambda *told: made[0].judged(*told), choices.streaming,
-                         lambda *told: made[0].full(*told))
+        found = Exchange(
+            scheduler,
+            limits,
+            relay.config.name,
+            objectives[TARGET],
+            counters,
+            lambda *told: made[0].judged(*told),
+            choices.streaming,
+            lambda *told: made[0].full(*told),
+        )
         made.append(Listing(scheduler, choices, mirrors, room, counters, found.leave))
         return found
 
@@ -122,13 +172,24 @@
         chance = Chance(relay.config.seed + place)
         trust = _trust(folder / one.root, one.name, limits.metadata)
         repositories[one.name] = repository = Repository(
-            one.name, one.metadata, trust, bounds, timeouts[METADATA], scheduler, found.lives, name, chance,
-            counters, adopted)
+            one.name,
+            one.metadata,
+            trust,
+            bounds,
+            timeouts[METADATA],
+            scheduler,
+            found.lives,
+            name,
+            chance,
+            counters,
+            adopted,
+        )
         if keeper and (state := keeper.read(one.name)):
             _restore(repository, state, scheduler.now())
     blocks = Blocks(limits.chunk, relay.config.limits.unfinished * 16 // MEMORY_SHARE // HASH_BYTES)
-    found.front = Front(scheduler, own.limits, front, found.lives, found.doors, repositories, room, blocks,
-                        name, counters)
+    found.front = Front(
+        scheduler, own.limits, front, found.lives, found.doors, repositories, room, blocks, name, counters
+    )
     return found
 
 
@@ -145,8 +206,12 @@
     try:
         if kept.restore(repository.trust, state, now):
             repository.fresh.restored(min(state.proven_at, now))
-            log.info("restored", extra={"repository": repository.name,
-                                        "timestamp": repository.trust.view.timestamp.version})
+            log.info(
+                "restored",
+                extra={"repository": repository.name, "timestamp": repository.trust.view.timestamp.version},
+            )
     except kept.StateError as error:
-        log.warning("what was kept can't be proven, the pinned root counts", extra={
-            "repository": repository.name, "fault": error, "root": pinned})
+        log.warning(
+            "what was kept can't be proven, the pinned root counts",
+            extra={"repository": repository.name, "fault": error, "root": pinned},
+        )
--- a/laurelcourse/interface.py
+++ b/laurelcourse/interface.py
@@ -12,16 +12,16 @@
 
 Result = tuple
 
-SEND = "send"      # req, unit, limit                  start an upstream try, the req's next number
-SHED = "shed"      # req, come_back                    final: trying again does no harm; 0 names no time
-ERROR = "error"    # req                               final: no claim about the effect
+SEND = "send"  # req, unit, limit                  start an upstream try, the req's next number
+SHED = "shed"  # req, come_back                    final: trying again does no harm; 0 names no time
+ERROR = "error"  # req                               final: no claim about the effect
 CANCEL = "cancel"  # req, number                       stop waiting for one upstream try
-WAKE = "wake"      # delay, token                      call `timer` with the token after the delay
-PROBE = "probe"    # unit                              ask a unit how it is
-TELL = "tell"      # relay, payload                    at most 256 bytes to another relay
-WATCH = "watch"    #                                   ask the directory for changes from now on
-VOTE = "vote"      # build, stage, verdict
-NOTE = "note"      # text                              a line for the people on call
+WAKE = "wake"  # delay, token                      call `timer` with the token after the delay
+PROBE = "probe"  # unit                              ask a unit how it is
+TELL = "tell"  # relay, payload                    at most 256 bytes to another relay
+WATCH = "watch"  #                                   ask the directory for changes from now on
+VOTE = "vote"  # build, stage, verdict
+NOTE = "note"  # text                              a line for the people on call
 
 # how an upstream try or a probe ended
 OK, FAILED, BUSY, TIMEOUT = "ok", "failed", "busy", "timeout"
@@ -120,8 +120,9 @@
         self.shares = shares
         return []
 
-    def new_req(self, now: int, req: str, route: str, tenant: str, key: int | None, left: int,
-                repeated: bool) -> list[Result]:
+    def new_req(
+        self, now: int, req: str, route: str, tenant: str, key: int | None, left: int, repeated: bool
+    ) -> list[Result]:
         raise NotImplementedError
 
     def may_write(self, now: int, req: str, number: int) -> bool:
@@ -131,8 +132,17 @@
     def streaming(self, now: int, req: str, number: int) -> list[Result]:
         return []
 
-    def outcome(self, now: int, req: str, number: int, unit: int, status: str, lag: int, last: bool,
-                load: dict[str, float]) -> list[Result]:
+    def outcome(
+        self,
+        now: int,
+        req: str,
+        number: int,
+        unit: int,
+        status: str,
+        lag: int,
+        last: bool,
+        load: dict[str, float],
+    ) -> list[Result]:
         raise NotImplementedError
 
     def withdrawn(self, now: int, req: str) -> list[Result]:
@@ -150,12 +160,22 @@
     def peer(self, now: int, relay: int, payload: bytes) -> list[Result]:
         return []
 
-    def stage(self, now: int, build: int, stage: int, standing: int, answers_vote: bool, status: str,
-              cap: float, since: int) -> list[Result]:
+    def stage(
+        self,
+        now: int,
+        build: int,
+        stage: int,
+        standing: int,
+        answers_vote: bool,
+        status: str,
+        cap: float,
+        since: int,
+    ) -> list[Result]:
         return []
 
-    def tally(self, now: int, since: int, lag: int, build: int, route: str, failed: int,
-              counted: int) -> list[Result]:
+    def tally(
+        self, now: int, since: int, lag: int, build: int, route: str, failed: int, counted: int
+    ) -> list[Result]:
         return []
 
     def complaint(self, now: int, unit: int, since: int, route: str) -> list[Result]:
--- a/laurelcourse/lab/budgets.py
+++ b/laurelcourse/lab/budgets.py
@@ -25,31 +25,43 @@
 
 KEEPERS = {"k1": "a", "k2": "b", "k3": "c"}
 MEMBERS = {"m1": "a", "m2": "b", "m3": "c"}
-JOINS = "m3"                # started later than the others
-PLACES, UNITS, EACH_HAS = 6, 3, 12   # relays that there may be, units, clients of a relay
-HOT, WARM, COLD = 0.02, 0.3, 6.0   # a client's pause: where most demand is, where some is, elsewhere
-WHOLE, FLOOR = 24, 1        # resends a second of the fleet, and of a relay without a lease
-HELD, NEW = 60, 60          # connections that a unit bears, and new ones a second
+JOINS = "m3"  # started later than the others
+PLACES, UNITS, EACH_HAS = 6, 3, 12  # relays that there may be, units, clients of a relay
+HOT, WARM, COLD = 0.02, 0.3, 6.0  # a client's pause: where most demand is, where some is, elsewhere
+WHOLE, FLOOR = 24, 1  # resends a second of the fleet, and of a relay without a lease
+HELD, NEW = 60, 60  # connections that a unit bears, and new ones a second
 HELD_FLOOR, NEW_FLOOR = 5, 5
-LEASE, BEAT, BURST = 1.5, 0.25, 4   # as lab/host.py has them; of fleet/budgets/use.py
-WINDOWS = (1.0, 2.0, 4.0)   # in which rates are held against their whole
-GRACE = 0.3                 # after a lease must have ended: its answer may have been under way
-SETTLE = 2 * LEASE          # what a shift of demand may take until use of the whole is looked at
-LEAST, DEMAND = 0.5, 2.0    # a floor's part that must be used, if so many tries are refused for each use
-NEAR = 0.7                  # of the whole: then it is divided anew
+LEASE, BEAT, BURST = 1.5, 0.25, 4  # as lab/host.py has them; of fleet/budgets/use.py
+WINDOWS = (1.0, 2.0, 4.0)  # in which rates are held against their whole
+GRACE = 0.3  # after a lease must have ended: its answer may have been under way
+SETTLE = 2 * LEASE  # what a shift of demand may take until use of the whole is looked at
+LEAST, DEMAND = 0.5, 2.0  # a floor's part that must be used, if so many tries are refused for each use
+NEAR = 0.7  # of the whole: then it is divided anew
 
 
 def budgets(fixed: int = 0) -> tuple[dict[str, str], ...]:
     """`fixed`: equal parts for so many relays, and nothing to share."""
+
     def one(name: str, kind: str, scope: str, whole: int, floor: int, **more: str) -> dict[str, str]:
         told = {"whole": str(whole), "floor": str(floor), "relays": str(PLACES)}
         if fixed:
             told = {"whole": str(whole // fixed * fixed), "floor": str(whole // fixed), "relays": str(fixed)}
-        return {"name": name, "kind": kind, "scope": scope,
-                "when-used-up": "shed" if scope == "fleet" else "wait"} | told | more
-    return (one(face.RESENDS, "rate", "fleet", WHOLE, FLOOR),
-            one(face.CONNECTIONS, "level", "unit", HELD, HELD_FLOOR, **{"freed-after": "500ms"}),
-            one(face.HANDSHAKES, "rate", "unit", NEW, NEW_FLOOR))
+        return (
+            {
+                "name": name,
+                "kind": kind,
+                "scope": scope,
+                "when-used-up": "shed" if scope == "fleet" else "wait",
+            }
+            | told
+            | more
+        )
+
+    return (
+        one(face.RESENDS, "rate", "fleet", WHOLE, FLOOR),
+        one(face.CONNECTIONS, "level", "unit", HELD, HELD_FLOOR, **{"freed-after": "500ms"}),
+        one(face.HANDSHAKES, "rate", "unit", NEW, NEW_FLOOR),
+    )
 
 
 def settings() -> dict:
@@ -103,11 +115,20 @@
     def __init__(self, seed: int, folder: Path, broken: str, progress: Progress, short: bool) -> None:
         self.chance, self.progress, self.short = Chance(seed), progress, short
         self.stage = Stage(seed)
-        self.host = Host(folder, KEEPERS, MEMBERS, budgets=budgets(), directory=self.stage.directory.at,
-                         deployer=self.stage.deployer.at, known=self.stage.directory.whole(),
-                         outside=settings(), broken=broken, lab="budgets")
-        self.troubled: list[Span] = []      # killed or paused
-        self.without: list[Span] = []       # no lease can hold
+        self.host = Host(
+            folder,
+            KEEPERS,
+            MEMBERS,
+            budgets=budgets(),
+            directory=self.stage.directory.at,
+            deployer=self.stage.deployer.at,
+            known=self.stage.directory.whole(),
+            outside=settings(),
+            broken=broken,
+            lab="budgets",
+        )
+        self.troubled: list[Span] = []  # killed or paused
+        self.without: list[Span] = []  # no lease can hold
         self.steady: list[tuple[float, float]] = []
         self.lost: list[tuple[float, float]] = []
         self.redivided = {"join": -1.0, "kill": -1.0}
@@ -236,9 +257,14 @@
     def _by_seed(self) -> None:
         """Faults by seed; over_whole and one_outcome_each are held against all of it."""
         members = tuple((name, site) for name, site in MEMBERS.items() if name != JOINS)
-        plan = faults.Plan(tuple(KEEPERS.items()), members, lasts=4_500_000, gap=1_200_000,
-                           lease=int(LEASE * 1_000_000),
-                           kinds=(faults.KILL, faults.PAUSE, faults.CUT, faults.SILENT, faults.DEAF))
+        plan = faults.Plan(
+            tuple(KEEPERS.items()),
+            members,
+            lasts=4_500_000,
+            gap=1_200_000,
+            lease=int(LEASE * 1_000_000),
+            kinds=(faults.KILL, faults.PAUSE, faults.CUT, faults.SILENT, faults.DEAF),
+        )
         self.stage.demand("m2")
         began = time.monotonic()
         for fault in faults.script(self.stage.seed, plan):
@@ -251,8 +277,10 @@
             if fault.kind == faults.RESTART:
                 until(lambda name=name: self._served(name), 10)
             if fault.kind in (faults.RESTART, faults.WAKE):
-                self.troubled = [one._replace(to=time.monotonic()) if one.relay == name and one.to == float(
-                    "inf") else one for one in self.troubled]
+                self.troubled = [
+                    one._replace(to=time.monotonic()) if one.relay == name and one.to == float("inf") else one
+                    for one in self.troubled
+                ]
         time.sleep(1.0)
 
     def _served(self, name: str) -> bool:
@@ -266,9 +294,16 @@
     """What is used of the whole where each relay has an equal part and no more."""
     stage = Stage(seed)
     names = KEEPERS | {name: site for name, site in MEMBERS.items() if name != JOINS}
-    host = Host(folder, KEEPERS, {name: names[name] for name in names if name not in KEEPERS},
-                budgets=budgets(len(names)), directory=stage.directory.at, deployer=stage.deployer.at,
-                known=stage.directory.whole(), outside=settings())
+    host = Host(
+        folder,
+        KEEPERS,
+        {name: names[name] for name in names if name not in KEEPERS},
+        budgets=budgets(len(names)),
+        directory=stage.directory.at,
+        deployer=stage.deployer.at,
+        known=stage.directory.whole(),
+        outside=settings(),
+    )
     try:
         host.start()
         for name in names:
@@ -294,9 +329,19 @@
     try:
         for me, name in enumerate(names):
             told = settings() | {"me": me, "balancers": len(names) + 1}
-            relays.append(RelayProcess(folder / name, config(
-                name, f"{RELAY}:{ports[name]}", stage.directory.at, stage.deployer.at,
-                stage.directory.whole(), told)))
+            relays.append(
+                RelayProcess(
+                    folder / name,
+                    config(
+                        name,
+                        f"{RELAY}:{ports[name]}",
+                        stage.directory.at,
+                        stage.deployer.at,
+                        stage.directory.whole(),
+                        told,
+                    ),
+                )
+            )
             relays[-1].start()
             stage.clients(name, ports[name], COLD)
         stage.demand("m1")
@@ -330,7 +375,8 @@
     asked = play.stage.asked()
     lost = [one for one in asked if any(since <= one.at < to for since, to in play.lost)]
     figures = {
-        "reqs": len(asked), "completed": sum(one.letters == "TDCZ" for one in asked),
+        "reqs": len(asked),
+        "completed": sum(one.letters == "TDCZ" for one in asked),
         "shed": sum(one.code == "53300" for one in asked),
         "errored": sum(one.code == "58000" for one in asked),
         "resends": len(play.stage.more()),
@@ -338,7 +384,8 @@
         "latency_p99_ms": round(part([one.took for one in asked], 0.99) * 1000, 1),
         "used_of_whole": seen.used(play.stage.more(), play.steady, WHOLE),
         "served_without_keepers": round(sum(one.letters == "TDCZ" for one in lost) / max(len(lost), 1), 3),
-        "cpu_us_a_req": round(play.cpu / max(play.calm_reqs, 1) * 1_000_000)}
+        "cpu_us_a_req": round(play.cpu / max(play.calm_reqs, 1) * 1_000_000),
+    }
     if not play.short:
         figures |= {f"redivided_{what}_s": value for what, value in play.redivided.items()}
     return figures
@@ -355,11 +402,29 @@
     twice = sum(not one.once() and not seen.excused(one, play.troubled) for one in asked)
     twice += sum(caller.unasked for caller in stage.callers)
     return [
-        Check("over_whole", over, 0, "resends, connections held and new at a unit, beyond the whole: rates"
-              f" in any 1, 2 and 4 s, with a burst of whole / {BURST} and one a relay"),
-        Check("used_after_lapse", seen.beyond_floor(more, play.without, FLOOR), 0,
-              "resends beyond the floor of a relay whose lease must have ended"),
-        Check("floor_broken", seen.floor_left(denied, more, play.without, FLOOR, DEMAND, LEAST), 0,
-              "times in which a relay without keepers had demand and did not use its floor"),
-        Check("one_outcome_each", twice, 0,
-              "reqs without exactly one final answer in time, and answers nobody asked for")]
+        Check(
+            "over_whole",
+            over,
+            0,
+            "resends, connections held and new at a unit, beyond the whole: rates"
+            f" in any 1, 2 and 4 s, with a burst of whole / {BURST} and one a relay",
+        ),
+        Check(
+            "used_after_lapse",
+            seen.beyond_floor(more, play.without, FLOOR),
+            0,
+            "resends beyond the floor of a relay whose lease must have ended",
+        ),
+        Check(
+            "floor_broken",
+            seen.floor_left(denied, more, play.without, FLOOR, DEMAND, LEAST),
+            0,
+            "times in which a relay without keepers had demand and did not use its floor",
+        ),
+        Check(
+            "one_outcome_each",
+            twice,
+            0,
+            "reqs without exactly one final answer in time, and answers nobody asked for",
+        ),
+    ]
--- a/laurelcourse/lab/budgets_seen.py
+++ b/laurelcourse/lab/budgets_seen.py
@@ -14,9 +14,9 @@
 from laurelcourse.standins.postgres import IDLE, UNIT_ANSWERS, PgClient, UnitStand, message, pg, sql
 
 WAIT_MS, LATE = 1500, 0.75  # a req's time; so late may an answer be on a busy machine
-WORK, EACH, BUSY = 0.004, 24, 0.25   # a unit's time for a req, reqs a connection, the share refused as busy
-STEP = 0.1                  # a client's longest pause, after which one of a slower pace asks by chance
-EDGE = 0.15                 # what a unit or a client notes may be so late, or so early
+WORK, EACH, BUSY = 0.004, 24, 0.25  # a unit's time for a req, reqs a connection, the share refused as busy
+STEP = 0.1  # a client's longest pause, after which one of a slower pace asks by chance
+EDGE = 0.15  # what a unit or a client notes may be so late, or so early
 
 
 class Span(NamedTuple):
@@ -127,8 +127,13 @@
 def over_rate(times: list[float], whole: float, burst: float, windows: tuple[float, ...]) -> int:
     """Events with which some window holds more than whole * (window + EDGE) + burst."""
     times = sorted(times)
-    return sum(any(place + 1 - bisect.bisect_left(times, at - window) > whole * (window + EDGE) + burst
-                   for window in windows) for place, at in enumerate(times))
+    return sum(
+        any(
+            place + 1 - bisect.bisect_left(times, at - window) > whole * (window + EDGE) + burst
+            for window in windows
+        )
+        for place, at in enumerate(times)
+    )
 
 
 def over_level(moves: list[tuple[float, int]], whole: int) -> int:
@@ -150,8 +155,14 @@
     return over
 
 
-def floor_left(denied: list[tuple[float, str]], more: list[tuple[float, str]], spans: list[Span], floor: int,
-               demand: float, least: float) -> int:
+def floor_left(
+    denied: list[tuple[float, str]],
+    more: list[tuple[float, str]],
+    spans: list[Span],
+    floor: int,
+    demand: float,
+    least: float,
+) -> int:
     """Times in which so many tries of a relay were refused for each use of its floor, and it yet made less of
     it than this part, less one."""
     broken = 0
@@ -166,8 +177,10 @@
 def excused(one: Asked, spans: list[Span]) -> bool:
     """Whether its relay was killed or paused while it was under way: then no answer, or a late one, is due
     from it; never a second one."""
-    return any(one.relay == span.relay and span.since - EDGE < one.at + one.took and one.at < span.to + EDGE
-               for span in spans) and (one.letters in ("TDCZ", "EZ") or one.letters[-1:] != "Z")
+    return any(
+        one.relay == span.relay and span.since - EDGE < one.at + one.took and one.at < span.to + EDGE
+        for span in spans
+    ) and (one.letters in ("TDCZ", "EZ") or one.letters[-1:] != "Z")
 
 
 def reached(times: list[float], since: float, to: float, rate: float, over: float = 0.5) -> float:
--- a/laurelcourse/lab/command.py
+++ b/laurelcourse/lab/command.py
@@ -11,37 +11,49 @@
 
 def _relay() -> tuple[Callable[..., Report], float]:
     from laurelcourse.lab import relay
+
     return relay.run, 42.0
 
 
 def _tuf() -> tuple[Callable[..., Report], float]:
     from laurelcourse.lab import tuf
+
     return tuf.run, 50.0
 
 
 def _workflows() -> tuple[Callable[..., Report], float]:
     from laurelcourse.lab import workflows
+
     return workflows.run, 45.0
 
 
 def _keepers() -> tuple[Callable[..., Report], float]:
     from laurelcourse.lab import keepers
+
     return keepers.run, keepers.SECONDS
 
 
 def _transfers() -> tuple[Callable[..., Report], float]:
     from laurelcourse.lab import transfers
+
     return transfers.run, 45.0
 
 
 def _budgets() -> tuple[Callable[..., Report], float]:
     from laurelcourse.lab import budgets
+
     return budgets.run, 50.0
 
 
-LABS = {"budgets": _budgets, "keepers": _keepers, "relay": _relay, "transfers": _transfers, "tuf": _tuf,
-        "workflows": _workflows}
-CALM = frozenset(("tuf",))      # labs that can do without faults
+LABS = {
+    "budgets": _budgets,
+    "keepers": _keepers,
+    "relay": _relay,
+    "transfers": _transfers,
+    "tuf": _tuf,
+    "workflows": _workflows,
+}
+CALM = frozenset(("tuf",))  # labs that can do without faults
 CORE = frozenset(("keepers",))  # labs of pure modules in simulated time
 
 
@@ -50,13 +62,16 @@
     if name in CORE:
         # In simulated time the guard goes out of the lab's own processes: no relay is started.
         from laurelcourse.lab import keepers_guards
+
         return tuple(keepers_guards.GUARDS)
     from laurelcourse.lab.guards import GUARDS
+
     return tuple(GUARDS.get(name, ()))
 
 
-def run(name: str, seed: int, seconds: float | None, as_json: bool, broken: str, calm: bool,
-        core: bool) -> None:
+def run(
+    name: str, seed: int, seconds: float | None, as_json: bool, broken: str, calm: bool, core: bool
+) -> None:
     if broken and broken not in guards(name):
         raise click.UsageError(f"--break takes one of: {', '.join(guards(name))}")
     if core != (name in CORE):
--- a/laurelcourse/lab/faults.py
+++ b/laurelcourse/lab/faults.py
@@ -7,48 +7,62 @@
 
 from laurelcourse.chance import Chance
 
-KILL, RESTART = "kill", "restart"                   # at once, nothing written any more; started anew
-PAUSE, WAKE = "pause", "wake"                       # SIGSTOP, SIGCONT
-KILL_LEADER, KILL_ALL = "kill-leader", "kill-all"   # whoever leads then (named LEADER); all (named ALL)
-CUT, SILENT = "cut", "silent"                       # between two, both ways: reset and refused; not heard
-DEAF = "deaf"                                       # what the first sends does not reach the second
+KILL, RESTART = "kill", "restart"  # at once, nothing written any more; started anew
+PAUSE, WAKE = "pause", "wake"  # SIGSTOP, SIGCONT
+KILL_LEADER, KILL_ALL = "kill-leader", "kill-all"  # whoever leads then (named LEADER); all (named ALL)
+CUT, SILENT = "cut", "silent"  # between two, both ways: reset and refused; not heard
+DEAF = "deaf"  # what the first sends does not reach the second
 HALF_OPEN, SLOW, FLAP = "half-open", "slow", "flap"  # between two, both ways
-HEAL = "heal"                                       # the ways between these two, or from and to this site
-SITE_CUT = "site-cut"                               # all ways between this site and the others
-DISK_FULL, DISK_FREE = "disk-full", "disk-free"     # writes are refused; taken again
-DISK_TORN, OLD_DISK = "disk-torn", "old-disk"       # killed, its file cut short or an older one put there,
-DISK_BACK = "disk-back"                             # and started; ended, its own file put back, and started
+HEAL = "heal"  # the ways between these two, or from and to this site
+SITE_CUT = "site-cut"  # all ways between this site and the others
+DISK_FULL, DISK_FREE = "disk-full", "disk-free"  # writes are refused; taken again
+DISK_TORN, OLD_DISK = "disk-torn", "old-disk"  # killed, its file cut short or an older one put there,
+DISK_BACK = "disk-back"  # and started; ended, its own file put back, and started
 WRONG_CLOCK, RIGHT_CLOCK = "wrong-clock", "right-clock"  # killed and started with another clock
-LEADER, ALL, SITE = "*leader", "*all", "@"          # no relay's name has these; a site's stands after its "@"
-
-ENDS = {KILL: RESTART, KILL_LEADER: RESTART, KILL_ALL: RESTART, PAUSE: WAKE, CUT: HEAL, SILENT: HEAL,
-        DEAF: HEAL, HALF_OPEN: HEAL, SLOW: HEAL, FLAP: HEAL, SITE_CUT: HEAL, DISK_FULL: DISK_FREE,
-        DISK_TORN: DISK_BACK, OLD_DISK: DISK_BACK, WRONG_CLOCK: RIGHT_CLOCK}
+LEADER, ALL, SITE = "*leader", "*all", "@"  # no relay's name has these; a site's stands after its "@"
+
+ENDS = {
+    KILL: RESTART,
+    KILL_LEADER: RESTART,
+    KILL_ALL: RESTART,
+    PAUSE: WAKE,
+    CUT: HEAL,
+    SILENT: HEAL,
+    DEAF: HEAL,
+    HALF_OPEN: HEAL,
+    SLOW: HEAL,
+    FLAP: HEAL,
+    SITE_CUT: HEAL,
+    DISK_FULL: DISK_FREE,
+    DISK_TORN: DISK_BACK,
+    OLD_DISK: DISK_BACK,
+    WRONG_CLOCK: RIGHT_CLOCK,
+}
 LINKS = (CUT, SILENT, DEAF, HALF_OPEN, SLOW, FLAP)
 DISKS = (DISK_FULL, DISK_TORN, OLD_DISK)
 USUAL = (KILL, KILL_LEADER, PAUSE, *LINKS, SITE_CUT, DISK_FULL, WRONG_CLOCK)
-QUIET = 6                       # a part of the script, at its end, in which nothing but clocks is put right
-TRIES = 20                      # for a fault that may happen now
+QUIET = 6  # a part of the script, at its end, in which nothing but clocks is put right
+TRIES = 20  # for a fault that may happen now
 
 
 class Fault(NamedTuple):
     at: int
     kind: str
-    who: tuple[str, ...]         # a relay, two relays, "@" and a site (SITE_CUT, its HEAL), LEADER or ALL
-    figure: int = 0              # SLOW: delay; FLAP: period; WRONG_CLOCK: offset. Microseconds
-    rate: int = 0                # SLOW: bytes a second; WRONG_CLOCK: parts of a million that it runs fast
+    who: tuple[str, ...]  # a relay, two relays, "@" and a site (SITE_CUT, its HEAL), LEADER or ALL
+    figure: int = 0  # SLOW: delay; FLAP: period; WRONG_CLOCK: offset. Microseconds
+    rate: int = 0  # SLOW: bytes a second; WRONG_CLOCK: parts of a million that it runs fast
 
 
 class Plan(NamedTuple):
     """What may happen. `down`: keepers that may be down or cut off at once, `members_down` the same of
     members. KILL_ALL, and a SITE_CUT of more keepers than `down`, happen only with `beyond`."""
 
-    keepers: tuple[tuple[str, str], ...]         # name and site
+    keepers: tuple[tuple[str, str], ...]  # name and site
     members: tuple[tuple[str, str], ...] = ()
     lasts: int = 30_000_000
-    gap: int = 1_500_000                         # between the starts of two faults, about
-    lease: int = 3_000_000                       # faults last from none to twice as long
-    drift: int = 1000                            # parts of a million that a wrong clock may run fast or slow
+    gap: int = 1_500_000  # between the starts of two faults, about
+    lease: int = 3_000_000  # faults last from none to twice as long
+    drift: int = 1000  # parts of a million that a wrong clock may run fast or slow
     kinds: tuple[str, ...] = USUAL
     down: int = 1
     members_down: int = 1
@@ -57,9 +71,11 @@
 
 def line(fault: Fault) -> str:
     """A fault as a line for people."""
-    figures = {SLOW: f" delay={fault.figure / 1000:g}ms rate={fault.rate}B/s",
-               FLAP: f" period={fault.figure / 1000:g}ms",
-               WRONG_CLOCK: f" offset={fault.figure / 1_000_000:g}s fast={fault.rate}ppm"}
+    figures = {
+        SLOW: f" delay={fault.figure / 1000:g}ms rate={fault.rate}B/s",
+        FLAP: f" period={fault.figure / 1000:g}ms",
+        WRONG_CLOCK: f" offset={fault.figure / 1_000_000:g}s fast={fault.rate}ppm",
+    }
     whom = " ".join(fault.who) + figures.get(fault.kind, "")
     return f"{fault.at / 1_000_000:9.3f} s  {fault.kind:12} {whom}"
 
@@ -80,7 +96,7 @@
         # Who is in trouble, and until when: relays, pairs, sites, LEADER and ALL.
         self.busy: dict[tuple[str, ...], int] = {}
         self.slow: set[tuple[str, ...]] = set()  # of them those that are slow, and not down
-        self.clocks: list[str] = []              # whose clock is wrong; other faults may meet them
+        self.clocks: list[str] = []  # whose clock is wrong; other faults may meet them
 
     def write(self) -> tuple[Fault, ...]:
         plan = self.plan
@@ -95,8 +111,9 @@
 
     def _ordered(self, last: int) -> tuple[Fault, ...]:
         step = (self.plan.lasts - last) // 2 // (len(self.clocks) + 1)
-        self.found += [Fault(last + (place + 1) * step, RIGHT_CLOCK, (name,))
-                       for place, name in enumerate(self.clocks)]
+        self.found += [
+            Fault(last + (place + 1) * step, RIGHT_CLOCK, (name,)) for place, name in enumerate(self.clocks)
+        ]
         # Ends come before what begins at the same moment.
         ends = set(ENDS.values())
         return tuple(sorted(self.found, key=lambda one: (one.at, one.kind not in ends, one)))
@@ -157,8 +174,9 @@
         if kind == FLAP:
             return lease // 40 + chance.below(lease // 4 + 1), 0
         if kind == WRONG_CLOCK:
-            return chance.below(7200) * 1_000_000 - 3_600_000_000, chance.below(self.plan.drift) \
-                - self.plan.drift // 2
+            return chance.below(7200) * 1_000_000 - 3_600_000_000, chance.below(
+                self.plan.drift
+            ) - self.plan.drift // 2
         return 0, 0
 
     def _relays(self, who: tuple[str, ...]) -> set[str]:
--- a/laurelcourse/lab/fleet.py
+++ b/laurelcourse/lab/fleet.py
@@ -20,8 +20,15 @@
 
 
 class Fleet:
-    def __init__(self, directory: DirectoryStand, count: int, shares: tuple[float, ...],
-                 make: Callable[[int], Stand], seed: int, drain: float = DRAIN) -> None:
+    def __init__(
+        self,
+        directory: DirectoryStand,
+        count: int,
+        shares: tuple[float, ...],
+        make: Callable[[int], Stand],
+        seed: int,
+        drain: float = DRAIN,
+    ) -> None:
         """`shares` of machines run the build on trial, by stage; `make` starts a machine of a build; one that
         gives way is listed as draining for `drain` seconds."""
         self.drain = drain
@@ -68,6 +75,7 @@
         def gone() -> None:
             self.directory.entries.pop(one.name, None)
             self.directory.revision += 1
+
         timer = threading.Timer(self.drain, gone)
         timer.daemon = True
         timer.start()
@@ -92,8 +100,15 @@
         deployer.settle()
 
 
-def over_cap(tries: dict[int, list[tuple[float, int]]], taken: dict[int, list[float]], deployer: Rollout,
-             free: int, window: float, grace: float, edge: float) -> int:
+def over_cap(
+    tries: dict[int, list[tuple[float, int]]],
+    taken: dict[int, list[float]],
+    deployer: Rollout,
+    free: int,
+    window: float,
+    grace: float,
+    edge: float,
+) -> int:
     """Tries at a build on trial beyond what their relay might send: at most free + cap x reqs in any window.
 
     `tries`: by build, when and from which relay; `taken`: by relay, when reqs came. A lower cap binds after
@@ -101,8 +116,10 @@
     over = 0
     for build, seen in tries.items():
         trial = [at for at, one, _, phase, _ in deployer.told if one == build and phase == "Progressing"]
-        end = min((at for at, one, _, phase, _ in deployer.told if one == build and phase == "Healthy"),
-                  default=float("inf"))
+        end = min(
+            (at for at, one, _, phase, _ in deployer.told if one == build and phase == "Healthy"),
+            default=float("inf"),
+        )
         for relay, reqs in taken.items():
             mine = sorted(at for at, one in seen if one == relay and trial and at < end)
             for at in mine:
--- a/laurelcourse/lab/guards.py
+++ b/laurelcourse/lab/guards.py
@@ -8,6 +8,7 @@
 
 def _answer_twice() -> None:
     from laurelcourse.fronts.postgres.front import Front
+
     words = Front._words
     Front._words = lambda self, end, told: words(self, end, told) * 2
 
@@ -15,61 +16,76 @@
 def _verdict(always: int) -> Callable[[], None]:
     def take_out() -> None:
         from laurelcourse.rules import Balancer
+
         Balancer._verdict = lambda self, now, news: always if news.standing == face.ON_TRIAL else face.NO_VOTE
+
     return take_out
 
 
 def _no_cap() -> None:
     from laurelcourse.rules import Balancer
+
     Balancer._exposure_room = lambda *_: True
     Balancer._cold_room = lambda *_: True
 
 
 def _one_more_answer() -> None:
     from laurelcourse.fronts.tuf.front import Front
+
     give = Front._give
 
     def twice(self: Any, client: Any, *told: Any) -> bool:  # noqa: ANN401
         stays = give(self, client, *told)
         client.conn.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         return stays
+
     Front._give = twice
 
 
 def _no_hash() -> None:
     from laurelcourse.fronts.tuf.transfer import Transfer
+
     restart = Transfer._restart
 
     def blind(self: Any) -> None:  # noqa: ANN401
         self.known = None
         restart(self)
         self.hashes.clear()
+
     Transfer._restart = blind
 
 
 def _no_floor() -> None:
     from laurelcourse.fronts.tuf.trust import Trust
+
     adopt = Trust.adopt
 
     def forget(self: Any, view: Any) -> None:  # noqa: ANN401
         adopt(self, view)
         self.floor = None
+
     Trust.adopt = forget
 
 
 def _no_drain() -> None:
     from laurelcourse.fronts.tuf.listing import Listing
+
     told = Listing.directory
 
     def deaf(self: Any, how: str, entries: Any) -> None:  # noqa: ANN401
-        told(self, how, [one._replace(health=face.READY) if one.health == face.DRAINING else one
-                         for one in entries])
+        told(
+            self,
+            how,
+            [one._replace(health=face.READY) if one.health == face.DRAINING else one for one in entries],
+        )
+
     Listing.directory = deaf
 
 
 def _manifests_again() -> None:
     from laurelcourse import settings
     from laurelcourse.fronts.tuf import uptane, wiring
+
     routes = wiring.routes
     wiring.routes = lambda front: tuple(one._replace(repeat=settings.RETRIABLE) for one in routes(front))
     uptane.Reports.take = lambda *_: (uptane.SEND, None)
@@ -77,6 +93,7 @@
 
 def _hold_back() -> None:
     from laurelcourse.fronts.tuf.front import Front
+
     say = Front._say
 
     def late(self: Any, client: Any, head: Any, status: int, *more: Any) -> bool:  # noqa: ANN401
@@ -85,12 +102,14 @@
             due = client.asked_at + self.timeouts[route] * 19 // 20
             self.scheduler.sleep(max(due - self.scheduler.now(), 0))
         return say(self, client, head, status, *more)
+
     Front._say = late
     answer = Front._answer
 
     def noted(self: Any, client: Any, *told: Any) -> bool:  # noqa: ANN401
         client.asked_at = self.scheduler.now()
         return answer(self, client, *told)
+
     Front._answer = noted
 
 
@@ -98,37 +117,68 @@
     from laurelcourse.fleet.books import workflows as books
 
     def first(flow: Any) -> int:  # noqa: ANN401
-        return next((at for at, one in enumerate(flow.steps)
-                     if one.state in books.TO_UNDO and flow.definition.steps[at].effect), -1)
+        return next(
+            (
+                at
+                for at, one in enumerate(flow.steps)
+                if one.state in books.TO_UNDO and flow.definition.steps[at].effect
+            ),
+            -1,
+        )
+
     books.to_undo = first
 
 
 def _step_sent(change: Callable[..., None]) -> Callable[[], None]:
     """`change` is given the sending itself and its arguments."""
+
     def take_out() -> None:
         from laurelcourse.fleet.workflows.steps import Steps
+
         send = Steps.send
         Steps.send = lambda self, *told: change(self, lambda *more: send(self, *more), *told)
+
     return take_out
 
 
-def _no_undo_sent(_: Any, give: Any, send: Any, left: int, again: bool, usable: Any,  # noqa: ANN401
-                  came: Any) -> None:  # noqa: ANN401
+def _no_undo_sent(
+    _: Any,  # noqa: ANN401
+    give: Any,  # noqa: ANN401
+    send: Any,  # noqa: ANN401
+    left: int,
+    again: bool,
+    usable: Any,  # noqa: ANN401
+    came: Any,  # noqa: ANN401
+) -> None:
     if ".undo" in send.key:
         came("completed")
     else:
         give(send, left, again, usable, came)
 
 
-def _notice_again(_: Any, give: Any, send: Any, left: int, again: bool, usable: Any,  # noqa: ANN401
-                  came: Any) -> None:  # noqa: ANN401
+def _notice_again(
+    _: Any,  # noqa: ANN401
+    give: Any,  # noqa: ANN401
+    send: Any,  # noqa: ANN401
+    left: int,
+    again: bool,
+    usable: Any,  # noqa: ANN401
+    came: Any,  # noqa: ANN401
+) -> None:
     if "notice." in send.statement:
         give(send._replace(id=send.id + "b"), left, again, usable, lambda _: None)
     give(send, left, again, usable, came)
 
 
-def _late_tries(self: Any, give: Any, send: Any, left: int, again: bool, usable: Any,  # noqa: ANN401
-                came: Any) -> None:  # noqa: ANN401
+def _late_tries(
+    self: Any,  # noqa: ANN401
+    give: Any,  # noqa: ANN401
+    send: Any,  # noqa: ANN401
+    left: int,
+    again: bool,
+    usable: Any,  # noqa: ANN401
+    came: Any,  # noqa: ANN401
+) -> None:
     """As from an owner that neither its lease nor its step's time holds back."""
     give(send, left, again, usable, came)
     late = send._replace(id=send.id + "late")
@@ -137,45 +187,61 @@
 
 def _always_back() -> None:
     from laurelcourse.fleet.books import workflows as books
+
     books.passed = lambda _: False
-    books.to_undo = lambda flow: max((at for at, one in enumerate(flow.steps) if one.state in books.TO_UNDO
-                                      and flow.definition.steps[at].undo), default=-1)
+    books.to_undo = lambda flow: max(
+        (
+            at
+            for at, one in enumerate(flow.steps)
+            if one.state in books.TO_UNDO and flow.definition.steps[at].undo
+        ),
+        default=-1,
+    )
 
 
 def _refusals_unknown() -> None:
     from laurelcourse.fleet.workflows import steps
+
     outcome = steps.outcome
     steps.outcome = lambda *told: {"failed": "unknown"}.get(outcome(*told), outcome(*told))
 
 
 def _any_answer() -> None:
     from laurelcourse.fleet.workflows.run import Waiting
+
     look = Waiting.look
 
     def wrong(self: Any, now: int, view: Any) -> Any:  # noqa: ANN401
         tell = look(self, now, view)
         return tell._replace(answer="undone") if tell and tell.answer == "done" and now & 1 else tell
+
     Waiting.look = wrong
 
 
 def _never_told() -> None:
     from laurelcourse.fleet.calls.flows_service import FlowsService
     from laurelcourse.fleet.workflows.run import Waiting
+
     Waiting.look = lambda *_: None
     FlowsService._spare = lambda self, wait: 10 * wait
+
+
 def _any_use() -> None:
     from laurelcourse.fleet.budgets.use import Use
+
     Use._fits = lambda *_: True
 
 
 def _lease_for_ever() -> None:
     from laurelcourse.fleet.budgets.holder import Holder
     from laurelcourse.fleet.budgets.use import Use
+
     told, take = Use.told, Use.take
 
     def kept(self: Any, now: int, share: Any, until: int) -> None:  # noqa: ANN401
         if share is not None:
             told(self, now, share, until)
+
     Use.told = kept
     Use.allowed = lambda self, _: self.budget.floor + self._share()
     Use.take = lambda self, now, amount=1, **_: take(self, now, amount, usable=True)
@@ -184,11 +250,13 @@
 
 def _floors_gone() -> None:
     from laurelcourse.fleet.budgets.use import Use
+
     Use.allowed = lambda self, now: self._share() if now < self.until else 0
 
 
 def _no_pace() -> None:
     from laurelcourse.fleet.transfers.pace import Pace
+
     Pace.take = lambda *_: True
     Pace.due = lambda self, now, size: now
 
@@ -196,6 +264,7 @@
 def _all_free() -> None:
     from laurelcourse.fleet.books import reservations
     from laurelcourse.fleet.books.apply import Books
+
     reservations._check_room = lambda *_: None
     Books.room = lambda self, resource, first, until: (400_000,) * (until - first)
 
@@ -203,6 +272,7 @@
 def _half_a_plan() -> None:
     from laurelcourse.fleet.books import reservations
     from laurelcourse.fleet.keeper.moving import Moving
+
     plan = Moving.plan
     reservations._check_plan = lambda *_: None
     Moving.plan = lambda *told: tuple(one._replace(rate=max(1, one.rate // 2)) for one in plan(*told))
@@ -210,6 +280,7 @@
 
 def _any_bytes() -> None:
     from laurelcourse.fleet.transfers.arrivals import Part
+
     write = Part.write
     Part.write = lambda self, data: write(self, bytes(len(data)))
     Part.digest = lambda self: type("Any", (), {"__ne__": lambda *_: False})()
@@ -226,32 +297,55 @@
         shutil.copy(self.parts / name, self.parts.parent / name)
         os.replace(self.parts.parent / name, self.whole / name)
         return True
+
     Arrivals.show = show
 
 
 def _kept_on() -> None:
     from laurelcourse.fleet.books import reservations
+
     book = reservations._book
     reservations._book = lambda state, there, pieces: book(state, there, pieces) if pieces else None
 
 
 GUARDS: dict[str, dict[str, Callable[[], Any]]] = {
     "relay": {
-        "one_outcome_each": _answer_twice, "bad_build_released": _verdict(face.VOTE_ON),
-        "good_build_released": _verdict(face.VOTE_HOLD), "exposure_over_cap": _no_cap},
+        "one_outcome_each": _answer_twice,
+        "bad_build_released": _verdict(face.VOTE_ON),
+        "good_build_released": _verdict(face.VOTE_HOLD),
+        "exposure_over_cap": _no_cap,
+    },
     "budgets": {
-        "over_whole": _any_use, "used_after_lapse": _lease_for_ever, "floor_broken": _floors_gone,
-        "one_outcome_each": _answer_twice},
+        "over_whole": _any_use,
+        "used_after_lapse": _lease_for_ever,
+        "floor_broken": _floors_gone,
+        "one_outcome_each": _answer_twice,
+    },
     "tuf": {
-        "one_outcome_each": _one_more_answer, "wrong_bytes_accepted": _no_hash,
-        "stale_metadata_passed": _no_floor, "to_draining_after_grace": _no_drain,
-        "exposure_over_cap": _no_cap, "manifests_twice": _manifests_again, "answers_held_back": _hold_back},
+        "one_outcome_each": _one_more_answer,
+        "wrong_bytes_accepted": _no_hash,
+        "stale_metadata_passed": _no_floor,
+        "to_draining_after_grace": _no_drain,
+        "exposure_over_cap": _no_cap,
+        "manifests_twice": _manifests_again,
+        "answers_held_back": _hold_back,
+    },
     "transfers": {
-        "over_link": _no_pace, "over_compute": _all_free, "half_reserved": _half_a_plan,
-        "wrong_bytes": _any_bytes, "committed_twice": _shown_again, "leaked_reservations": _kept_on},
+        "over_link": _no_pace,
+        "over_compute": _all_free,
+        "half_reserved": _half_a_plan,
+        "wrong_bytes": _any_bytes,
+        "committed_twice": _shown_again,
+        "leaked_reservations": _kept_on,
+    },
     "workflows": {
-        "out_of_order": _undo_first_first, "effects_left_behind": _step_sent(_no_undo_sent),
-        "undone_though_done": _always_back, "notices_twice": _step_sent(_notice_again),
-        "two_owners_acted": _step_sent(_late_tries), "undo_of_never_ran": _refusals_unknown,
-        "one_outcome_each": _any_answer, "answered_after_deadline": _never_told},
+        "out_of_order": _undo_first_first,
+        "effects_left_behind": _step_sent(_no_undo_sent),
+        "undone_though_done": _always_back,
+        "notices_twice": _step_sent(_notice_again),
+        "two_owners_acted": _step_sent(_late_tries),
+        "undo_of_never_ran": _refusals_unknown,
+        "one_outcome_each": _any_answer,
+        "answered_after_deadline": _never_told,
+    },
 }
--- a/laurelcourse/lab/host.py
+++ b/laurelcourse/lab/host.py
@@ -22,14 +22,15 @@
 
 FLEET = {"name": "lab", "folder": "books", "lease": "1500ms", "beat": "250ms", "drift": "1000"}
 BOUNDS = {"heartbeat": "50ms", "patience": "250ms"}
-NOWHERE = f"{RELAY}:1"      # a directory and a deployer that nobody answers for
+NOWHERE = f"{RELAY}:1"  # a directory and a deployer that nobody answers for
 
 
 class Node(RelayProcess):
     """A relay that can be paused, and whose clock and disk can go wrong if it is `skewed`."""
 
-    def __init__(self, folder: Path, told: dict, operator: str, books: str, broken: str, lab: str,
-                 skewed: bool) -> None:
+    def __init__(
+        self, folder: Path, told: dict, operator: str, books: str, broken: str, lab: str, skewed: bool
+    ) -> None:
         folder.mkdir(parents=True)
         (folder / "operator.xml").write_text(operator)
         super().__init__(folder, told, folder / "operator.xml", broken, lab)
@@ -99,12 +100,26 @@
 class Host:
     """`nodes` by name. It is a context manager, so that no process outlives it."""
 
-    def __init__(self, folder: Path, keepers: dict[str, str], members: dict[str, str],
-                 changed: dict[str, str] | None = None, bounds: dict[str, str] | None = None,
-                 budgets: tuple[dict[str, str], ...] = (), directory: str = NOWHERE, deployer: str = NOWHERE,
-                 known: dict | None = None, outside: dict | None = None, broken: str = "", lab: str = "",
-                 skewed: bool = False, leader: Callable[[], str] = str, behind: str = "",
-                 flows: str = "", moves: str | Callable[["Host", str], str] = "") -> None:
+    def __init__(
+        self,
+        folder: Path,
+        keepers: dict[str, str],
+        members: dict[str, str],
+        changed: dict[str, str] | None = None,
+        bounds: dict[str, str] | None = None,
+        budgets: tuple[dict[str, str], ...] = (),
+        directory: str = NOWHERE,
+        deployer: str = NOWHERE,
+        known: dict | None = None,
+        outside: dict | None = None,
+        broken: str = "",
+        lab: str = "",
+        skewed: bool = False,
+        leader: Callable[[], str] = str,
+        behind: str = "",
+        flows: str = "",
+        moves: str | Callable[["Host", str], str] = "",
+    ) -> None:
         """Relays by name with their sites; `changed` and `bounds` are attributes of the fleet's elements,
         `behind` XML of fronts behind it, `moves` of sites and links, `flows` of workflows, whose
         clients relays then hear at the ports `flows`. `leader` names who leads now, or nobody by ''."""
@@ -113,23 +128,44 @@
         self.at = {name: (RELAY, reserve_port()) for name in keepers}  # where keepers listen
         self.flows = {name: reserve_port() for name in self.sites if flows}
         self.ways, self.nodes = Ways(), {}
-        self.killed = ""            # whom the last KILL_LEADER met
+        self.killed = ""  # whom the last KILL_LEADER met
         fleet, found = FLEET | (changed or {}), known or {"revision": 1, "complete": True, "members": []}
         for me, (name, site) in enumerate(self.sites.items()):
             told = copy.deepcopy(outside or OUTSIDE)
-            told |= {"me": me, "balancers": len(self.sites), "locality": site,
-                     "areas": sorted(set(self.sites.values()))}
+            told |= {
+                "me": me,
+                "balancers": len(self.sites),
+                "locality": site,
+                "areas": sorted(set(self.sites.values())),
+            }
             told["limits"]["peer_messages"] = False
-            listed = [element("keeper", {"name": one, "address": self._address(name, one), "site": where})
-                      for one, where in keepers.items()]
-            inside = "".join((*listed, element("bounds", BOUNDS | (bounds or {})),
-                              *(element("budget", one) for one in budgets), flows,
-                              moves(self, name) if callable(moves) else moves))
-            xml = element("operator", {"xmlns": "urn:laurelcourse:operator:1"},
-                          element("fleet", fleet | self._port(name), inside) + behind)
+            listed = [
+                element("keeper", {"name": one, "address": self._address(name, one), "site": where})
+                for one, where in keepers.items()
+            ]
+            inside = "".join(
+                (
+                    *listed,
+                    element("bounds", BOUNDS | (bounds or {})),
+                    *(element("budget", one) for one in budgets),
+                    flows,
+                    moves(self, name) if callable(moves) else moves,
+                )
+            )
+            xml = element(
+                "operator",
+                {"xmlns": "urn:laurelcourse:operator:1"},
+                element("fleet", fleet | self._port(name), inside) + behind,
+            )
             self.nodes[name] = Node(
-                folder / name, config(name, f"{RELAY}:{self.ports[name]}", directory, deployer, found, told),
-                xml, fleet["folder"], broken, lab, skewed)
+                folder / name,
+                config(name, f"{RELAY}:{self.ports[name]}", directory, deployer, found, told),
+                xml,
+                fleet["folder"],
+                broken,
+                lab,
+                skewed,
+            )
 
     def _port(self, relay: str) -> dict[str, str]:
         return {"flows-port": str(self.flows[relay])} if self.flows else {}
@@ -173,8 +209,9 @@
             if (self.sites[one] == site) != (self.sites[other] == site):
                 self.ways.set(one, other, mode)
 
-    def play(self, script: tuple[Fault, ...], over: threading.Event,
-             tell: Callable[[str], None] = len) -> None:
+    def play(
+        self, script: tuple[Fault, ...], over: threading.Event, tell: Callable[[str], None] = len
+    ) -> None:
         """Carries out the script at its times from now on, until `over`; `tell` hears each fault's line."""
         for name in sorted({one.who[0] for one in script if one.kind == faults.OLD_DISK}):
             self.nodes[name].copied("older")
@@ -213,10 +250,17 @@
         if kind == faults.DEAF:
             self.between(one, other, Mode(way.DEAF, lane=way.THERE), Mode(way.DEAF, lane=way.BACK))
             return
-        self.between(one, other, {
-            faults.CUT: Mode(way.CUT), faults.SILENT: Mode(way.SILENT), faults.HALF_OPEN: Mode(way.HALF_OPEN),
-            faults.SLOW: Mode(way.SLOW, delay=fault.figure, rate=fault.rate),
-            faults.FLAP: Mode(way.FLAP, period=fault.figure)}[kind])
+        self.between(
+            one,
+            other,
+            {
+                faults.CUT: Mode(way.CUT),
+                faults.SILENT: Mode(way.SILENT),
+                faults.HALF_OPEN: Mode(way.HALF_OPEN),
+                faults.SLOW: Mode(way.SLOW, delay=fault.figure, rate=fault.rate),
+                faults.FLAP: Mode(way.FLAP, period=fault.figure),
+            }[kind],
+        )
 
     def _node(self, kind: str, node: Node, fault: Fault) -> None:
         full, clock = node.folder / "full", node.folder / "clock"
--- a/laurelcourse/lab/keepers.py
+++ b/laurelcourse/lab/keepers.py
@@ -35,13 +35,16 @@
     "older_disk_voted": "votes and acknowledgements by a keeper on an older or wiped disk",
     "module_faults": "exceptions out of a desk or a session",
 }
-BUDGETS = (Budget("conns", LEVEL, 60, 1, 8, 0, 500_000), Budget("opens", COUNT, 50, 0, 8, 400_000, 0),
-           Budget("tries", RATE, 100, 2, 8, 0, 0))
+BUDGETS = (
+    Budget("conns", LEVEL, 60, 1, 8, 0, 500_000),
+    Budget("opens", COUNT, 50, 0, 8, 400_000, 0),
+    Budget("tries", RATE, 100, 2, 8, 0, 0),
+)
 BOUNDS = Bounds(beat=40_000, patience=200_000, batch=2_000, ahead=4, piece=500, waiting=200)
-TRACED = 3                     # broken runs whose trace is printed
+TRACED = 3  # broken runs whose trace is printed
 LASTS, SETTLES = 4_000_000, 2_000_000  # of a run's faults, and after the last one, true microseconds
-CHUNK = 6                      # runs that a worker makes before it tells
-ENDS = 2.0                     # what is under way as the time ends takes so long, seconds
+CHUNK = 6  # runs that a worker makes before it tells
+ENDS = 2.0  # what is under way as the time ends takes so long, seconds
 
 
 class Ran(NamedTuple):
@@ -51,19 +54,28 @@
     kind: str
     steps: int
     commands: int
-    handed: int                # orders answered by hand
+    handed: int  # orders answered by hand
     breaches: tuple[Breach, ...]
     led: tuple[int, ...]
     refusals: int
     unsettled: int
     leaderless: bool
-    print: str                 # a hash of all that was applied, told and traced
+    print: str  # a hash of all that was applied, told and traced
     trace: tuple[str, ...]
 
 
 def terms(keepers: Keepers) -> Terms:
-    return Terms("fleet", lease=1_200_000, drift=10_000, beat=300_000, sessions=64, bounds=BOUNDS,
-                 keepers=keepers, budgets=BUDGETS, snapshot_every=30)
+    return Terms(
+        "fleet",
+        lease=1_200_000,
+        drift=10_000,
+        beat=300_000,
+        sessions=64,
+        bounds=BOUNDS,
+        keepers=keepers,
+        budgets=BUDGETS,
+        snapshot_every=30,
+    )
 
 
 def one(seed: int, kind: str = "", lasts: int = LASTS, settles: int = SETTLES) -> Ran:
@@ -83,6 +95,7 @@
     def entry(now: int, entry: Entry) -> None:
         seen.entry(now, entry)
         seen.shares(now)
+
     world.entry = entry
     for name in names:
         world.at(chance.below(100_000), world.start, world.keepers[name])
@@ -104,15 +117,30 @@
     if leader is not None:
         seen.finish(world.now, left)
     breaches = [*world.ledger.breaches, *seen.breaches, *replayed(world, left)]
-    led = [at - killed for killed, term in faults.killed_at
-           for at in [next((at for at, found, _ in world.led_at if at > killed and found > term), 0)] if at]
+    led = [
+        at - killed
+        for killed, term in faults.killed_at
+        for at in [next((at for at, found, _ in world.led_at if at > killed and found > term), 0)]
+        if at
+    ]
     marks = [f"{index} {entry}" for index, entry in sorted(world.ledger.first.items())]
-    told = repr((marks, seen.answered, sorted(seen.opens.items()), seen.indexes, list(world.trace),
-                 world.steps))
-    return Ran(seed, kind, world.steps, relays.commands, world.handed, tuple(breaches),
-               tuple(led) if kind == "leaders" else (), world.refusals, seen.unsettled, leader is None,
-               blake2b(told.encode(), digest_size=8).hexdigest(),
-               tuple(world.trace) if breaches or leader is None else ())
+    told = repr(
+        (marks, seen.answered, sorted(seen.opens.items()), seen.indexes, list(world.trace), world.steps)
+    )
+    return Ran(
+        seed,
+        kind,
+        world.steps,
+        relays.commands,
+        world.handed,
+        tuple(breaches),
+        tuple(led) if kind == "leaders" else (),
+        world.refusals,
+        seen.unsettled,
+        leader is None,
+        blake2b(told.encode(), digest_size=8).hexdigest(),
+        tuple(world.trace) if breaches or leader is None else (),
+    )
 
 
 def replayed(world: World, left: list[Entry]) -> list[Breach]:
@@ -124,8 +152,13 @@
             books.apply(entry.index, batch)
         told = world.ledger.states.get(entry.index)
         if told is not None and told[0] != (ours := books.hash()):
-            found.append(Breach("states_differ", world.now,
-                                f"books at {entry.index}: {told[1]} {told[0]}, replayed {ours}"))
+            found.append(
+                Breach(
+                    "states_differ",
+                    world.now,
+                    f"books at {entry.index}: {told[1]} {told[0]}, replayed {ours}",
+                )
+            )
             break
     return found
 
@@ -153,8 +186,14 @@
             told += 1
 
 
-def run(seed: int, seconds: float = SECONDS, broken: str = "", progress: Progress | None = None,
-        scales: tuple[int, ...] = keepers_scale.RELAYS, cores: int = 0) -> Report:
+def run(
+    seed: int,
+    seconds: float = SECONDS,
+    broken: str = "",
+    progress: Progress | None = None,
+    scales: tuple[int, ...] = keepers_scale.RELAYS,
+    cores: int = 0,
+) -> Report:
     """`seconds` of real time, beside the runs a worker makes the figures by number of relays. With a guard
     taken out (`keepers_guards`) there are only runs."""
     progress = progress or Progress()
@@ -189,17 +228,25 @@
 def report(seed: int, seconds: float, ran: list[Ran], more: dict[str, float]) -> Report:
     led = [at / 1000 for found in ran for at in found.led]
     figures = {
-        "runs": len(ran), "steps": sum(found.steps for found in ran),
+        "runs": len(ran),
+        "steps": sum(found.steps for found in ran),
         "commands_answered": sum(found.commands for found in ran),
         "orders_handed_on": sum(found.handed for found in ran),
         "older_disks_refused": sum(found.refusals for found in ran),
         "histories_unsettled": sum(found.unsettled for found in ran),
         "runs_without_leader_at_end": sum(found.leaderless for found in ran),
         "leaders_killed": len(led),
-        "new_leader_p50_ms": round(part(led, 0.5), 1), "new_leader_p99_ms": round(part(led, 0.99), 1), **more}
-    broken = {name: sum(breach.check == name for found in ran for breach in found.breaches)
-              for name in CHECKS}
-    return Report("keepers", seed, seconds, figures,
-                  [Check(name, broken[name], 0, what) for name, what in CHECKS.items()])
-
-
+        "new_leader_p50_ms": round(part(led, 0.5), 1),
+        "new_leader_p99_ms": round(part(led, 0.99), 1),
+        **more,
+    }
+    broken = {
+        name: sum(breach.check == name for found in ran for breach in found.breaches) for name in CHECKS
+    }
+    return Report(
+        "keepers",
+        seed,
+        seconds,
+        figures,
+        [Check(name, broken[name], 0, what) for name, what in CHECKS.items()],
+    )
--- a/laurelcourse/lab/keepers_guards.py
+++ b/laurelcourse/lab/keepers_guards.py
@@ -22,6 +22,7 @@
         undo.append((where, what, getattr(where, what)))
         setattr(where, what, instead)
         return undo[-1][2]
+
     try:
         if name:
             GUARDS[name](put)
@@ -33,11 +34,13 @@
 
 def _elects_itself(put: Put) -> None:
     """One vote is enough, its own."""
+
     def alone(self: Core, now: int) -> None:
         if self._trial:
             self._campaign(now, trial=False)
         else:
             self._lead(now)
+
     put(Core, "_count_votes", alone)
 
 
@@ -53,6 +56,7 @@
 
 def _own_time(put: Put) -> None:
     """Each keeper's own clock enters its books, not the time in the batch."""
+
     def by_own(self: Desk, now: int, entry: Any) -> Any:  # noqa: ANN401
         decode = self.decode
         self.decode = lambda data: decode(data)._replace(at=now)
@@ -60,16 +64,19 @@
             return books(self, now, entry)
         finally:
             self.decode = decode
+
     books = put(Desk, "_books", by_own)
 
 
 def _reads_unconfirmed(put: Put) -> None:
     """Whoever believes that it leads answers reads at once."""
+
     def read(self: Core, now: int, token: int) -> Any:  # noqa: ANN401
         if self.role != "leader":
             return self._refuse(token, "not_leader")
         self._answered.append((token, self.commit))
         return self._out()
+
     put(Core, "read", read)
 
 
@@ -88,6 +95,12 @@
 
 
 GUARDS: dict[str, Callable[[Put], None]] = {
-    "two_leaders_in_a_term": _elects_itself, "logs_differ": _votes_for_any, "committed_lost": _commits_alone,
-    "states_differ": _own_time, "not_linearizable": _reads_unconfirmed, "over_whole": _lease_unlooked,
-    "older_disk_voted": _marks_forgotten, "module_faults": _refusals_raised}
+    "two_leaders_in_a_term": _elects_itself,
+    "logs_differ": _votes_for_any,
+    "committed_lost": _commits_alone,
+    "states_differ": _own_time,
+    "not_linearizable": _reads_unconfirmed,
+    "over_whole": _lease_unlooked,
+    "older_disk_voted": _marks_forgotten,
+    "module_faults": _refusals_raised,
+}
--- a/laurelcourse/lab/keepers_relays.py
+++ b/laurelcourse/lab/keepers_relays.py
@@ -11,10 +11,10 @@
 from laurelcourse.lab.keepers_seen import Holder, Seen
 from laurelcourse.lab.keepers_world import SPIN, Clock, Node, World
 
-HOPS = 3             # a call follows the leader that it is told, or turns elsewhere, so often
-DEMAND = 70          # of a budget, told with a Beat, less than this
-LOOKS = 3            # a look at the books in so many turns of a relay, where it is busy
-OWN, LOOK = -1, -2   # calls that are no order of the session
+HOPS = 3  # a call follows the leader that it is told, or turns elsewhere, so often
+DEMAND = 70  # of a budget, told with a Beat, less than this
+LOOKS = 3  # a look at the books in so many turns of a relay, where it is busy
+OWN, LOOK = -1, -2  # calls that are no order of the session
 ELSEWHERE = ("no_quorum", "overloaded", "stopping", "unknown_fate")  # as in `calls/client.py`
 
 
@@ -23,8 +23,15 @@
 
     __slots__ = ("asked_at", "began", "command", "hops", "kind", "order", "tried")
 
-    def __init__(self, kind: str, order: Any, began: int, asked_at: int, command: Command | None,  # noqa: ANN401
-                 tried: Try) -> None:
+    def __init__(
+        self,
+        kind: str,
+        order: Any,  # noqa: ANN401
+        began: int,
+        asked_at: int,
+        command: Command | None,
+        tried: Try,
+    ) -> None:
         self.kind, self.order, self.began, self.asked_at = kind, order, began, asked_at
         self.command, self.hops, self.tried = command, 0, tried
 
@@ -39,14 +46,15 @@
         self.calls: dict[int, Call] = {}
         self.routes: Routes | None = None
         self.demand = 0
-        self.owed: dict[str, int] = {}    # budgets of which a giving back is under way, by the call
+        self.owed: dict[str, int] = {}  # budgets of which a giving back is under way, by the call
 
 
 class Relays:
     """All relays of one run. `busy`: how eagerly they give back, and look at the books."""
 
-    def __init__(self, world: World, seen: Seen, names: tuple[str, ...], sites: int,
-                 busy: bool = True) -> None:
+    def __init__(
+        self, world: World, seen: Seen, names: tuple[str, ...], sites: int, busy: bool = True
+    ) -> None:
         self.world, self.seen, self.busy = world, seen, busy
         self.chance = Chance(world.seed * 31 + 7)
         self.relays: dict[str, RelayNode] = {}
@@ -71,8 +79,12 @@
         keepers = tuple(sorted(self.world.keepers))
         relay.routes = Routes(keepers, self.chance.below(len(keepers)), self.world.terms.lease)
         relay.session = relay.holder.session = Session(
-            relay.name, relay.site, self.world.terms, Chance(self.chance.below(1 << 31)),
-            relay.clock.local(self.world.now))
+            relay.name,
+            relay.site,
+            self.world.terms,
+            Chance(self.chance.below(1 << 31)),
+            relay.clock.local(self.world.now),
+        )
         self._run(relay)
 
     def kill(self, relay: RelayNode) -> None:
@@ -153,15 +165,25 @@
     def _look(self, relay: RelayNode) -> None:
         """At any keeper, for one that is cut off must not answer."""
         names = sorted(self.relays)
-        question = Question("hash") if self.chance.below(2) else Question(
-            "session", names[self.chance.below(len(names))])
+        question = (
+            Question("hash")
+            if self.chance.below(2)
+            else Question("session", names[self.chance.below(len(names))])
+        )
         keepers = sorted(self.world.keepers)
         self._call(relay, "ask", question, LOOK, target=keepers[self.chance.below(len(keepers))])
 
     # Calls
 
-    def _call(self, relay: RelayNode, kind: str, order: Any, asked_at: int,  # noqa: ANN401
-              command: Command | None = None, target: str = "") -> None:
+    def _call(
+        self,
+        relay: RelayNode,
+        kind: str,
+        order: Any,  # noqa: ANN401
+        asked_at: int,
+        command: Command | None = None,
+        target: str = "",
+    ) -> None:
         self.count += 1
         tried = Try(target) if target else relay.routes.first(relay.clock.local(self.world.now))
         call = relay.calls[self.count] = Call(kind, order, self.world.now, asked_at, command, tried)
@@ -173,8 +195,9 @@
         world, (target, hand_on) = self.world, call.tried
         if world.size:
             world.bytes += world.size(call.order)
-        world.send(relay.name, target, world.post, target, 0, call.kind, relay.name, number, call.order,
-                   hand_on)
+        world.send(
+            relay.name, target, world.post, target, 0, call.kind, relay.name, number, call.order, hand_on
+        )
 
     def heard(self, name: str, number: int, answer: Answer, by: str) -> None:
         """An answer reaches its relay's process; one to a former life finds no call there."""
@@ -221,8 +244,9 @@
     def _failed(self, relay: RelayNode, call: Call, code: str) -> None:
         if call.asked_at == OWN:
             relay.session.lost(call.command, code)
-            relay.owed = {name: number for name, number in relay.owed.items()
-                          if call.command.what.budget != name}
+            relay.owed = {
+                name: number for name, number in relay.owed.items() if call.command.what.budget != name
+            }
         elif call.asked_at != LOOK:
             relay.session.failed(relay.clock.local(self.world.now), call.asked_at, code)
 
--- a/laurelcourse/lab/keepers_scale.py
+++ b/laurelcourse/lab/keepers_scale.py
@@ -13,10 +13,10 @@
 
 RELAYS = (30, 200, 1_000)
 BEAT, LEASE = 2_000_000, 10_000_000
-OPENS = 6_000_000           # within this all have opened, and shares have settled
-RESTS = 2 * BEAT            # what a relay at rest costs is counted over this
-LOADED = 400_000            # commands without a pause are counted over this
-AT_ONCE = 400               # relays that ask without a pause, at most, so that nothing is refused
+OPENS = 6_000_000  # within this all have opened, and shares have settled
+RESTS = 2 * BEAT  # what a relay at rest costs is counted over this
+LOADED = 400_000  # commands without a pause are counted over this
+AT_ONCE = 400  # relays that ask without a pause, at most, so that nothing is refused
 
 
 class Loaded(Relays):
@@ -58,8 +58,10 @@
 def figures(seed: int, many: int) -> dict[str, float]:
     """For so many relays at three keepers: bytes a second and relay at rest, both ways, without gRPC's own;
     the leader's desk in parts of a core; commands a second, with the network and disks simulated."""
-    budgets = (Budget("conns", LEVEL, 20 * many, 2, many, 0, MILLION),
-               Budget("tries", RATE, 40 * many, 4, many, 0, 0))
+    budgets = (
+        Budget("conns", LEVEL, 20 * many, 2, many, 0, MILLION),
+        Budget("tries", RATE, 40 * many, 4, many, 0, 0),
+    )
     names = ("k1", "k2", "k3")
     bounds = Bounds(100_000, 1_000_000, 1 << 20, 8, 1 << 16, 4 * many)
     terms = Terms("fleet", LEASE, 1_000, BEAT, many, bounds, Keepers(names), budgets, 10_000)
@@ -84,7 +86,9 @@
     began, spent_before = world.now, world.spent
     world.run(began + LOADED)
     done = relays.commands - before
-    return {f"bytes_a_relay_a_second_{many}": round(rest * MILLION / RESTS / many, 1),
-            f"leader_share_of_core_{many}": round(spent * MILLION / RESTS, 4),
-            f"commands_a_second_{many}": round(done * MILLION / LOADED),
-            f"commands_a_core_second_{many}": round(done / max(world.spent - spent_before, 1e-9))}
+    return {
+        f"bytes_a_relay_a_second_{many}": round(rest * MILLION / RESTS / many, 1),
+        f"leader_share_of_core_{many}": round(spent * MILLION / RESTS, 4),
+        f"commands_a_second_{many}": round(done * MILLION / LOADED),
+        f"commands_a_core_second_{many}": round(done / max(world.spent - spent_before, 1e-9)),
+    }
--- a/laurelcourse/lab/keepers_script.py
+++ b/laurelcourse/lab/keepers_script.py
@@ -11,24 +11,97 @@
 # by kind of run, what may befall it, each as often as it stands there
 KINDS = {
     "leaders": ("kill_leader",),
-    "network": ("cut", "cut_one", "isolate_leader", "partition", "weather", "weather", "heal", "relay_cut",
-                "pause_leader", "relay_pause"),
-    "crashes": ("kill", "kill_leader", "doom", "doom", "doom_leader", "doom_leader", "kill_all", "slow",
-                "weather", "relay_kill", "hand_over"),
+    "network": (
+        "cut",
+        "cut_one",
+        "isolate_leader",
+        "partition",
+        "weather",
+        "weather",
+        "heal",
+        "relay_cut",
+        "pause_leader",
+        "relay_pause",
+    ),
+    "crashes": (
+        "kill",
+        "kill_leader",
+        "doom",
+        "doom",
+        "doom_leader",
+        "doom_leader",
+        "kill_all",
+        "slow",
+        "weather",
+        "relay_kill",
+        "hand_over",
+    ),
     "disks": ("copy", "older", "older", "wiped", "kill", "slow", "weather", "doom", "cut"),
-    "keepers": ("change", "change", "change", "kill_leader", "cut", "isolate_leader", "weather", "doom",
-                "pause", "heal"),
+    "keepers": (
+        "change",
+        "change",
+        "change",
+        "kill_leader",
+        "cut",
+        "isolate_leader",
+        "weather",
+        "doom",
+        "pause",
+        "heal",
+    ),
     "pauses": ("pause_leader", "pause_leader", "pause_leader", "relay_close", "relay_pause"),
-    "hands": ("relay_off_leader", "relay_off_leader", "relay_off_leader", "pause", "pause_leader",
-              "kill_leader", "relay_pause", "weather", "heal"),
-    "relays": ("relay_kill", "relay_pause", "relay_pause", "relay_close", "relay_cut", "pause_leader", "heal",
-               "kill_leader", "weather"),
-    "all": ("cut", "cut_one", "isolate_leader", "partition", "weather", "heal", "kill", "kill_leader", "doom",
-            "doom_leader", "kill_all", "pause", "pause_leader", "slow", "copy", "older", "wiped", "jump",
-            "change", "change", "relay_kill", "relay_pause", "relay_close", "relay_cut", "hand_over"),
+    "hands": (
+        "relay_off_leader",
+        "relay_off_leader",
+        "relay_off_leader",
+        "pause",
+        "pause_leader",
+        "kill_leader",
+        "relay_pause",
+        "weather",
+        "heal",
+    ),
+    "relays": (
+        "relay_kill",
+        "relay_pause",
+        "relay_pause",
+        "relay_close",
+        "relay_cut",
+        "pause_leader",
+        "heal",
+        "kill_leader",
+        "weather",
+    ),
+    "all": (
+        "cut",
+        "cut_one",
+        "isolate_leader",
+        "partition",
+        "weather",
+        "heal",
+        "kill",
+        "kill_leader",
+        "doom",
+        "doom_leader",
+        "kill_all",
+        "pause",
+        "pause_leader",
+        "slow",
+        "copy",
+        "older",
+        "wiped",
+        "jump",
+        "change",
+        "change",
+        "relay_kill",
+        "relay_pause",
+        "relay_close",
+        "relay_cut",
+        "hand_over",
+    ),
 }
 UNHURRIED = ("leaders", "pauses")  # what one fault leads to ends before the next
-DOWN = (20_000, 900_000)     # microseconds until what was killed comes back, least and further
+DOWN = (20_000, 900_000)  # microseconds until what was killed comes back, least and further
 STORM = Weather(60_000, 60_000, 60_000)
 GALE = Weather(250_000, 150_000, 400_000)
 
@@ -36,7 +109,7 @@
 class Fault(NamedTuple):
     at: int
     what: str
-    chance: int                # seeds whatever else it draws
+    chance: int  # seeds whatever else it draws
 
 
 def script(seed: int, kind: str, lasts: int) -> tuple[Fault, ...]:
@@ -56,7 +129,7 @@
 
     def __init__(self, world: World, relays: Relays) -> None:
         self.world, self.relays = world, relays
-        self.old: dict[str, Disk] = {}       # a copy of a keeper's disk, made earlier
+        self.old: dict[str, Disk] = {}  # a copy of a keeper's disk, made earlier
         self.killed_at: list[tuple[int, int]] = []  # a leader's kill, and its term
         self.wiped_disks = 0
 
@@ -195,13 +268,20 @@
             return False  # a disk from before a change asks those who were keepers then
         others = [self.world.keepers[name] for name in voters if name != keeper.name]
         held = (disk.term, disk.last() if disk.last_term() == disk.term else 0)
-        noting = [one for one in others if (mark := one.disk.marks.get(keeper.name)) is not None
-                  and ((mark.disk and mark.disk != disk.disk) or (mark.term, mark.index) > held)]
+        noting = [
+            one
+            for one in others
+            if (mark := one.disk.marks.get(keeper.name)) is not None
+            and ((mark.disk and mark.disk != disk.disk) or (mark.term, mark.index) > held)
+        ]
         return len(others) - len(noting) < len(voters) // 2
 
     def _false_disk(self, disk: Disk, keeper: KeeperNode, chance: Chance) -> None:
-        if keeper.good is not None or any(one.good for one in self.world.keepers.values()) \
-                or not self._noted(keeper, disk):
+        if (
+            keeper.good is not None
+            or any(one.good for one in self.world.keepers.values())
+            or not self._noted(keeper, disk)
+        ):
             return
         self.world.kill(keeper)
         if not self._noted(keeper, disk):
--- a/laurelcourse/lab/keepers_seen.py
+++ b/laurelcourse/lab/keepers_seen.py
@@ -31,16 +31,19 @@
     def __init__(self, name: str, clock: Clock) -> None:
         self.name, self.clock = name, clock
         self.session: Session | None = None
-        self.levels: dict[str, int] = {}              # of its newest lease
-        self.ended_at = self.number = 0               # of that lease by its own clock, in true time
+        self.levels: dict[str, int] = {}  # of its newest lease
+        self.ended_at = self.number = 0  # of that lease by its own clock, in true time
         self.former: list[tuple[str, int, int, int]] = []  # budget, amount, held until, of which session
 
     def holdings(self, now: int, terms: Terms) -> list[Holding]:
         """Asks a copy, for a session that is looked at may change by it."""
         shares = copy(self.session).shares(self.clock.local(now)) if self.session else {}
         if shares:
-            self.levels = {one.name: shares[one.name].granted for one in terms.budgets
-                           if one.kind == LEVEL and one.name in shares}
+            self.levels = {
+                one.name: shares[one.name].granted
+                for one in terms.budgets
+                if one.kind == LEVEL and one.name in shares
+            }
             self.ended_at = self.clock.true(self.session.granted_at + terms.holds())
             self.number = self.session.fence.session
             # A lease that is over by its own clock may be renewed: what it held then, it holds now.
@@ -48,8 +51,10 @@
         elif self.levels:
             self.leave(terms)
         self.former = [one for one in self.former if one[2] > now]
-        return [*(Holding(self.name, one.budget, one.granted) for one in shares.values()),
-                *(Holding(f"{self.name} (before)", budget, amount) for budget, amount, *_ in self.former)]
+        return [
+            *(Holding(self.name, one.budget, one.granted) for one in shares.values()),
+            *(Holding(f"{self.name} (before)", budget, amount) for budget, amount, *_ in self.former),
+        ]
 
     def leave(self, terms: Terms) -> None:
         """Its lease is over, or it is dead."""
@@ -68,7 +73,7 @@
         self.ops: dict[str, list[Op]] = {}
         self.indexes: list[Op] = []
         self.answered: list[tuple[int, str, Key]] = []
-        self.lapsed: dict[int, int] = {}              # sessions that the log has ended: since when, true time
+        self.lapsed: dict[int, int] = {}  # sessions that the log has ended: since when, true time
         self.breaches: list[Breach] = []
         self.unsettled = 0
 
@@ -113,22 +118,36 @@
             holder = self.holders[name]
             holdings += holder.holdings(now, self.terms)
             session = holder.session
-            if session and session.fence and session.fence.session in self.lapsed \
-                    and copy(session).usable(holder.clock.local(now)):
-                self.breaches.append(Breach("over_whole", now, f"{name} counts on session "
-                                            f"{session.fence.session} after it has lapsed"))
+            if (
+                session
+                and session.fence
+                and session.fence.session in self.lapsed
+                and copy(session).usable(holder.clock.local(now))
+            ):
+                self.breaches.append(
+                    Breach(
+                        "over_whole",
+                        now,
+                        f"{name} counts on session {session.fence.session} after it has lapsed",
+                    )
+                )
         self.breaches += [Breach("over_whole", now, how) for how in over_whole(self.terms.budgets, holdings)]
 
     def finish(self, now: int, left: list[Entry]) -> None:
         """`left`: the log as it stands at the end."""
-        held = {key_of(command) for entry in left if entry.kind == BOOKS
-                for command in self.decode(entry.data).commands}
+        held = {
+            key_of(command)
+            for entry in left
+            if entry.kind == BOOKS
+            for command in self.decode(entry.data).commands
+        }
         self.breaches += lost(self.answered, held)
         for name in sorted(self.ops.keys() | {key[1] for key in self.opens}):
             self._history(now, name)
         self.breaches += [
             Breach("not_linearizable", two.ended, f"{two.what} told {two.told} after {one.told}")
-            for one, two in stale(self.indexes)]
+            for one, two in stale(self.indexes)
+        ]
 
     def _history(self, now: int, name: str) -> None:
         opens = [op for key, op in sorted(self.opens.items()) if key[1] == name]
@@ -139,5 +158,10 @@
         if found is None:
             self.unsettled += 1
         elif not found:
-            self.breaches.append(Breach("not_linearizable", now, f"the sessions of {name}: "
-                                        f"{sorted([*opens, *self.ops.get(name, ())])}"[:1500]))
+            self.breaches.append(
+                Breach(
+                    "not_linearizable",
+                    now,
+                    f"the sessions of {name}: {sorted([*opens, *self.ops.get(name, ())])}"[:1500],
+                )
+            )
--- a/laurelcourse/lab/keepers_world.py
+++ b/laurelcourse/lab/keepers_world.py
@@ -19,9 +19,9 @@
 from laurelcourse.fleet.orders import Acts, Answer, Terms
 from laurelcourse.lab.checks.logs import Breach, Ledger
 
-SPIN = 500                # what is due at once again and again gets no further without it, microseconds
-WRITE = (150, 2_500)      # a write to disk takes so long, least and most
-NEAR, FAR = 120, 6_000    # one way within a site, and between sites, at least
+SPIN = 500  # what is due at once again and again gets no further without it, microseconds
+WRITE = (150, 2_500)  # a write to disk takes so long, least and most
+NEAR, FAR = 120, 6_000  # one way within a site, and between sites, at least
 MILLION = 1_000_000
 
 
@@ -70,8 +70,9 @@
             self.snapshot = write.snapshot
             if write.snapshot_whole:
                 self.entries = []
-                self.archive = {index: entry for index, (entry, _) in first.items()
-                                if index <= write.snapshot.index}
+                self.archive = {
+                    index: entry for index, (entry, _) in first.items() if index <= write.snapshot.index
+                }
             else:
                 self.entries = [one for one in self.entries if one.index > write.snapshot.index]
         if write.cut:
@@ -123,19 +124,31 @@
 
 
 class KeeperNode(Node):
-    __slots__ = ("applied", "asked", "busy", "desk", "disk", "doom", "false_disk", "good", "hands", "slow",
-                 "token", "writing")
+    __slots__ = (
+        "applied",
+        "asked",
+        "busy",
+        "desk",
+        "disk",
+        "doom",
+        "false_disk",
+        "good",
+        "hands",
+        "slow",
+        "token",
+        "writing",
+    )
 
     def __init__(self, name: str, site: str, clock: Clock) -> None:
         super().__init__(name, site, clock)
         self.disk = Disk(f"disk-{name}-0")
         self.desk: Desk | None = None
-        self.asked: dict[int, Asked] = {}            # by token
-        self.hands: dict[int, Asked] = {}            # handed on, by the number given to the leader
+        self.asked: dict[int, Asked] = {}  # by token
+        self.hands: dict[int, Asked] = {}  # handed on, by the number given to the leader
         self.token, self.applied, self.doom, self.slow = 0, 0, 0, 0
         self.busy, self.false_disk = False, False
         self.writing: Write | None = None
-        self.good: Disk | None = None                # the true one, while an old or wiped one is there
+        self.good: Disk | None = None  # the true one, while an old or wiped one is there
 
 
 class World:
@@ -151,11 +164,11 @@
         self.nodes: dict[str, Node] = {}
         self.keepers: dict[str, KeeperNode] = {}
         self.heard: Callable[[str, int, Answer, str], None]  # an answer reaches its relay; from whom, by hand
-        self.others: Callable[[Node], None]             # a process that is no keeper has something to do
-        self.entry: Callable[[int, Entry], None]        # an entry was applied for the first time
+        self.others: Callable[[Node], None]  # a process that is no keeper has something to do
+        self.entry: Callable[[int, Entry], None]  # an entry was applied for the first time
         self.trace: deque[str] = deque(maxlen=60)
         self.bytes = self.false_disks = self.refusals = self.handed = 0
-        self.changed = False                            # a change of the keepers has been asked for
+        self.changed = False  # a change of the keepers has been asked for
         self.size: Callable[[Any], int] | None = None
         self.led_at: list[tuple[int, int, str]] = []  # when a term's leader was first heard, true time
         for place, name in enumerate(names):
@@ -165,8 +178,10 @@
     def clock(self) -> Clock:
         """Any start; as fast or slow as the terms allow, most often at one of the two ends."""
         drift = self.terms.drift
-        return Clock(self.chance.below(1 << 40), (-drift, drift, self.chance.below(2 * drift + 1) - drift)[
-            self.chance.below(3)])
+        return Clock(
+            self.chance.below(1 << 40),
+            (-drift, drift, self.chance.below(2 * drift + 1) - drift)[self.chance.below(3)],
+        )
 
     def at(self, when: int, do: Callable[..., None], *args: Any) -> None:  # noqa: ANN401
         self._count += 1
@@ -205,8 +220,16 @@
         keeper.hands.clear()
         disk = keeper.disk
         self.say(f"{keeper.name} starts: disk {disk.disk}, term {disk.term}, to {disk.last()}")
-        keeper.desk = Desk(keeper.name, keeper.site, self.terms, Chance(self.chance.below(1 << 31)),
-                           keeper.disk.kept(), keeper.clock.local(self.now), encode=packed, decode=unpacked)
+        keeper.desk = Desk(
+            keeper.name,
+            keeper.site,
+            self.terms,
+            Chance(self.chance.below(1 << 31)),
+            keeper.disk.kept(),
+            keeper.clock.local(self.now),
+            encode=packed,
+            decode=unpacked,
+        )
         # What its snapshot stands for it may have applied and died before anybody saw it.
         for index in range(1, keeper.applied + 1):
             if index in keeper.disk.archive:
@@ -288,15 +311,21 @@
                 acts = getattr(desk, kind)(now, keeper.token, asked.order)
         except Exception as fault:
             self.ledger.breaches.append(
-                Breach("module_faults", self.now, f"{keeper.name} {job[0]}: {fault!r}"))
+                Breach("module_faults", self.now, f"{keeper.name} {job[0]}: {fault!r}")
+            )
             self.kill(keeper)
             return
         if acts.write is None:
             self._rest(keeper, acts)
         elif not self._dies(keeper):
             keeper.busy, keeper.writing = True, acts.write
-            self.at(self.now + WRITE[0] + self.chance.below(WRITE[1]) + keeper.slow,
-                    self._written, keeper, keeper.life, acts)
+            self.at(
+                self.now + WRITE[0] + self.chance.below(WRITE[1]) + keeper.slow,
+                self._written,
+                keeper,
+                keeper.life,
+                acts,
+            )
 
     def _written(self, keeper: KeeperNode, life: int, acts: Acts) -> None:
         if keeper.life != life:
@@ -343,11 +372,21 @@
         if leader := leader_for(asked.hand_on, answer, keeper.name, self.keepers):
             self._count += 1
             keeper.hands[self._count] = asked
-            self.send(keeper.name, leader, self.post, leader, 0, asked.kind, keeper.name, self._count,
-                      asked.order)
+            self.send(
+                keeper.name, leader, self.post, leader, 0, asked.kind, keeper.name, self._count, asked.order
+            )
         elif asked.asker in self.keepers:
-            self.send(keeper.name, asked.asker, self.post, asked.asker, 0, "by hand", asked.call, answer,
-                      keeper.name)
+            self.send(
+                keeper.name,
+                asked.asker,
+                self.post,
+                asked.asker,
+                0,
+                "by hand",
+                asked.call,
+                answer,
+                keeper.name,
+            )
         else:
             self.send(keeper.name, asked.asker, self.heard, asked.asker, asked.call, answer, "")
 
@@ -377,8 +416,9 @@
             if entry is not None:
                 self._saw(keeper, entry)
             elif index > base:
-                self.ledger.breaches.append(Breach("logs_differ", self.now,
-                                                   f"{keeper.name} applied {index}, which its disk lacks"))
+                self.ledger.breaches.append(
+                    Breach("logs_differ", self.now, f"{keeper.name} applied {index}, which its disk lacks")
+                )
         keeper.applied = core.applied
         if core.applied % 3 == 0:
             self.ledger.state(self.now, keeper.name, core.applied, keeper.desk.books.hash())
--- a/laurelcourse/lab/kiosks.py
+++ b/laurelcourse/lab/kiosks.py
@@ -21,7 +21,7 @@
 
 COMPLETED, SHED, ERRORED, CUT, NONE = "completed", "shed", "errored", "cut", "none"
 TUF, PLAIN, MANIFEST, LEAVE = "tuf", "plain", "manifest", "leave"
-LATE = 0.75         # an answer may be so late on a busy machine
+LATE = 0.75  # an answer may be so late on a busy machine
 PATIENCE = 30.0
 
 
@@ -63,8 +63,17 @@
         return found[self.chance.below(len(found))]
 
     def _note(self, began: float, end: str, **more: object) -> None:
-        self.out.append({"kiosk": self.number, "kind": self.told["kind"], "relay": self.told["relay"],
-                         "at": began, "took": time.monotonic() - began, "end": end} | more)
+        self.out.append(
+            {
+                "kiosk": self.number,
+                "kind": self.told["kind"],
+                "relay": self.told["relay"],
+                "at": began,
+                "took": time.monotonic() - began,
+                "end": end,
+            }
+            | more
+        )
 
     # -- python-tuf, as it comes
 
@@ -76,10 +85,16 @@
         base = f"http://{self.host}:{self.port}{one['prefix']}"
 
         def fetch() -> bytes:
-            client = Updater(str(here), f"{base}metadata/", str(here), f"{base}targets/",
-                             bootstrap=bytes.fromhex(one["root"]))
+            client = Updater(
+                str(here),
+                f"{base}metadata/",
+                str(here),
+                f"{base}targets/",
+                bootstrap=bytes.fromhex(one["root"]),
+            )
             client.refresh()
             return Path(client.download_target(client.get_targetinfo(path))).read_bytes()
+
         try:
             self._note(began, COMPLETED, wrong=int(not right(path, fetch())), what=one["name"])
         except exceptions.DownloadHTTPError as error:
@@ -104,8 +119,9 @@
 
     # -- plain readers, who believe whatever is complete
 
-    def _ask(self, method: str, path: str, body: bytes | None = None,
-             fields: dict | None = None) -> tuple[int, dict, bytes, float]:
+    def _ask(
+        self, method: str, path: str, body: bytes | None = None, fields: dict | None = None
+    ) -> tuple[int, dict, bytes, float]:
         self.conn = self.conn or http.client.HTTPConnection(self.host, self.port, timeout=PATIENCE)
         began = time.monotonic()
         try:
@@ -138,8 +154,15 @@
             with contextlib.suppress(OSError, AttributeError):
                 self.conn.sock.settimeout(PATIENCE)
 
-    def _one(self, route: str, method: str, path: str, body: bytes | None = None,
-             fields: dict | None = None, **more: object) -> tuple[int, dict, bytes]:
+    def _one(
+        self,
+        route: str,
+        method: str,
+        path: str,
+        body: bytes | None = None,
+        fields: dict | None = None,
+        **more: object,
+    ) -> tuple[int, dict, bytes]:
         """One request and its note; 0 as a status if the answer was cut or stayed out."""
         began, whole = time.monotonic(), more.pop("whole", None)
         try:
@@ -164,9 +187,21 @@
             stale = int(time.mktime(expires) - time.timezone < time.time() - 1)
         if status >= 400:
             more["what"] = raw[:80].decode(errors="replace").strip()
-        self._note(began, end, route=route, path=path, name=name, status=status, wrong=wrong, stale=stale,
-                   took=took, extra=self._extra(), late=int(took > self.told["timeouts"][route] + LATE),
-                   age=int(told.get("age", 0)), **more)
+        self._note(
+            began,
+            end,
+            route=route,
+            path=path,
+            name=name,
+            status=status,
+            wrong=wrong,
+            stale=stale,
+            took=took,
+            extra=self._extra(),
+            late=int(took > self.told["timeouts"][route] + LATE),
+            age=int(told.get("age", 0)),
+            **more,
+        )
         return status, told, raw
 
     def _plain(self) -> None:
@@ -187,19 +222,29 @@
             self._one("target", "GET", where, whole=lambda raw: right(path, raw))
             return
         # Half now, the rest later, as over a poor line: whether both are of one file shows in its tag.
-        first, told, begun = self._one("target", "GET", where, fields={"Range": "bytes=0-1499"},
-                                       whole=lambda raw: len(raw) <= 1500)
+        first, told, begun = self._one(
+            "target", "GET", where, fields={"Range": "bytes=0-1499"}, whole=lambda raw: len(raw) <= 1500
+        )
         if first == 206:
             tag, size = told["etag"], int(told["content-range"].rpartition("/")[2])
             fields = {"Range": f"bytes=1500-{size - 1}", "If-Range": tag}
-            self._one("target", "GET", where, fields=fields, whole=lambda raw: right(
-                path, begun + raw if len(raw) == size - 1500 else raw))
+            self._one(
+                "target",
+                "GET",
+                where,
+                fields=fields,
+                whole=lambda raw: right(path, begun + raw if len(raw) == size - 1500 else raw),
+            )
 
     def _manifest(self) -> None:
         """A report; one that may have been taken is posted again with its counter, as a primary would."""
         self.counter += 1
-        body = json.dumps({"signatures": [{"keyid": "k", "sig": "s"}], "signed": {
-            "vin": f"vin-{self.told['seed']}-{self.number}", "report_counter": self.counter}}).encode()
+        body = json.dumps(
+            {
+                "signatures": [{"keyid": "k", "sig": "s"}],
+                "signed": {"vin": f"vin-{self.told['seed']}-{self.number}", "report_counter": self.counter},
+            }
+        ).encode()
         for _ in range(3):
             status, _, _ = self._one("manifest", "POST", self.told["manifests"], body)
             if status in (200, 409):  # taken, or it can't be known
--- a/laurelcourse/lab/process.py
+++ b/laurelcourse/lab/process.py
@@ -24,8 +24,9 @@
 
 
 class RelayProcess:
-    def __init__(self, folder: Path, config: dict, operator: Path | None = None, broken: str = "",
-                 lab: str = "") -> None:
+    def __init__(
+        self, folder: Path, config: dict, operator: Path | None = None, broken: str = "", lab: str = ""
+    ) -> None:
         """`broken` names the guard of this lab that the relay is to run without."""
         self.folder, self.broken, self.operator, self.lab = folder, broken, operator, lab
         folder.mkdir(parents=True, exist_ok=True)
@@ -33,7 +34,7 @@
         self.path.write_text(json.dumps(config))
         self.log.touch()
         self.process: subprocess.Popen | None = None
-        self.tie = -1               # held for as long as this process lives; the relay's end is its stdin
+        self.tie = -1  # held for as long as this process lives; the relay's end is its stdin
 
     def words(self) -> list[str]:
         """The module and its arguments, as Python is to run it."""
@@ -49,15 +50,21 @@
         try:
             with self.log.open("ab") as log:
                 self.process = subprocess.Popen(
-                    [sys.executable, "-B", "-m", *self.words()], cwd=ROOT, stdin=read, stderr=log, stdout=log,
-                    env=os.environ | {"PYTHONPATH": str(ROOT)})
+                    [sys.executable, "-B", "-m", *self.words()],
+                    cwd=ROOT,
+                    stdin=read,
+                    stderr=log,
+                    stdout=log,
+                    env=os.environ | {"PYTHONPATH": str(ROOT)},
+                )
             tied(read, self.process.pid)
         finally:
             os.close(read)
         if not wait:
             return
-        until(lambda: self.log.read_text().count("msg=serving") > served or self.process.poll() is not None,
-              20)
+        until(
+            lambda: self.log.read_text().count("msg=serving") > served or self.process.poll() is not None, 20
+        )
         if self.process.poll() is not None:
             raise RuntimeError(f"a relay ended at its start: {self.log.read_text()[-2000:]}")
 
--- a/laurelcourse/lab/relay.py
+++ b/laurelcourse/lab/relay.py
@@ -22,9 +22,9 @@
 
 UNITS, RELAYS, CLIENTS = 10, 2, 24
 CAPS, FREE, WINDOW = (0.1, 0.5, 1.0), 2, 2.0
-STAGE = 1.25 * WINDOW       # a stage lasts so long at least: its exposure is counted over a window
+STAGE = 1.25 * WINDOW  # a stage lasts so long at least: its exposure is counted over a window
 MACHINES = (0.3, 0.6, 1.0)  # the share of units that run the build on trial, by stage
-ANSWERS_LATE = 0.25         # a relay may be so late with its answer on a busy machine
+ANSWERS_LATE = 0.25  # a relay may be so late with its answer on a busy machine
 WAIT_MS, PACE = 1500, 0.12  # a req's time, and a client's usual pause between two
 # A sound unit works on a req for so long, a tenth of the objective: where answers come at once, the waits
 # of a busy machine for its processors are several times what is usual, and pass for a slow build.
@@ -49,8 +49,13 @@
     found = json.loads(json.dumps(OUTSIDE))
     found["me"], found["balancers"] = me, RELAYS
     found["limits"]["peer_messages"] = False
-    found["domain"] |= {"free": FREE, "counted_over": WINDOW * 1000, "most_shares": CAPS, "rings": MACHINES,
-                        "least_stage": 1000.0}
+    found["domain"] |= {
+        "free": FREE,
+        "counted_over": WINDOW * 1000,
+        "most_shares": CAPS,
+        "rings": MACHINES,
+        "least_stage": 1000.0,
+    }
     found["obligations"]["warm_after"] = 1000.0
     return found
 
@@ -98,21 +103,32 @@
         unit = UnitStand()
         unit.mode = "failed" if build == bad else f"slow{WORK}"
         return unit
+
     fleet = Fleet(directory, UNITS, MACHINES, make, seed)
     deployer = Rollout(CAPS, fleet.moved, bake=STAGE)
     ports = [reserve_port() for _ in range(RELAYS)]
     over = threading.Event()
     callers: list[Caller] = []
     with tempfile.TemporaryDirectory(prefix="laurelcourse-lab-") as folder:
-        relays = [RelayProcess(Path(folder) / str(me), config(
-            f"n{me}", f"{RELAY}:{port}", directory.at, deployer.at, directory.whole(), settings(me)),
-            broken=broken, lab="relay") for me, port in enumerate(ports)]
+        relays = [
+            RelayProcess(
+                Path(folder) / str(me),
+                config(
+                    f"n{me}", f"{RELAY}:{port}", directory.at, deployer.at, directory.whole(), settings(me)
+                ),
+                broken=broken,
+                lab="relay",
+            )
+            for me, port in enumerate(ports)
+        ]
         try:
             for one in relays:
                 one.start()
             progress.say(f"{RELAYS} relays serve {UNITS} units of build 1 to {CLIENTS} clients")
-            callers = [Caller(seed * CLIENTS + place, place % RELAYS, ports[place % RELAYS], over)
-                       for place in range(CLIENTS)]
+            callers = [
+                Caller(seed * CLIENTS + place, place % RELAYS, ports[place % RELAYS], over)
+                for place in range(CLIENTS)
+            ]
             time.sleep(2.5)
             offer(deployer, bad, "it fails", began + (seconds - 3) / 2, progress)
             offer(deployer, good, "it is sound", began + seconds - 2, progress)
@@ -131,8 +147,15 @@
     return judge(seed, time.monotonic() - began, callers, fleet, deployer, counts, (bad, good))
 
 
-def judge(seed: int, seconds: float, callers: list[Caller], fleet: Fleet, deployer: Rollout,
-          counts: list[dict[str, int]], builds: tuple[int, int]) -> Report:
+def judge(
+    seed: int,
+    seconds: float,
+    callers: list[Caller],
+    fleet: Fleet,
+    deployer: Rollout,
+    counts: list[dict[str, int]],
+    builds: tuple[int, int],
+) -> Report:
     bad, good = builds
     asked = [one for caller in callers for one in caller.asked]
     ends = [one for one in deployer.told if one[3] in ("Healthy", "Aborting")]
@@ -140,23 +163,32 @@
     back = next((at for at, build, _, phase, _ in deployer.told if (build, phase) == (bad, "Aborting")), 0.0)
     offered = next((at for at, build, *_ in deployer.told if build == bad), 0.0)
     figures = {
-        "reqs": len(asked), "completed": sum(one.letters == "TDCZ" for one in asked),
+        "reqs": len(asked),
+        "completed": sum(one.letters == "TDCZ" for one in asked),
         "shed": sum(one.code == "53300" for one in asked),
         "errored": sum(one.code == "58000" for one in asked),
         "latency_p50_ms": round(part([one.took for one in asked], 0.5) * 1000, 1),
         "latency_p99_ms": round(part([one.took for one in asked], 0.99) * 1000, 1),
         "bad_build_back_after_s": round(back - offered, 1) if back else 0.0,
-        "tries_at_bad_build": sum(
-            len(one.stand.times) for one in fleet.all if one.build == bad),
-        "module_faults": sum(count.get("module_faults", 0) for count in counts)}
+        "tries_at_bad_build": sum(len(one.stand.times) for one in fleet.all if one.build == bad),
+        "module_faults": sum(count.get("module_faults", 0) for count in counts),
+    }
     checks = [
-        Check("one_outcome_each", sum(not one.once() for one in asked)
-              + sum(caller.unasked for caller in callers), 0,
-              "reqs without exactly one final answer in time, and answers nobody asked for"),
+        Check(
+            "one_outcome_each",
+            sum(not one.once() for one in asked) + sum(caller.unasked for caller in callers),
+            0,
+            "reqs without exactly one final answer in time, and answers nobody asked for",
+        ),
         Check("bad_build_released", released.count(bad), 0, "releases of the build that fails"),
         Check("good_build_released", released.count(good), 1, "releases of the sound build", at_least=True),
-        Check("exposure_over_cap", over(asked, fleet, deployer), 0,
-              "tries at a build on trial beyond free + cap x reqs, by relay, in any 2 s")]
+        Check(
+            "exposure_over_cap",
+            over(asked, fleet, deployer),
+            0,
+            "tries at a build on trial beyond free + cap x reqs, by relay, in any 2 s",
+        ),
+    ]
     return Report("relay", seed, seconds, figures, checks)
 
 
--- a/laurelcourse/lab/report.py
+++ b/laurelcourse/lab/report.py
@@ -34,11 +34,21 @@
         return all(one.holds for one in self.checks)
 
     def as_json(self) -> str:
-        checks = [{"name": one.name, "value": one.value, "limit": one.limit, "holds": one.holds,
-                   "what": one.what} for one in self.checks]
-        return json.dumps({
-            "lab": self.lab, "seed": self.seed, "seconds": round(self.seconds, 1), "version": VERSION,
-            "holds": self.holds, "figures": self.figures, "checks": checks})
+        checks = [
+            {"name": one.name, "value": one.value, "limit": one.limit, "holds": one.holds, "what": one.what}
+            for one in self.checks
+        ]
+        return json.dumps(
+            {
+                "lab": self.lab,
+                "seed": self.seed,
+                "seconds": round(self.seconds, 1),
+                "version": VERSION,
+                "holds": self.holds,
+                "figures": self.figures,
+                "checks": checks,
+            }
+        )
 
     def as_table(self) -> str:
         lines = [f"lab {self.lab}, seed {self.seed}, {self.seconds:.1f} s, version {VERSION}", ""]
--- a/laurelcourse/lab/rig.py
+++ b/laurelcourse/lab/rig.py
@@ -21,9 +21,18 @@
     "manifest": {"latency-objective": "500ms", "timeout": "2s", "earnings": "2"},
     "freshness": {"ask-again": "500ms", "serve-proven": "1h"},
     "rests": {"behind": "1s", "wrong": "10s", "most": "0.5"},
-    "limits": {"files": "96", "files-per-mirror": "96", "files-per-client": "96", "bytes": "32MiB",
-               "floor": "32KiB/s", "floor-over": "800ms"},
-    "uptane": {}, "release": {}, "state": {}}
+    "limits": {
+        "files": "96",
+        "files-per-mirror": "96",
+        "files-per-client": "96",
+        "bytes": "32MiB",
+        "floor": "32KiB/s",
+        "floor-over": "800ms",
+    },
+    "uptane": {},
+    "release": {},
+    "state": {},
+}
 
 
 def element(name: str, attributes: dict[str, str], inside: str = "") -> str:
@@ -32,9 +41,17 @@
 
 
 class Rig:
-    def __init__(self, folder: Path, repositories: dict[str, TufRepository], mirrors: list[MirrorStand],
-                 relays: int = 1, changed: dict[str, dict[str, str]] | None = None, broken: str = "",
-                 deployer: DeployerStand | None = None, listed: bool = True) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        repositories: dict[str, TufRepository],
+        mirrors: list[MirrorStand],
+        relays: int = 1,
+        changed: dict[str, dict[str, str]] | None = None,
+        broken: str = "",
+        deployer: DeployerStand | None = None,
+        listed: bool = True,
+    ) -> None:
         """Repositories by prefix; mirrors are told in the settings and, if `listed`, by a directory too. A
         release's settings are given if its deployer is."""
         self.folder, self.mirrors, self.repositories = folder, mirrors, repositories
@@ -57,8 +74,14 @@
             outside["me"], outside["balancers"] = me, relays
             outside["limits"]["peer_messages"] = False
             outside["obligations"] |= {"warm_after": 1000.0}
-            told = config(f"n{me}", f"{RELAY}:{self.plain[me]}", DirectoryStand().at, DeployerStand().at,
-                          {"revision": 1, "complete": True, "members": []}, outside)
+            told = config(
+                f"n{me}",
+                f"{RELAY}:{self.plain[me]}",
+                DirectoryStand().at,
+                DeployerStand().at,
+                {"revision": 1, "complete": True, "members": []},
+                outside,
+            )
             self.relays.append(RelayProcess(here, told, here / "operator.xml", broken, "tuf"))
 
     def list(self, name: str, mirror: MirrorStand, phase: str = "active", build: int = 1) -> None:
@@ -68,16 +91,25 @@
         told = self.settings
         mirrors = "".join(
             element("mirror", {"name": name, "address": one.at, "zone": "a", "build": "1"})
-            for name, one in zip(self.names, self.mirrors, strict=True))
+            for name, one in zip(self.names, self.mirrors, strict=True)
+        )
         parts = [element("mirrors", {"directory": self.directory.at} if self.listed else {}, mirrors)]
         if released:
             parts.append(element("release", {"deployer": self.deployer.at} | told["release"]))
         for prefix, repository in self.repositories.items():
             name = prefix.strip("/")
             (here / f"{name}.json").write_bytes(repository.pinned)
-            parts.append(element("repository", {
-                "name": name, "metadata": f"{prefix}metadata/", "targets": f"{prefix}targets/",
-                "root": f"{name}.json"}))
+            parts.append(
+                element(
+                    "repository",
+                    {
+                        "name": name,
+                        "metadata": f"{prefix}metadata/",
+                        "targets": f"{prefix}targets/",
+                        "root": f"{name}.json",
+                    },
+                )
+            )
         if told["uptane"]:
             parts.append(element("uptane", told["uptane"]))
         routes = ("metadata", "target", *(["manifest"] if told["uptane"] else []))
@@ -97,8 +129,9 @@
     def url(self, prefix: str, relay: int = 0) -> str:
         return f"http://{RELAY}:{self.ports[relay]}{prefix}"
 
-    def ask(self, path: str, method: str = "GET", body: bytes | None = None, relay: int = 0,
-            **fields: str) -> tuple[int, dict[str, str], bytes]:
+    def ask(
+        self, path: str, method: str = "GET", body: bytes | None = None, relay: int = 0, **fields: str
+    ) -> tuple[int, dict[str, str], bytes]:
         """One request on a connection of its own: status, fields, body. Raises what http.client raises on an
         answer that is cut."""
         conn = http.client.HTTPConnection(RELAY, self.ports[relay], timeout=30)
--- a/laurelcourse/lab/skewed.py
+++ b/laurelcourse/lab/skewed.py
@@ -35,6 +35,7 @@
 
 def fill(full: Path) -> None:
     """While the file is there, connections made by `sqlite3.connect` fail each write as SQLite does then."""
+
     class Connection(sqlite3.Connection):
         def execute(self, sql: str, *args: object) -> sqlite3.Cursor:
             refuse(sql)
--- a/laurelcourse/lab/transfers.py
+++ b/laurelcourse/lab/transfers.py
@@ -31,22 +31,23 @@
 
 KEEPERS = {"k1": "a", "k2": "b", "k3": "c"}
 MEMBERS = {"m1": "a", "m2": "a", "m3": "b", "m4": "b", "m5": "c", "m6": "c"}
-USABLE, KEPT, SLOTS = 256 << 10, 128 << 10, 2   # bytes a second of a link; slots of a site
-JOBS, WITHIN = 18, (8, 18)                      # seconds until a deadline
+USABLE, KEPT, SLOTS = 256 << 10, 128 << 10, 2  # bytes a second of a link; slots of a site
+JOBS, WITHIN = 18, (8, 18)  # seconds until a deadline
 KINDS = (faults.KILL, faults.KILL_LEADER, faults.CUT)
-ENDS = 8.0                                      # seconds at the end without faults
-ASKED = "m1", "m3", "m5"                        # a relay of each site has ordinary reqs, too
-UNITS, WARMS, CALM = 2, 0.5, 3.0                # units behind; seconds of reqs not counted, and of each side
-PROBED, TRIES = 4, 3                            # slices ahead that are looked at; where answers are lost
-STARTED = 64 << 10                              # bytes over a link by which a transfer is under way
-WINDOW, BURST, SPOKEN = 2.0, 0.75, 1.06         # seconds; seconds of the rate at once; what gRPC adds
+ENDS = 8.0  # seconds at the end without faults
+ASKED = "m1", "m3", "m5"  # a relay of each site has ordinary reqs, too
+UNITS, WARMS, CALM = 2, 0.5, 3.0  # units behind; seconds of reqs not counted, and of each side
+PROBED, TRIES = 4, 3  # slices ahead that are looked at; where answers are lost
+STARTED = 64 << 10  # bytes over a link by which a transfer is under way
+WINDOW, BURST, SPOKEN = 2.0, 0.75, 1.06  # seconds; seconds of the rate at once; what gRPC adds
 WHAT = {
     "over_link": "windows of 2 s in which a link's direction carried more than may be reserved, and a burst",
     "over_compute": "looks at which transfers held more slots of a site than it has",
     "half_reserved": "jobs that were reserved with less than their bytes need",
     "wrong_bytes": "copies that differ from what was sent",
     "committed_twice": "copies that were put there more than once",
-    "leaked_reservations": "links of which not all was free once jobs had ended, one early among them"}
+    "leaked_reservations": "links of which not all was free once jobs had ended, one early among them",
+}
 
 
 def places(folder: Path, doors: dict[str, int], host: Host, me: str) -> str:
@@ -61,8 +62,12 @@
                     host_, port = host.ways.open(me, name, (RELAY, doors[name]))
                 inside += f'<door relay="{name}" address="{host_}:{port}"/>'
         found += f'<site name="{site}" slots="{SLOTS}" folder="{folder}/{site}">{inside}</site>'
-    return found + "".join(f'<link origin="{one}" to="{to}" capacity="{USABLE + KEPT}B" kept="{KEPT}B"/>'
-                           for one in "abc" for to in "abc" if one != to)
+    return found + "".join(
+        f'<link origin="{one}" to="{to}" capacity="{USABLE + KEPT}B" kept="{KEPT}B"/>'
+        for one in "abc"
+        for to in "abc"
+        if one != to
+    )
 
 
 class Lab:
@@ -70,16 +75,22 @@
         self.host, self.folder, self.over = host, folder, threading.Event()
         fleet = reading.read(str(folder / "m1" / "operator.xml")).fleet
         told = terms.terms(fleet)
-        self.client = Client("lab", "lab", {one.name: shown(one.address) for one in fleet.keepers},
-                             limits(told), clock, Chance(9))
+        self.client = Client(
+            "lab",
+            "lab",
+            {one.name: shown(one.address) for one in fleet.keepers},
+            limits(told),
+            clock,
+            Chance(9),
+        )
         self.jobs: dict[str, Job] = {}
         self.counts = dict.fromkeys(WHAT, 0)
         self.ended: dict[str, str] = {}
         self.half: set[str] = set()
         self.files: dict[str, set[tuple[int, int]]] = {}
         self.samples: dict[tuple[str, str], list[tuple[float, int]]] = {}
-        self.moves = threading.Event()           # bytes are on their way
-        self.open: set[str] = set()              # jobs in the books at the last look
+        self.moves = threading.Event()  # bytes are on their way
+        self.open: set[str] = set()  # jobs in the books at the last look
 
     def ask(self, what: str, of: str = "", job: Job | None = None) -> tuple | None:
         found: list = []
@@ -109,8 +120,9 @@
         (place / name).write_bytes(bytes(chance.below(256) for _ in range(4096)) * (size // 4096 + 1))
         with (place / name).open("r+b") as file:
             file.truncate(size)
-        (place / "new").write_text(f'<job firm="f" to="{to}" within="{within * SLICE}" earnings="{earnings}" '
-                                   'slots="1"/>')
+        (place / "new").write_text(
+            f'<job firm="f" to="{to}" within="{within * SLICE}" earnings="{earnings}" slots="1"/>'
+        )
         (place / "new").rename(place / f"{name}.job")
 
     def lay_all(self, chance: Chance) -> None:
@@ -169,7 +181,8 @@
             self.counts["wrong_bytes"] += path.exists() and path.read_bytes() != source.read_bytes()
         # What a job had is past when it ends in time, and nobody would miss it: one ends early on each link.
         self.counts["leaked_reservations"] = sum(
-            not self.free(one, to) for one in "abc" for to in "abc" if one != to)
+            not self.free(one, to) for one in "abc" for to in "abc" if one != to
+        )
 
     def free(self, one: str, to: str) -> bool:
         """Whether the books let a job have all of a link and its sites for the next seconds, and another one
@@ -181,11 +194,14 @@
                 continue
             first = self.time() // SLICE + 2
             pieces = (Stretch(first, first + PROBED, USABLE, (one, to)),)
-            jobs = [Job(name + end, "f", one, to, PROBED * USABLE, 0, (first + PROBED) * SLICE, 0, SLOTS)
-                    for end in "xy"]
+            jobs = [
+                Job(name + end, "f", one, to, PROBED * USABLE, 0, (first + PROBED) * SLICE, 0, SLOTS)
+                for end in "xy"
+            ]
             whats = [what for job in jobs for what in (Reserve(job, pieces), Free(job.name))]
-            done = self.order(*(Command(Fence(*opened[0].value), mark, what)
-                                for mark, what in enumerate(whats, 1)))
+            done = self.order(
+                *(Command(Fence(*opened[0].value), mark, what) for mark, what in enumerate(whats, 1))
+            )
             # The probe's session is not renewed: one that lapsed meanwhile says nothing of the room.
             if done and not any(each.code == LapsedLeaseError.code for each in done):
                 return not any(each.code for each in done)
@@ -204,23 +220,33 @@
     def settled(self) -> bool:
         """Whether each job has ended, or was never taken and is late."""
         now = self.time() if len(self.jobs) == JOBS else 0
-        return now > 0 and all(name in self.ended or (name not in self.open and job.deadline < now)
-                               for name, job in self.jobs.items())
+        return now > 0 and all(
+            name in self.ended or (name not in self.open and job.deadline < now)
+            for name, job in self.jobs.items()
+        )
 
     def figures(self) -> dict[str, float]:
         start = min(job.earliest for job in self.jobs.values()) // SLICE
         grains = max(job.deadline for job in self.jobs.values()) // SLICE - start
-        room = plan.Room(start, 1, SLICE, {f"{one}>{to}": (USABLE,) * grains for one in "abc" for to in "abc"
-                                           if one != to}, {site: (SLOTS,) * grains for site in "abc"})
+        room = plan.Room(
+            start,
+            1,
+            SLICE,
+            {f"{one}>{to}": (USABLE,) * grains for one in "abc" for to in "abc" if one != to},
+            {site: (SLOTS,) * grains for site in "abc"},
+        )
         wants = tuple(plan.wanted(room, job) for job in self.jobs.values())
         done = [job for name, job in self.jobs.items() if self.ended.get(name) == "committed"]
         first, most = plan.first_come(room, wants), yardstick(room, wants, 2.0)
         earned = sum(job.earnings for job in done)
-        return {"jobs": len(self.jobs), "committed": len(done),
-                "still_open": len(self.jobs) - len(self.ended),
-                "of_best_plan": round(earned / max(1, most), 3),
-                "deadlines_kept": round(len(done) / len(self.jobs), 3),
-                "deadlines_kept_first_come": round(len(first) / len(self.jobs), 3)}
+        return {
+            "jobs": len(self.jobs),
+            "committed": len(done),
+            "still_open": len(self.jobs) - len(self.ended),
+            "of_best_plan": round(earned / max(1, most), 3),
+            "deadlines_kept": round(len(done) / len(self.jobs), 3),
+            "deadlines_kept_first_come": round(len(first) / len(self.jobs), 3),
+        }
 
 
 def yardstick(room: plan.Room, wants: tuple[plan.Want, ...], seconds: float) -> int:
@@ -238,9 +264,17 @@
         directory, ledger = DirectoryStand(), Ledger()
         for number in range(UNITS):
             directory.put(f"u-{number}", HoldsStand(ledger).at)
-        host = Host(folder, KEEPERS, MEMBERS, broken=broken, lab="transfers", leader=lambda: leader(host),
-                    known=directory.whole(), directory=directory.at,
-                    moves=lambda host, me: places(folder, doors, host, me))
+        host = Host(
+            folder,
+            KEEPERS,
+            MEMBERS,
+            broken=broken,
+            lab="transfers",
+            leader=lambda: leader(host),
+            known=directory.whole(),
+            directory=directory.at,
+            moves=lambda host, me: places(folder, doors, host, me),
+        )
         with host:
             host.start()
             lab = Lab(host, folder)
@@ -260,9 +294,17 @@
                 lab.over.wait(CALM)
                 beside = beside, time.monotonic() if lab.moves.is_set() else beside
                 lasts = max(8.0, seconds - ENDS - (time.monotonic() - began))
-                script = faults.script(seed, faults.Plan(
-                    tuple(KEEPERS.items()), tuple(MEMBERS.items()), lasts=int(lasts * 1e6), kinds=KINDS,
-                    gap=4_000_000, lease=1_500_000))
+                script = faults.script(
+                    seed,
+                    faults.Plan(
+                        tuple(KEEPERS.items()),
+                        tuple(MEMBERS.items()),
+                        lasts=int(lasts * 1e6),
+                        kinds=KINDS,
+                        gap=4_000_000,
+                        lease=1_500_000,
+                    ),
+                )
                 threading.Thread(target=host.play, args=(script, lab.over, progress.say), daemon=True).start()
                 laying.join(JOBS)
                 until_ = began + seconds - 3.0
--- a/laurelcourse/lab/transfers_reqs.py
+++ b/laurelcourse/lab/transfers_reqs.py
@@ -7,12 +7,12 @@
 from laurelcourse.lab.report import part
 from laurelcourse.standins.postgres import PgClient, sql
 
-PAUSE = 0.01                    # seconds between two reqs of a client
-LEAST = 100                     # reqs on each side, or no ratio is told
+PAUSE = 0.01  # seconds between two reqs of a client
+LEAST = 100  # reqs on each side, or no ratio is told
 
 
 class Took(NamedTuple):
-    at: float                   # monotonic seconds, when asked
+    at: float  # monotonic seconds, when asked
     seconds: float
 
 
@@ -42,12 +42,15 @@
                 client = None
 
 
-def compared(took: list[Took], without: tuple[float, float],
-             beside: tuple[float, float]) -> dict[str, float]:
+def compared(took: list[Took], without: tuple[float, float], beside: tuple[float, float]) -> dict[str, float]:
     """The p99 in each of two stretches of time and their ratio; -1: too few reqs in one of them."""
     sides = [[one.seconds for one in took if since <= one.at < until] for since, until in (without, beside)]
     alone, loaded = (part(one, 0.99) for one in sides)
     enough = min(map(len, sides)) >= LEAST
-    return {"reqs_without": len(sides[0]), "reqs_beside": len(sides[1]),
-            "reqs_p99_without_ms": round(alone * 1000, 1), "reqs_p99_beside_ms": round(loaded * 1000, 1),
-            "reqs_p99_ratio": round(loaded / alone, 3) if enough else -1}
+    return {
+        "reqs_without": len(sides[0]),
+        "reqs_beside": len(sides[1]),
+        "reqs_p99_without_ms": round(alone * 1000, 1),
+        "reqs_p99_beside_ms": round(loaded * 1000, 1),
+        "reqs_p99_ratio": round(loaded / alone, 3) if enough else -1,
+    }
--- a/laurelcourse/lab/tuf.py
+++ b/laurelcourse/lab/tuf.py
@@ -28,19 +28,36 @@
 RELAYS, MIRRORS, KIOSKS, WORKERS = 2, 7, 200, 4
 CAPS, FREE, WINDOW, GRACE = (0.1, 0.5, 1.0), 2, 2.0, 2.0
 STAGE = 1.25 * WINDOW  # a stage lasts so long at least: its exposure is counted over a window
-EDGE = 0.5            # a stand-in that is short of CPU may see a try so late
+EDGE = 0.5  # a stand-in that is short of CPU may see a try so late
 MACHINES = (0.45, 0.6, 1.0)
-DRAIN = 3.0           # longer than the grace, so that who goes on asking is seen
-WHOLE = 40.0          # from so many seconds on the lab is played at its full size
+DRAIN = 3.0  # longer than the grace, so that who goes on asking is seen
+WHOLE = 40.0  # from so many seconds on the lab is played at its full size
 SIZES = {"small.bin": 3000, "app/medium.bin": 150_000, "large.bin": 2_000_000}
-HONEST = 2            # mirrors that no fault befalls, but while all are down
+HONEST = 2  # mirrors that no fault befalls, but while all are down
 FAULTS = (
-    ("metadata", "mixed"), ("metadata", "forged"), ("metadata", "flipped"), ("metadata", "endless"),
-    ("metadata", "frozen"), ("metadata", "frozen"), ("metadata", "frozen"), ("target", "flipped"),
-    ("target", "longer"), ("target", "shorter"),
-    ("target", "stall"), ("target", "drip"), ("target", "torn"), ("target", "unranged"),
-    ("target", "misranged"), ("target", "elsewhere"), ("", "failing"), ("", "busy"), ("", "slow"),
-    ("", "reset"), ("manifest", "lost"), ("manifest", "failing"))
+    ("metadata", "mixed"),
+    ("metadata", "forged"),
+    ("metadata", "flipped"),
+    ("metadata", "endless"),
+    ("metadata", "frozen"),
+    ("metadata", "frozen"),
+    ("metadata", "frozen"),
+    ("target", "flipped"),
+    ("target", "longer"),
+    ("target", "shorter"),
+    ("target", "stall"),
+    ("target", "drip"),
+    ("target", "torn"),
+    ("target", "unranged"),
+    ("target", "misranged"),
+    ("target", "elsewhere"),
+    ("", "failing"),
+    ("", "busy"),
+    ("", "slow"),
+    ("", "reset"),
+    ("manifest", "lost"),
+    ("manifest", "failing"),
+)
 EVERY, PUBLISHED_EVERY, SYNCED_WITHIN = 0.9, 3.0, 0.8
 DOWN, DOWN_AT, LOST, LOST_AT = 1.2, 0.85, 2.0, 0.3  # seconds, and shares of the time
 FREEZE, FREEZE_AT = 7.0, 0.35
@@ -55,16 +72,20 @@
 
     def __init__(self, seed: int, calm: bool, deduped: bool) -> None:
         self.chance, self.calm, self.lasts = Chance(seed), calm, 0.0
-        self.repositories = {"/image/": TufRepository(), "/plain/": TufRepository(False),
-                             "/fw/": TufRepository(), "/director/": TufRepository()}
+        self.repositories = {
+            "/image/": TufRepository(),
+            "/plain/": TufRepository(False),
+            "/fw/": TufRepository(),
+            "/director/": TufRepository(),
+        }
         self.version = 0
         self.hashes: set[str] = set()  # of all that was ever published
         self.published: list[tuple[float, int]] = []  # when a timestamp of the plain repository came out
         self.director = "deduped" if deduped else ""
         self.counted: set = set()
         self.manifests: list = []
-        self.down: list[tuple[float, float]] = []   # when no mirror gave metadata or files
-        self.lost: list[tuple[float, float]] = []   # when each director's answer was lost
+        self.down: list[tuple[float, float]] = []  # when no mirror gave metadata or files
+        self.lost: list[tuple[float, float]] = []  # when each director's answer was lost
         self.over = threading.Event()
         self.frozen: set[MirrorStand] = set()
         for name in ("/image/", "/plain/"):
@@ -76,12 +97,15 @@
         for prefix, one in self.repositories.items():
             for path, size in SIZES.items():
                 delegated = path.startswith("app/") and prefix in ("/image/", "/plain/")
-                custom = {"/fw/": {"hardwareIds": ["ecu"]}, "/director/": {
-                    "ecuIdentifiers": {"1": {"hardwareId": "ecu"}}}}.get(prefix)
+                custom = {
+                    "/fw/": {"hardwareIds": ["ecu"]},
+                    "/director/": {"ecuIdentifiers": {"1": {"hardwareId": "ecu"}}},
+                }.get(prefix)
                 # Metadata is signed anew more often than files change, and the large one stays.
                 version = 1 if path == "large.bin" else 1 + self.version // 3
-                target = one.add(path, kiosks.content(path, version, size),
-                                 "app" if delegated else "targets", custom)
+                target = one.add(
+                    path, kiosks.content(path, version, size), "app" if delegated else "targets", custom
+                )
                 self.hashes.add(target.hashes["sha256"])
             if self.version % 3 == 0:
                 one.rotate(("timestamp", "snapshot", "targets", "root")[self.version // 3 % 4])
@@ -153,8 +177,16 @@
             one.mode = mode
             due.append((now + lasts, lambda: setattr(one, "mode", "ok")))
 
-    def _all(self, fleet: Fleet, due: list, now: float, routes: tuple[str, ...], mode: str, lasts: float,
-             times: list[tuple[float, float]]) -> None:
+    def _all(
+        self,
+        fleet: Fleet,
+        due: list,
+        now: float,
+        routes: tuple[str, ...],
+        mode: str,
+        lasts: float,
+        times: list[tuple[float, float]],
+    ) -> None:
         """A fault at all mirrors at once."""
         times.append((now, now + lasts))
         for one, route in [(one, route) for one in fleet.ready for route in routes]:
@@ -164,19 +196,42 @@
 
 def spec(world: World, rig: Rig, seed: int, seconds: float, whole: bool) -> list[dict]:
     """What each worker's kiosks are to do."""
-    repositories = [{
-        "name": prefix.strip("/"), "prefix": prefix, "consistent": one.consistent, "root": one.pinned.hex(),
-        "paths": list(SIZES), "large": "large.bin"} for prefix, one in world.repositories.items()
-        if prefix != "/director/"]
+    repositories = [
+        {
+            "name": prefix.strip("/"),
+            "prefix": prefix,
+            "consistent": one.consistent,
+            "root": one.pinned.hex(),
+            "paths": list(SIZES),
+            "large": "large.bin",
+        }
+        for prefix, one in world.repositories.items()
+        if prefix != "/director/"
+    ]
     kinds = [kiosks.TUF] * 11 + [kiosks.PLAIN] * 5 + [kiosks.MANIFEST] * 3 + [kiosks.LEAVE]
-    told = [(number, {"kind": kinds[number % len(kinds)], "relay": number % RELAYS,
-                      "port": rig.ports[number % RELAYS]})
-            for number in range(KIOSKS if whole else KIOSKS // 3)]
-    common = {"seed": seed, "host": RELAY, "repositories": repositories, "pace": 3.2,
-              "manifests": "/director/manifest", "timeouts": TIMEOUTS}
+    told = [
+        (
+            number,
+            {
+                "kind": kinds[number % len(kinds)],
+                "relay": number % RELAYS,
+                "port": rig.ports[number % RELAYS],
+            },
+        )
+        for number in range(KIOSKS if whole else KIOSKS // 3)
+    ]
+    common = {
+        "seed": seed,
+        "host": RELAY,
+        "repositories": repositories,
+        "pace": 3.2,
+        "manifests": "/director/manifest",
+        "timeouts": TIMEOUTS,
+    }
     workers = WORKERS if whole else WORKERS // 2
-    return [{"seconds": seconds, "common": common, "kiosks": told[place::workers]}
-            for place in range(workers)]
+    return [
+        {"seconds": seconds, "common": common, "kiosks": told[place::workers]} for place in range(workers)
+    ]
 
 
 def straight(rig: Rig, mirror: MirrorStand, count: int) -> dict[str, float]:
@@ -184,8 +239,10 @@
     path, figures = "/plain/metadata/timestamp.json", {}
     relay = rig.relays[0]
     lags: dict[str, list[float]] = {"relay": [], "mirror": []}
-    conns = {"relay": http.client.HTTPConnection(RELAY, rig.ports[0]),
-             "mirror": http.client.HTTPConnection(*mirror.at.split(":"))}
+    conns = {
+        "relay": http.client.HTTPConnection(RELAY, rig.ports[0]),
+        "mirror": http.client.HTTPConnection(*mirror.at.split(":")),
+    }
     cpu = relay.cpu()
     for _ in range(count):
         for name, conn in conns.items():
@@ -234,6 +291,7 @@
             finally:
                 conn.close()
             over.wait(0.3)
+
     try:
         rig.start()
         idle = rig.relays[0].peak_mb()
@@ -251,8 +309,11 @@
         over.set()
         for thread in threads:
             thread.join(5)
-        return {"large_files_under_way": most, "memory_peak_mb": round(peak, 1),
-                "memory_idle_mb": round(idle, 1)}
+        return {
+            "large_files_under_way": most,
+            "memory_peak_mb": round(peak, 1),
+            "memory_idle_mb": round(idle, 1),
+        }
     finally:
         over.set()
         rig.close()
@@ -267,9 +328,15 @@
         uptane = {"director": "director", "image": "fw", "manifests": "/director/manifest"}
         changed = {
             "uptane": uptane | ({"counter": "report_counter"} if world.director else {}),
-            "release": {"caps": " ".join(map(str, CAPS)), "shares": " ".join(map(str, MACHINES)),
-                        "free": str(FREE), "window": f"{WINDOW:g}s", "bake": "1s"},
-            "state": {"folder": "state"}}
+            "release": {
+                "caps": " ".join(map(str, CAPS)),
+                "shares": " ".join(map(str, MACHINES)),
+                "free": str(FREE),
+                "window": f"{WINDOW:g}s",
+                "bake": "1s",
+            },
+            "state": {"folder": "state"},
+        }
         fleets: list[Fleet] = []
         deployer = Rollout(CAPS, lambda *news: fleets[0].moved(*news) if fleets else None, STAGE)
         rig = Rig(Path(folder) / "main", world.repositories, [], RELAYS, changed, broken, deployer)
@@ -285,8 +352,12 @@
             cpu = sum(one.cpu() for one in rig.relays)
             for told in spec(world, rig, seed, lasts, whole):
                 worker = subprocess.Popen(
-                    [sys.executable, "-m", "laurelcourse.lab.kiosks"], cwd=ROOT, text=True,
-                    stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+                    [sys.executable, "-m", "laurelcourse.lab.kiosks"],
+                    cwd=ROOT,
+                    text=True,
+                    stdin=subprocess.PIPE,
+                    stdout=subprocess.PIPE,
+                )
                 worker.stdin.write(json.dumps(told))
                 worker.stdin.close()
                 workers.append(worker)
@@ -316,20 +387,29 @@
     return Report("tuf", seed, time.monotonic() - began, figures, checks)
 
 
-def measured(world: World, sessions: list[dict], counts: list[dict[str, int]],
-             cpu: float) -> dict[str, float]:
+def measured(
+    world: World, sessions: list[dict], counts: list[dict[str, int]], cpu: float
+) -> dict[str, float]:
     def total(name: str) -> int:
         return sum(count.get(f"updates.{name}", 0) for count in counts)
+
     ends = [one["end"] for one in sessions if one["end"] != "left"]
-    up = [one for one in sessions if one["end"] != "left" and not any(
-        one["at"] < end and one["at"] + one["took"] > start
-        for start, end in (world.lost if one["kind"] == kiosks.MANIFEST else world.down))]
+    up = [
+        one
+        for one in sessions
+        if one["end"] != "left"
+        and not any(
+            one["at"] < end and one["at"] + one["took"] > start
+            for start, end in (world.lost if one["kind"] == kiosks.MANIFEST else world.down)
+        )
+    ]
     took = [one["took"] for one in sessions if one.get("route") == "metadata" and one["end"] == "completed"]
     files = [one["took"] for one in sessions if one.get("route") == "target" and one["end"] == "completed"]
     asked = [one for one in sessions if one.get("name") == "timestamp.json" or one["kind"] == "tuf"]
     delivered = total("bytes_delivered")
     return {
-        "sessions": len(ends), **{end: ends.count(end) for end in ("completed", "shed", "errored", "cut")},
+        "sessions": len(ends),
+        **{end: ends.count(end) for end in ("completed", "shed", "errored", "cut")},
         "completed_share_honest_up": round(sum(one["end"] == "completed" for one in up) / max(len(up), 1), 4),
         "bytes_delivered_mb": round(delivered / 1e6, 1),
         "bytes_fetched_over_delivered": round(total("bytes_fetched") / max(delivered, 1), 3),
@@ -338,11 +418,14 @@
         "metadata_p99_ms": round(part(took, 0.99) * 1000, 1),
         "target_p50_ms": round(part(files, 0.5) * 1000, 1),
         "target_p99_ms": round(part(files, 0.99) * 1000, 1),
-        "cpu_ms_a_req": round(cpu * 1000 / max(total("asked"), 1), 2), "http_reqs": total("asked"),
+        "cpu_ms_a_req": round(cpu * 1000 / max(total("asked"), 1), 2),
+        "http_reqs": total("asked"),
         "superseded_p99_s": round(part(superseded(world, sessions), 0.99), 1),
         "mirrors_wrong": total("mirrors_wrong"),
-        "mirrors_behind": total("mirrors_behind"), "mirrors_stalled": total("mirrors_stalled"),
-        "files_cut": total("files_cut")}
+        "mirrors_behind": total("mirrors_behind"),
+        "mirrors_stalled": total("mirrors_stalled"),
+        "files_cut": total("files_cut"),
+    }
 
 
 def judged(world: World, fleet: Fleet, deployer: Rollout, sessions: list[dict], stuck: int) -> list[Check]:
@@ -351,19 +434,41 @@
     extra = sum(bool(one.get("extra", 0)) for one in sessions)
     twice = len(world.manifests) - len(set(world.manifests))
     return [
-        Check("one_outcome_each", stuck + late + extra, 0,
-              "kiosks without exactly one outcome in time, and answers nobody asked for"),
-        Check("wrong_bytes_accepted", sum(wrong(world, one) for one in sessions), 0,
-              "complete files that are no published version of their path"),
-        Check("stale_metadata_passed", stale(sessions), 0,
-              "metadata older than given before, expired, or mixed"),
-        Check("to_draining_after_grace", draining(seen), 0,
-              "requests and bytes of a mirror 2 s after it was told to drain"),
-        Check("exposure_over_cap", exposure(seen, sessions, deployer), 0,
-              "tries at a release on trial beyond free + cap x reqs, by relay, in any 2 s"),
+        Check(
+            "one_outcome_each",
+            stuck + late + extra,
+            0,
+            "kiosks without exactly one outcome in time, and answers nobody asked for",
+        ),
+        Check(
+            "wrong_bytes_accepted",
+            sum(wrong(world, one) for one in sessions),
+            0,
+            "complete files that are no published version of their path",
+        ),
+        Check(
+            "stale_metadata_passed", stale(sessions), 0, "metadata older than given before, expired, or mixed"
+        ),
+        Check(
+            "to_draining_after_grace",
+            draining(seen),
+            0,
+            "requests and bytes of a mirror 2 s after it was told to drain",
+        ),
+        Check(
+            "exposure_over_cap",
+            exposure(seen, sessions, deployer),
+            0,
+            "tries at a release on trial beyond free + cap x reqs, by relay, in any 2 s",
+        ),
         Check("manifests_twice", twice, 0, "manifests that had their effect at the director twice"),
-        Check("answers_held_back", sum(held_back(one, seen) for one in sessions), 0,
-              "refusals near the time's end with nothing under way")]
+        Check(
+            "answers_held_back",
+            sum(held_back(one, seen) for one in sessions),
+            0,
+            "refusals near the time's end with nothing under way",
+        ),
+    ]
 
 
 def wrong(world: World, session: dict) -> bool:
@@ -378,11 +483,16 @@
     """What kiosks found stale themselves, expired or mixed; timestamps behind one that the same relay gave
     before."""
     found = sum(one.get("stale", 0) for one in sessions)
-    given = sorted((one for one in sessions if one.get("name") == "timestamp.json" and "version" in one),
-                   key=lambda one: one["at"])
+    given = sorted(
+        (one for one in sessions if one.get("name") == "timestamp.json" and "version" in one),
+        key=lambda one: one["at"],
+    )
     for place, one in enumerate(given):
-        before = [other["version"] for other in given[:place] if other["relay"] == one["relay"]
-                  and other["at"] + other["took"] < one["at"]]
+        before = [
+            other["version"]
+            for other in given[:place]
+            if other["relay"] == one["relay"] and other["at"] + other["took"] < one["at"]
+        ]
         found += one["version"] < max(before, default=0)
     return found
 
@@ -405,8 +515,12 @@
     """Reqs are counted as the mirrors saw them; those that no mirror saw were shed, as the kiosks saw."""
     relays = {f"n{number}": number for number in range(RELAYS)}
     tries: dict[int, list[tuple[float, int]]] = {}
-    taken = {number: [one["at"] + one["took"] for one in sessions
-                      if one["relay"] == number and one["end"] == "shed"] for number in relays.values()}
+    taken = {
+        number: [
+            one["at"] + one["took"] for one in sessions if one["relay"] == number and one["end"] == "shed"
+        ]
+        for number in relays.values()
+    }
     for machine, one in seen:
         if one.relay:
             taken[relays[one.relay]].append(one.at)
@@ -423,5 +537,11 @@
     if session["route"] == "metadata":
         place = place.rpartition("/")[0]
     # A mirror that took its time excuses a late answer; one that failed at once does not.
-    return not any(one.relay == relay and one.path.startswith(place) and session["at"] < one.at < ended
-                   and one.done > ended - IDLE and one.done - one.at > SLOW for _, one in seen)
+    return not any(
+        one.relay == relay
+        and one.path.startswith(place)
+        and session["at"] < one.at < ended
+        and one.done > ended - IDLE
+        and one.done - one.at > SLOW
+        for _, one in seen
+    )
--- a/laurelcourse/lab/workflows.py
+++ b/laurelcourse/lab/workflows.py
@@ -22,11 +22,11 @@
 
 KEEPERS, MEMBERS = {"k1": "a", "k2": "b", "k3": "c"}, {"m1": "a", "m2": "b", "m3": "c"}
 UNITS, CLIENTS, WAIT, PAUSE = 4, 6, 8.0, 0.15
-SETTLES, STARTS = 12.0, 8.0    # seconds of the whole, at most: after the faults, before them
+SETTLES, STARTS = 12.0, 8.0  # seconds of the whole, at most: after the faults, before them
 KINDS = (faults.KILL, faults.KILL_LEADER, faults.PAUSE, faults.CUT, faults.SILENT, faults.SITE_CUT)
-CALM = 3.0                     # seconds before the first fault
+CALM = 3.0  # seconds before the first fault
 LEASE = int(FLEET["lease"].removesuffix("ms")) * 1000
-SLOW = 0.4                                       # seconds that some steps take
+SLOW = 0.4  # seconds that some steps take
 WHAT = {
     "out_of_order": "steps or undos that took effect out of their order",
     "effects_left_behind": "holds left at units by undone workflows",
@@ -35,7 +35,8 @@
     "two_owners_acted": "statements that came after their workflow had gone on without them",
     "undo_of_never_ran": "undos of steps that a unit had refused, where the relay heard so",
     "one_outcome_each": "answers that differ from how the workflow ended, or are none",
-    "answered_after_deadline": "answers after the client's time"}
+    "answered_after_deadline": "answers after the client's time",
+}
 
 
 def statement(name: str) -> str:
@@ -44,15 +45,38 @@
 
 def definition() -> str:
     def step(name: str) -> str:
-        undo = element("undo", {"route": "mark", "statement": statement(f"free.{name}"), "timeout": "600ms",
-                                "harmless": "true"})
-        return element("step", {"name": name, "route": "mark", "statement": statement(f"hold.{name}"),
-                                "timeout": "600ms"}, undo)
-    notice = element("step", {"name": "notice", "route": "once", "statement": statement("notice.note"),
-                              "timeout": "600ms", "no-return": "true", "fails": "harmless"})
-    return element("workflow", {"name": "booking", "timeout": "8s", "tries": "1000", "back-off": "50ms",
-                                "longest-back-off": "500ms"},
-                   "".join(map(step, ("room", "device", "slot"))) + notice)
+        undo = element(
+            "undo",
+            {"route": "mark", "statement": statement(f"free.{name}"), "timeout": "600ms", "harmless": "true"},
+        )
+        return element(
+            "step",
+            {"name": name, "route": "mark", "statement": statement(f"hold.{name}"), "timeout": "600ms"},
+            undo,
+        )
+
+    notice = element(
+        "step",
+        {
+            "name": "notice",
+            "route": "once",
+            "statement": statement("notice.note"),
+            "timeout": "600ms",
+            "no-return": "true",
+            "fails": "harmless",
+        },
+    )
+    return element(
+        "workflow",
+        {
+            "name": "booking",
+            "timeout": "8s",
+            "tries": "1000",
+            "back-off": "50ms",
+            "longest-back-off": "500ms",
+        },
+        "".join(map(step, ("room", "device", "slot"))) + notice,
+    )
 
 
 class Caller:
@@ -76,15 +100,25 @@
             ledger = self.lab.ledger
             client, gone = self._client(), threading.Event()
             moment = (lambda: False) if dice % 10 == 7 else partial(ledger.statements, f"notice.note.{mark}")
-            leaving = threading.Thread(target=leave, args=(
-                client, gone, moment, 0.05 * (1 + self.chance.below(20)) if dice % 10 == 7 else WAIT))
+            leaving = threading.Thread(
+                target=leave,
+                args=(client, gone, moment, 0.05 * (1 + self.chance.below(20)) if dice % 10 == 7 else WAIT),
+            )
             if dice % 10 == 7 or 24 <= dice < 36:
                 leaving.start()
             began = time.monotonic()
             told = client.start("booking", f"firm-{self.number}", mark, {"mark": mark}, WAIT)
             took = time.monotonic() - began
-            self.lab.asked.append(Asked(mark, began, took, WAIT, None if gone.is_set() else told,
-                                        not self.lab.met(began, began + took)))
+            self.lab.asked.append(
+                Asked(
+                    mark,
+                    began,
+                    took,
+                    WAIT,
+                    None if gone.is_set() else told,
+                    not self.lab.met(began, began + took),
+                )
+            )
             self.lab.tenants[mark] = f"firm-{self.number}"
             client.close()
 
@@ -120,8 +154,10 @@
 
     def met(self, began: float, ended: float) -> bool:
         """Whether a relay may have been paused in this time: one that is, can't answer."""
-        return any(began - 3 * LEASE / 1e6 < at < ended and faults.PAUSE in line.split()
-                   for at, line in list(self.faults))
+        return any(
+            began - 3 * LEASE / 1e6 < at < ended and faults.PAUSE in line.split()
+            for at, line in list(self.faults)
+        )
 
     def tell(self, line: str) -> None:
         self.faults.append((time.monotonic(), line))
@@ -135,8 +171,9 @@
             try:
                 client = client or PgClient(port)
                 began = time.monotonic()
-                letters, _, _ = client.ask(f"SELECT blob FROM rows WHERE handle = 'ab' "
-                                           f"/* id=p{number},c=read,d=1500 */")
+                letters, _, _ = client.ask(
+                    f"SELECT blob FROM rows WHERE handle = 'ab' /* id=p{number},c=read,d=1500 */"
+                )
                 if letters == "TDCZ":
                     self.plain.append(time.monotonic() - began)
                 else:
@@ -168,8 +205,11 @@
                 continue
             for one in self.asked:
                 if one.began < at < one.began + one.took and one.took > LEASE / 1e6:
-                    later = [came.at for came in self.ledger.came
-                             if came.thing.endswith(f".{one.mark}") and came.at > at + LEASE / 2e6]
+                    later = [
+                        came.at
+                        for came in self.ledger.came
+                        if came.thing.endswith(f".{one.mark}") and came.at > at + LEASE / 2e6
+                    ]
                     found += [min(later) - at] if later else []
         return found
 
@@ -190,8 +230,17 @@
         ledger, directory = Ledger(), DirectoryStand()
         for place in range(UNITS):
             directory.put(f"u-{place}", HoldsStand(ledger).at)
-        host = Host(Path(folder), KEEPERS, MEMBERS, flows=definition(), known=directory.whole(),
-                    directory=directory.at, broken=broken, lab="workflows", leader=lambda: leader(host))
+        host = Host(
+            Path(folder),
+            KEEPERS,
+            MEMBERS,
+            flows=definition(),
+            known=directory.whole(),
+            directory=directory.at,
+            broken=broken,
+            lab="workflows",
+            leader=lambda: leader(host),
+        )
         with host:
             host.start()
             return _run(Lab(host, ledger), seed, began, seconds, progress)
@@ -206,8 +255,14 @@
     threading.Thread(target=lab.ask_plain, daemon=True).start()
     lab.over.wait(CALM)
     lasts = max(seconds - SETTLES - WAIT - (time.monotonic() - began), 5.0)
-    plan = faults.Plan(tuple(KEEPERS.items()), tuple(MEMBERS.items()), lasts=int(lasts * 1e6), lease=LEASE,
-                       kinds=KINDS, gap=2_000_000)
+    plan = faults.Plan(
+        tuple(KEEPERS.items()),
+        tuple(MEMBERS.items()),
+        lasts=int(lasts * 1e6),
+        lease=LEASE,
+        kinds=KINDS,
+        gap=2_000_000,
+    )
     played = time.monotonic()
     host.play(faults.script(seed, plan), threading.Event(), lambda line: (lab.tell(line), progress.say(line)))
     lab.over.wait(max(played + lasts - time.monotonic(), 0))
@@ -215,18 +270,27 @@
     for one in callers:
         one.thread.join(WAIT + 2)
     final = lab.final(began + seconds)
-    seen = by_mark(lab.tenants, ledger.came, ledger.effects, frozenset(
-        name.partition(".")[2] for name, answer in ledger.answers.items() if answer == "syntax"))
+    seen = by_mark(
+        lab.tenants,
+        ledger.came,
+        ledger.effects,
+        frozenset(name.partition(".")[2] for name, answer in ledger.answers.items() if answer == "syntax"),
+    )
     counts = judged(seen, lab.asked, final)
     took, takes = [one.took for one in lab.asked if one.told], lab.taken_over()
     figures = {
-        "workflows": len(lab.tenants), "faults": len(lab.faults),
+        "workflows": len(lab.tenants),
+        "faults": len(lab.faults),
         "done": sum(one.answer == DONE for one in final.values()),
         "undone": sum(one.answer == UNDONE for one in final.values()),
         "settled_share": round(len(final) / max(len(lab.tenants), 1), 4),
-        "taken_over": len(takes), "taken_over_s": round(part(takes, 0.5), 2),
+        "taken_over": len(takes),
+        "taken_over_s": round(part(takes, 0.5), 2),
         "taken_over_worst_s": round(max(takes, default=0.0), 2),
-        "flow_p50_ms": round(part(took, 0.5) * 1000, 1), "flow_p99_ms": round(part(took, 0.99) * 1000, 1),
-        "plain_reqs": len(lab.plain), "plain_p99_ms": round(part(lab.plain, 0.99) * 1000, 1)}
+        "flow_p50_ms": round(part(took, 0.5) * 1000, 1),
+        "flow_p99_ms": round(part(took, 0.99) * 1000, 1),
+        "plain_reqs": len(lab.plain),
+        "plain_p99_ms": round(part(lab.plain, 0.99) * 1000, 1),
+    }
     checks = [Check(name, counts[name], 0, WHAT[name]) for name in WHAT]
     return Report("workflows", seed, time.monotonic() - began, figures, checks)
--- a/laurelcourse/messages.py
+++ b/laurelcourse/messages.py
@@ -13,7 +13,7 @@
 UNIT = struct.Struct("<IB")
 OPINION = struct.Struct("<BBIIHH")
 ROWS, LARGEST = (MOST - HEAD.size) // ROW.size, 255
-HOLDS = {"B": LARGEST, "H": (1 << 16) - 1, "I": (1 << 32) - 1, "f": (2 - 2.0 ** -23) * 2.0 ** 127}
+HOLDS = {"B": LARGEST, "H": (1 << 16) - 1, "I": (1 << 32) - 1, "f": (2 - 2.0**-23) * 2.0**127}
 DOUBTED = (MOST - 3) // UNIT.size
 
 
@@ -64,7 +64,7 @@
 
 def pack_loads(loads: list[tuple]) -> bytes:
     """Of each unit: its open tries, how many lately ended and failed, and how many ended well on end."""
-    packed = [pack(LOAD, *load) for load in loads[:(MOST - 2) // LOAD.size]]
+    packed = [pack(LOAD, *load) for load in loads[: (MOST - 2) // LOAD.size]]
     return bytes((VERSION, LOADS)) + b"".join(packed)
 
 
@@ -78,12 +78,15 @@
     return bytes((VERSION, DOUBTS, where)) + b"".join(pack(UNIT, *unit) for unit in units[:DOUBTED])
 
 
-def pack_sums(epoch: int, number: int, build: int, complained: int, rows: list,
-              opened: int = 0) -> list[bytes]:
+def pack_sums(
+    epoch: int, number: int, build: int, complained: int, rows: list, opened: int = 0
+) -> list[bytes]:
     """As many messages as the rows need; a row begins with its route's place."""
     head = pack(HEAD, VERSION, SUMS, epoch, number, build, complained, opened)
-    return [head + b"".join(pack(ROW, *row) for row in rows[first:first + ROWS])
-            for first in range(0, len(rows), ROWS) or (0,)]
+    return [
+        head + b"".join(pack(ROW, *row) for row in rows[first : first + ROWS])
+        for first in range(0, len(rows), ROWS) or (0,)
+    ]
 
 
 def pack_word(word: Word) -> bytes:
@@ -103,11 +106,11 @@
     if what == DOUBTS and size > 3 and (size - 3) % UNIT.size == 0:
         return what, Doubts(payload[2], list(UNIT.iter_unpack(payload[3:])))
     if what == SUMS and size >= HEAD.size and (size - HEAD.size) % ROW.size == 0:
-        rows = {place: row for place, *row in ROW.iter_unpack(payload[HEAD.size:])}
+        rows = {place: row for place, *row in ROW.iter_unpack(payload[HEAD.size :])}
         if all(place < routes and all(map(math.isfinite, row)) for place, row in rows.items()):
             return what, Told(*HEAD.unpack_from(payload)[2:], rows)
     if what == WORD and size > OPINION.size + routes:
-        parts = tuple(part / LARGEST for part in payload[OPINION.size:size - routes - 1])
-        *usual, wait = (2 ** ((one - 128) / 8) if one else 0.0 for one in payload[size - routes - 1:])
+        parts = tuple(part / LARGEST for part in payload[OPINION.size : size - routes - 1])
+        *usual, wait = (2 ** ((one - 128) / 8) if one else 0.0 for one in payload[size - routes - 1 :])
         return what, Word(*OPINION.unpack_from(payload)[2:], parts, tuple(usual), wait)
     return None
--- a/laurelcourse/net/assembly.py
+++ b/laurelcourse/net/assembly.py
@@ -49,8 +49,14 @@
 
     front: Front
 
-    def __init__(self, scheduler: Scheduler, config: Config, counters: Counters,
-                 exchange: Callable[[Choices], Exchange], upstream: Limits | None = None) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        config: Config,
+        counters: Counters,
+        exchange: Callable[[Choices], Exchange],
+        upstream: Limits | None = None,
+    ) -> None:
         """`upstream`: the limits of connections to units, where they differ."""
         self.scheduler, self.config, self.counters = scheduler, config, counters
         self.choices = Choices(scheduler, config.settings, config.seed, counters)
@@ -58,8 +64,9 @@
         self.pool = Pool(scheduler, upstream or config.limits, self.exchange.greet, counters)
         self.tries = Tries(scheduler, self.pool, self.exchange, counters, self.choices.may_write)
         self.lives = Lives(scheduler, self.choices, self.tries, counters)
-        self.doors = Doors(scheduler, config.limits, self.pool.drop_idle, counters,
-                           lambda client: self.front.serve(client))
+        self.doors = Doors(
+            scheduler, config.limits, self.pool.drop_idle, counters, lambda client: self.front.serve(client)
+        )
         self.probed = Mailbox(scheduler)
         self.listener: socket.socket | None = None
         self.listing: Listing | None = None
--- a/laurelcourse/net/choices.py
+++ b/laurelcourse/net/choices.py
@@ -22,8 +22,13 @@
         self.left: dict[str, Callable[[], bool]] = {}
         self.holds_list = False
         self.carry: dict[str, Callable[[Result], None]] = {
-            face.SEND: self._to_req, face.SHED: self._to_req, face.ERROR: self._to_req,
-            face.CANCEL: self._to_req, face.WAKE: self._wake, face.NOTE: self._note}
+            face.SEND: self._to_req,
+            face.SHED: self._to_req,
+            face.ERROR: self._to_req,
+            face.CANCEL: self._to_req,
+            face.WAKE: self._wake,
+            face.NOTE: self._note,
+        }
 
     def on(self, verb: str, carry: Callable[..., None]) -> None:
         """Names who carries out the results with this verb."""
@@ -67,8 +72,9 @@
     def take(self, req: str, route: str, key: int | None, left: int, repeated: bool) -> None:
         self._call("new_req", req, route, "", key, left, repeated, req=req)
 
-    def outcome(self, req: str, number: int, unit: int, status: str, lag: int, last: bool,
-                load: dict[str, float]) -> None:
+    def outcome(
+        self, req: str, number: int, unit: int, status: str, lag: int, last: bool, load: dict[str, float]
+    ) -> None:
         self._call("outcome", req, number, unit, status, lag, last, load, req=req)
 
     def may_write(self, req: str, number: int) -> bool:
@@ -104,8 +110,16 @@
 
     def stage(self, news: State, vote_ended: str | None = None) -> None:
         """News of the newest build, unasked or as the end of a vote."""
-        self._call("stage", news.build, news.stage, news.standing, vote_ended is not None,
-                  vote_ended or face.COUNTED, news.cap, news.since)
+        self._call(
+            "stage",
+            news.build,
+            news.stage,
+            news.standing,
+            vote_ended is not None,
+            vote_ended or face.COUNTED,
+            news.cap,
+            news.since,
+        )
 
     def tally(self, found: Tally) -> None:
         self._call("tally", *found)
--- a/laurelcourse/net/config.py
+++ b/laurelcourse/net/config.py
@@ -27,7 +27,7 @@
     peers_all: Address | None
     news: State
     known: Members
-    load_told: bool               # whether a unit's report holds anything
+    load_told: bool  # whether a unit's report holds anything
     limits: Limits
     settings: settings.Settings
 
@@ -48,15 +48,20 @@
     if news.standing == face.ON_TRIAL and news.stage >= len(known.stage_caps):
         raise SettingsError(f"has in 'pipeline.news' stage {news.stage}, which 'settings.domain.rings' lacks")
     return Config(
-        name=tree.text("name"), listen=readable(tree, "listen", address),
-        directory=readable(tree, "discovery", address), deployer=readable(tree, "pipeline.address", address),
+        name=tree.text("name"),
+        listen=readable(tree, "listen", address),
+        directory=readable(tree, "discovery", address),
+        deployer=readable(tree, "pipeline.address", address),
         seed=readable(tree, "seed", lambda text: int(text, 16)),
         peer_listen=readable(tree, "peer_listen", address) if told else None,
         peers=readable(tree, "peers", lambda all_: tuple(map(address, all_))) if told else (),
         peers_all=readable(tree, "peers_all", address) if told else None,
-        news=news, known=readable(tree, "known", members),
-        load_told=bool(tree.branch("settings.reporting").root.get("names")), limits=limits(tree),
-        settings=known)
+        news=news,
+        known=readable(tree, "known", members),
+        load_told=bool(tree.branch("settings.reporting").root.get("names")),
+        limits=limits(tree),
+        settings=known,
+    )
 
 
 def read(path: str) -> Config:
--- a/laurelcourse/net/connection.py
+++ b/laurelcourse/net/connection.py
@@ -26,11 +26,11 @@
         self.shrink()
         if self.end == len(self.data) and self.start:
             held = len(self)
-            self.data[:held] = self.data[self.start:self.end]
+            self.data[:held] = self.data[self.start : self.end]
             self.start, self.end = 0, held
         if self.end == len(self.data):
             self.data.extend(bytes(min(len(self.data), self.most - len(self.data))))
-        return memoryview(self.data)[self.end:]
+        return memoryview(self.data)[self.end :]
 
     def shrink(self) -> None:
         if self.start == self.end:
@@ -42,7 +42,7 @@
         self.start += count
 
     def take(self) -> bytes:
-        taken, self.start = bytes(self.data[self.start:self.end]), self.end
+        taken, self.start = bytes(self.data[self.start : self.end]), self.end
         return taken
 
 
@@ -55,8 +55,9 @@
         sock.setblocking(False)
 
     @classmethod
-    def connect(cls, scheduler: Scheduler, address: tuple[str, int], limits: Limits,
-                until: int) -> "Connection | None":
+    def connect(
+        cls, scheduler: Scheduler, address: tuple[str, int], limits: Limits, until: int
+    ) -> "Connection | None":
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError:
@@ -113,8 +114,13 @@
         reason = self.scheduler.wait(self.fd, CLOSED, box) if self.open else ENDED
         return MAIL if reason == MAIL else ENDED
 
-    def write(self, data: bytes, until: int | None = None, box: Mailbox | None = None,
-              may: Callable[[], bool] | None = None) -> bool:
+    def write(
+        self,
+        data: bytes,
+        until: int | None = None,
+        box: Mailbox | None = None,
+        may: Callable[[], bool] | None = None,
+    ) -> bool:
         """Whether the last byte was written; without a deadline, the limits' patience is one. Mail ends it
         while it waits; `may` is asked whenever the rest had to wait."""
         written = 0
--- a/laurelcourse/net/deployer.py
+++ b/laurelcourse/net/deployer.py
@@ -43,7 +43,7 @@
         self.changed, self.moved = Mailbox(scheduler), Mailbox(scheduler)
         self.stages = len(config.settings.stage_caps)
         self.heard, self.heard_at = forms.NOWHERE, 0  # the state told last, when
-        self.heard_on: Stream | None = None           # and by which stream, if not by a vote's answer
+        self.heard_on: Stream | None = None  # and by which stream, if not by a vote's answer
         self.pauses = Pauses(config.limits, config.seed, "notices stream")
 
     def move(self, address: Address) -> None:
@@ -87,8 +87,7 @@
     def _overtaken(self, told: forms.State, stream: Stream) -> bool:
         """A line may lie unread while a vote, or another stream, is told what came behind it. One on a stream
         that began later, or that told the last state itself, was written later."""
-        return (self.heard_at >= stream.began and self.heard_on is not stream
-                and forms.lifts(told, self.heard))
+        return self.heard_at >= stream.began and self.heard_on is not stream and forms.lifts(told, self.heard)
 
     def keep_hearing(self) -> None:
         """Holds one stream; one lost, silent or left behind is opened anew, and held until the new one
@@ -116,8 +115,8 @@
                 tried = None
                 self._rest(self.pauses.failed("no stream"))
             elif tried is None and (
-                    held is None or now - held.heard >= silence or held.address != self.address
-                    or held.overtaken):
+                held is None or now - held.heard >= silence or held.address != self.address or held.overtaken
+            ):
                 tried = Stream(now, self.address)
                 self.counters.add("notices_opened")
                 self.scheduler.spawn(self._hear, tried)
--- a/laurelcourse/net/directory.py
+++ b/laurelcourse/net/directory.py
@@ -21,8 +21,9 @@
 
 
 class Directory:
-    def __init__(self, scheduler: Scheduler, config: Config, choices: Choices, pool: Pool,
-                 counters: Counters) -> None:
+    def __init__(
+        self, scheduler: Scheduler, config: Config, choices: Choices, pool: Pool, counters: Counters
+    ) -> None:
         self.scheduler, self.address, self.limits = scheduler, config.directory, config.limits
         self.choices, self.pool, self.counters = choices, pool, counters
         self.must_ask = config.settings.must_ask
--- a/laurelcourse/net/doors.py
+++ b/laurelcourse/net/doors.py
@@ -19,16 +19,22 @@
     def __init__(self, conn: Connection, box: Mailbox, accepted: int, address: str) -> None:
         self.conn, self.box, self.accepted, self.address = conn, box, accepted, address
         self.stopping = self.heard = False  # heard: it has sent something that could be served
-        self.faults = 0                     # on end
-        self.stop_told = 0                  # when it was told to stop, between reqs
+        self.faults = 0  # on end
+        self.stop_told = 0  # when it was told to stop, between reqs
 
     def stop(self) -> None:
         self.box.put((STOP,))
 
 
 class Doors:
-    def __init__(self, scheduler: Scheduler, limits: Limits, spare: Callable[[], bool], counters: Counters,
-                 serve: Callable[[Client], None]) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        spare: Callable[[], bool],
+        counters: Counters,
+        serve: Callable[[Client], None],
+    ) -> None:
         """`spare` gives up a descriptor kept for later, if there is one; `serve` has a client's task."""
         self.scheduler, self.limits, self.spare, self.counters = scheduler, limits, spare, counters
         self.serve = serve
@@ -135,9 +141,13 @@
         goes, nor one with something to read: its req may just have come."""
         now, limits = self.scheduler.now(), self.limits
         for waiting, rest in (
-                (self.faulty, 0), (self.turned_away, limits.spare_least),
-                (self.silent, 4 * limits.spare_least), (self.idle, limits.spare),
-                (self.partial, 4 * limits.spare_least), (self.idle, limits.spare_least)):
+            (self.faulty, 0),
+            (self.turned_away, limits.spare_least),
+            (self.silent, 4 * limits.spare_least),
+            (self.idle, limits.spare),
+            (self.partial, 4 * limits.spare_least),
+            (self.idle, limits.spare_least),
+        ):
             for client, since in waiting.items():
                 if since + rest > now:
                     break
@@ -226,8 +236,11 @@
         in the machine: a req whose last byte is written there must not be closed for want of memory. One that
         does not go on in time gives way. Whether this one stays."""
         conn, limits = client.conn, self.limits
-        while conn.open and len(conn.buffer.data) > limits.buffer_usual and limits.unfinished < sum(
-                len(one.conn.buffer.data) for one in self.partial):
+        while (
+            conn.open
+            and len(conn.buffer.data) > limits.buffer_usual
+            and limits.unfinished < sum(len(one.conn.buffer.data) for one in self.partial)
+        ):
             oldest, began = next(iter(self.partial.items()))
             if began + 4 * limits.spare_least <= self.scheduler.now() and not oldest.conn.peek():
                 self.counters.add("clients_over_memory")
--- a/laurelcourse/net/forms.py
+++ b/laurelcourse/net/forms.py
@@ -11,8 +11,12 @@
 
 Address = tuple[str, int]
 HEALTH = {"active": face.READY, "leaving": face.DRAINING, "left": face.GONE}
-PHASES = {"Progressing": face.ON_TRIAL, "Aborting": face.GOING_BACK, "Healthy": face.RELEASED,
-          "Aborted": face.WITHDRAWN}
+PHASES = {
+    "Progressing": face.ON_TRIAL,
+    "Aborting": face.GOING_BACK,
+    "Healthy": face.RELEASED,
+    "Aborted": face.WITHDRAWN,
+}
 COMES = (face.ON_TRIAL, face.RELEASED, face.GOING_BACK, face.WITHDRAWN)  # in the order in which a build does
 VERDICTS = {face.NO_VOTE: "blank", face.VOTE_ON: "go", face.VOTE_HOLD: "stay", face.VOTE_BACK: "stop"}
 ENDS = {"limit": face.REFUSED, "moot": face.VOID, "error": face.BROKE, "malformed": face.BROKE}
@@ -101,10 +105,14 @@
     health, where, build = HEALTH[one["phase"]], one.get("host_port"), one.get("revision_no")
     sendable = build is not None and where is not None
     listed = face.Listed(
-        unit=number(words(one["id"])), zone=words(one["locality"]) if one.get("locality", "") != "" else "",
-        cell=whole(one.get("cell", 0)), build=0 if build is None else whole(build),
+        unit=number(words(one["id"])),
+        zone=words(one["locality"]) if one.get("locality", "") != "" else "",
+        cell=whole(one.get("cell", 0)),
+        build=0 if build is None else whole(build),
         health=face.DRAINING if health == face.READY and not sendable else health,
-        size=part(one.get("size", 1), MOST_WHOLE), since=micros(one.get("up_since_ms", 0)) or face.LONG_AGO)
+        size=part(one.get("size", 1), MOST_WHOLE),
+        since=micros(one.get("up_since_ms", 0)) or face.LONG_AGO,
+    )
     found = None if where is None or (health == face.GONE and not where) else address(where)
     return listed, found if sendable else None
 
@@ -112,8 +120,11 @@
 def members(root: dict) -> Members:
     try:
         entries = [member(one) for one in root["members"]]
-        bare = tuple(one["id"] for one, (listed, _) in zip(root["members"], entries, strict=True)
-                     if HEALTH[one["phase"]] != listed.health)
+        bare = tuple(
+            one["id"]
+            for one, (listed, _) in zip(root["members"], entries, strict=True)
+            if HEALTH[one["phase"]] != listed.health
+        )
         if not isinstance(root["complete"], bool):
             raise ValueError("complete is neither true nor false")
         return Members(whole(root["revision"], MOST_REVISION), root["complete"], entries, bare)
@@ -123,8 +134,13 @@
 
 def state(fields: dict) -> State:
     try:
-        return State(whole(fields["build"]), whole(fields["stage"]), PHASES[fields["phase"]],
-                     part(fields["cap"], 1.0), micros(fields["age_ms"]))
+        return State(
+            whole(fields["build"]),
+            whole(fields["stage"]),
+            PHASES[fields["phase"]],
+            part(fields["cap"], 1.0),
+            micros(fields["age_ms"]),
+        )
     except UNREADABLE as error:
         raise FormError(f"an unreadable state: {type(error).__name__} {error}") from None
 
@@ -143,8 +159,14 @@
 
 def tally(fields: dict) -> Tally:
     try:
-        return Tally(micros(fields["age_ms"]), micros(fields.get("mean_ms") or 0), whole(fields["build"]),
-                     fields["class"], whole(fields["failed"]), whole(fields["count"]))
+        return Tally(
+            micros(fields["age_ms"]),
+            micros(fields.get("mean_ms") or 0),
+            whole(fields["build"]),
+            fields["class"],
+            whole(fields["failed"]),
+            whole(fields["count"]),
+        )
     except UNREADABLE as error:
         raise FormError(f"unreadable metrics: {type(error).__name__} {error}") from None
 
@@ -155,8 +177,10 @@
 
 def decoded(body: bytes) -> object:
     """JSON alone: Python's reader would take NaN and Infinity too."""
+
     def refuse(name: str) -> None:
         raise FormError(f"{name} in a list")
+
     return json.loads(body, parse_constant=refuse)
 
 
