--- a/tests/test_fleet_budgets_lab.py
+++ b/tests/test_fleet_budgets_lab.py
@@ -11,38 +11,51 @@
 from laurelcourse.lab.budgets_seen import Asked, Span
 from laurelcourse.lab.guards import GUARDS
 
-SHORT = "20"        # seconds: the lab's short form
+SHORT = "20"  # seconds: the lab's short form
 
 
-@pytest.mark.parametrize(("times", "whole", "burst", "over"), [
-    ([0.1 * at for at in range(20)], 10, 1, 0),
-    ([0.05 * at for at in range(40)], 10, 1, 28),   # the 13th within a second is one beyond 10 * 1.15 + 1
-    ([0.0] * 5, 2, 1, 2)])
+@pytest.mark.parametrize(
+    ("times", "whole", "burst", "over"),
+    [
+        ([0.1 * at for at in range(20)], 10, 1, 0),
+        ([0.05 * at for at in range(40)], 10, 1, 28),  # the 13th within a second is one beyond 10 * 1.15 + 1
+        ([0.0] * 5, 2, 1, 2),
+    ],
+)
 def test_a_rate_is_held_against_its_whole_in_any_window(
-        times: list[float], whole: float, burst: float, over: int) -> None:
+    times: list[float], whole: float, burst: float, over: int
+) -> None:
     assert seen.over_rate(times, whole, burst, (1.0,)) == over
 
 
-@pytest.mark.parametrize(("moves", "over"), [
-    ([(0.0, 1), (1.0, 1), (2.0, 1)], 1),
-    ([(0.0, 1), (1.0, 1), (2.1, -1), (2.0, 1)], 0),     # heard of out of order, within the edge
-    ([(0.0, 1), (1.0, 1), (2.4, -1), (2.0, 1)], 1)])
+@pytest.mark.parametrize(
+    ("moves", "over"),
+    [
+        ([(0.0, 1), (1.0, 1), (2.0, 1)], 1),
+        ([(0.0, 1), (1.0, 1), (2.1, -1), (2.0, 1)], 0),  # heard of out of order, within the edge
+        ([(0.0, 1), (1.0, 1), (2.4, -1), (2.0, 1)], 1),
+    ],
+)
 def test_a_level_counts_what_is_held_at_once(moves: list[tuple[float, int]], over: int) -> None:
     assert seen.over_level(moves, 2) == over
 
 
-@pytest.mark.parametrize(("used", "refused", "beyond", "left"), [
-    (4, 9, 0, 0), (9, 9, 5, 0), (0, 9, 0, 1), (0, 2, 0, 0)])
+@pytest.mark.parametrize(
+    ("used", "refused", "beyond", "left"), [(4, 9, 0, 0), (9, 9, 5, 0), (0, 9, 0, 1), (0, 2, 0, 0)]
+)
 def test_a_floor_is_an_upper_and_a_lower_bound_without_a_lease(
-        used: int, refused: int, beyond: int, left: int) -> None:
+    used: int, refused: int, beyond: int, left: int
+) -> None:
     more, denied = ([(0.3 * at, "m") for at in range(count)] for count in (used, refused))
     spans = [Span("m", 0.0, 3.0), Span("other", 0.0, 3.0)]
     assert seen.beyond_floor(more, spans, 1) == beyond
     assert seen.floor_left(denied, more, spans, 1, 2.0, 0.5) == left
 
 
-@pytest.mark.parametrize(("relay", "letters", "excused"), [
-    ("m", "", True), ("m", "TDCZ", True), ("m", "TDCZTDCZ", False), ("k", "", False)])
+@pytest.mark.parametrize(
+    ("relay", "letters", "excused"),
+    [("m", "", True), ("m", "TDCZ", True), ("m", "TDCZTDCZ", False), ("k", "", False)],
+)
 def test_only_a_killed_or_paused_relay_owes_no_answer(relay: str, letters: str, excused: bool) -> None:
     one = Asked("1", relay, 1.0)
     one.letters = letters
@@ -54,8 +67,13 @@
 @pytest.mark.parametrize("broken", ["", *GUARDS["budgets"]])
 def test_the_lab_holds_and_each_check_fails_without_its_guard(broken: str) -> None:
     words = ["--seed", "5", "--seconds", SHORT, "--json", *(["--break", broken] if broken else [])]
-    ran = subprocess.run([sys.executable, "-m", "laurelcourse", "lab", "budgets", *words], cwd=ROOT,
-                         stdout=subprocess.PIPE, text=True, timeout=90)
+    ran = subprocess.run(
+        [sys.executable, "-m", "laurelcourse", "lab", "budgets", *words],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        text=True,
+        timeout=90,
+    )
     report = json.loads(ran.stdout)
     checks = {one["name"]: one["holds"] for one in report["checks"]}
     assert set(GUARDS["budgets"]) == set(checks)
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -31,8 +31,18 @@
 
 ROOT = Path(__file__).parent.parent
 SECOND = 1_000_000
-LIMITS = Limits(message=1 << 16, talks=3, asks=2, hands=1, queue=4, talk=SECOND // 4, call=SECOND // 4,
-                answer=2 * SECOND, pause=SECOND // 100, idle=10 * SECOND)
+LIMITS = Limits(
+    message=1 << 16,
+    talks=3,
+    asks=2,
+    hands=1,
+    queue=4,
+    talk=SECOND // 4,
+    call=SECOND // 4,
+    answer=2 * SECOND,
+    pause=SECOND // 100,
+    idle=10 * SECOND,
+)
 SLOW = LIMITS._replace(talk=60 * SECOND, call=60 * SECOND, answer=60 * SECOND)  # what waits goes on
 FENCE = books.Fence("relay-1", 7, 3, 2)
 MARK = keeper.Mark("d1", 2, 9)
@@ -41,22 +51,49 @@
 RENEWED = orders.Renewed(10 * SECOND, (orders.Share("probes", 5, 4),))
 ASKED = orders.Question("hash")
 BUDGET = books.Budget("probes", books.LEVEL, 90, 1, 30, 0, SECOND)
-WHATS = (books.Open("relay-1", "north"), books.Close(), books.Lapse(7), books.Define((BUDGET,)),
-         books.Grant("probes", ((7, 30), (8, 0))), books.GiveBack("probes", 2))
+WHATS = (
+    books.Open("relay-1", "north"),
+    books.Close(),
+    books.Lapse(7),
+    books.Define((BUDGET,)),
+    books.Grant("probes", ((7, 30), (8, 0))),
+    books.GiveBack("probes", 2),
+)
 JOB, PIECES = books.Job("j", "firm", "a", "b", 5, 0, 9, 3, 1), (books.Stretch(0, 2, 100, ("a", "b")),)
-WHATS += (books.Places((books.Link("a", "b", 9, 1),), (books.Site("a", 3),)), books.Shrink("a>b", 3, 2),
-          books.Recall(("j",)), books.Reserve(JOB, PIECES), books.Move("j", PIECES), books.Move("j", ()),
-          books.Resume("j"), books.Progress("j", 3), books.Commit("j"), books.Free("j"))
+WHATS += (
+    books.Places((books.Link("a", "b", 9, 1),), (books.Site("a", 3),)),
+    books.Shrink("a>b", 3, 2),
+    books.Recall(("j",)),
+    books.Reserve(JOB, PIECES),
+    books.Move("j", PIECES),
+    books.Move("j", ()),
+    books.Resume("j"),
+    books.Progress("j", 3),
+    books.Commit("j"),
+    books.Free("j"),
+)
 SUBMIT = orders.Submit(tuple(books.Command(FENCE if n else None, n, what) for n, what in enumerate(WHATS)))
 BATCH = books.Batch(5, 2, SUBMIT.commands)
 BEATING = keeper.Append(2, 9, 2, (), 8, 41)
-TALK = (keeper.AskVote(3, 9, 2, True, False), keeper.Vote(3, True, True), BEATING,
-        keeper.Append(2, 9, 2, (keeper.Entry(10, 2, keeper.BOOKS, b"\0x"),), 8, 41, (("b", MARK),)),
-        keeper.Appended(2, False, 4, 41), keeper.Piece(2, 9, 2, VOTERS, 0, b"{}", True, 41),
-        keeper.PieceTaken(2, 9, 2, False, 41), keeper.TakeOver(2), keeper.Hello(2, "d1", 9),
-        keeper.Known(2, "d1", True, MARK))
-ANSWERS = (RENEWED, (books.Done(tuple(FENCE)), books.Done(FENCE), books.Done((-1, "x", ((), (FENCE,))))),
-           books.Done(code="over_whole", to="probes", told=(("sum", 99), ("whole", "ä"))), (), books.Done())
+TALK = (
+    keeper.AskVote(3, 9, 2, True, False),
+    keeper.Vote(3, True, True),
+    BEATING,
+    keeper.Append(2, 9, 2, (keeper.Entry(10, 2, keeper.BOOKS, b"\0x"),), 8, 41, (("b", MARK),)),
+    keeper.Appended(2, False, 4, 41),
+    keeper.Piece(2, 9, 2, VOTERS, 0, b"{}", True, 41),
+    keeper.PieceTaken(2, 9, 2, False, 41),
+    keeper.TakeOver(2),
+    keeper.Hello(2, "d1", 9),
+    keeper.Known(2, "d1", True, MARK),
+)
+ANSWERS = (
+    RENEWED,
+    (books.Done(tuple(FENCE)), books.Done(FENCE), books.Done((-1, "x", ((), (FENCE,))))),
+    books.Done(code="over_whole", to="probes", told=(("sum", 99), ("whole", "ä"))),
+    (),
+    books.Done(),
+)
 
 
 def now() -> int:
@@ -73,9 +110,15 @@
 # Forms
 
 FORMS = [
-    *((keeper.Message, one) for one in TALK), *((orders.Answer, one) for one in ANSWERS),
-    (orders.Submit, SUBMIT), (orders.Beat, BEAT), (orders.Question, ASKED), (keeper.Keepers, VOTERS),
-    (books.Batch, BATCH), (keeper.Snapshot, keeper.Snapshot(9, 2, VOTERS, b"{}"))]
+    *((keeper.Message, one) for one in TALK),
+    *((orders.Answer, one) for one in ANSWERS),
+    (orders.Submit, SUBMIT),
+    (orders.Beat, BEAT),
+    (orders.Question, ASKED),
+    (keeper.Keepers, VOTERS),
+    (books.Batch, BATCH),
+    (keeper.Snapshot, keeper.Snapshot(9, 2, VOTERS, b"{}")),
+]
 
 
 @pytest.mark.parametrize("kind, form", FORMS)
@@ -99,14 +142,32 @@
     return (_deep(levels - 1),) if levels else ()
 
 
-@pytest.mark.parametrize("form", [
-    keeper.TakeOver(-1), keeper.TakeOver(1 << 63), keeper.TakeOver(True), keeper.TakeOver(None),
-    keeper.Vote(1, 1, True), keeper.Hello(1, "\ud800", 1), keeper.Hello(1, b"x", 1),
-    keeper.Hello(1, "x" * 5000, 1),
-    BEATING._replace(entries=(keeper.Entry(1, 1, "other", b""),)), BEATING._replace(marks=(("b", MARK, 1),)),
-    BEATING._replace(entries=(keeper.Entry(1, 1, keeper.NOOP, "text"),)), orders.Submit([]),
-    orders.Submit((SUBMIT,)), orders.Submit((books.Command(None, 1, BUDGET),)), orders.Beat(None),
-    books.Done((1.5,)), books.Done(7), books.Done(told=(("x", (1,)),)), books.Done(_deep(20)), (1,), 7])
+@pytest.mark.parametrize(
+    "form",
+    [
+        keeper.TakeOver(-1),
+        keeper.TakeOver(1 << 63),
+        keeper.TakeOver(True),
+        keeper.TakeOver(None),
+        keeper.Vote(1, 1, True),
+        keeper.Hello(1, "\ud800", 1),
+        keeper.Hello(1, b"x", 1),
+        keeper.Hello(1, "x" * 5000, 1),
+        BEATING._replace(entries=(keeper.Entry(1, 1, "other", b""),)),
+        BEATING._replace(marks=(("b", MARK, 1),)),
+        BEATING._replace(entries=(keeper.Entry(1, 1, keeper.NOOP, "text"),)),
+        orders.Submit([]),
+        orders.Submit((SUBMIT,)),
+        orders.Submit((books.Command(None, 1, BUDGET),)),
+        orders.Beat(None),
+        books.Done((1.5,)),
+        books.Done(7),
+        books.Done(told=(("x", (1,)),)),
+        books.Done(_deep(20)),
+        (1,),
+        7,
+    ],
+)
 def test_what_does_not_fit_is_not_written(form: object) -> None:
     error = errors.TooLargeError if "xxxx" in repr(form) else errors.UnreadableError
     with pytest.raises(error):
@@ -117,14 +178,21 @@
     return wire.Value(many=wire.Values(values=[_nested(levels - 1)] if levels else []))
 
 
-@pytest.mark.parametrize("kind, message", [
-    (books.Batch, wire.Batch(at=1 << 63)), (books.Batch, wire.Batch(commands=[wire.Command(mark=1)])),
-    (books.Batch, wire.Batch(commands=[wire.Command(mark=1, what=wire.What())])),
-    (orders.Beat, wire.Beat()), (keeper.Message, wire.Message()), (orders.Answer, wire.Answer()),
-    (orders.Answer, wire.Answer(done=wire.Done(value=wire.Value(number=1)))),
-    (orders.Answer, wire.Answer(done=wire.Done(told=[wire.Told(name="x")]))),
-    (orders.Answer, wire.Answer(done=wire.Done(value=_nested(20)))),
-    (keeper.Message, wire.Message(append=wire.Append(entries=[wire.Entry(kind="other")])))])
+@pytest.mark.parametrize(
+    "kind, message",
+    [
+        (books.Batch, wire.Batch(at=1 << 63)),
+        (books.Batch, wire.Batch(commands=[wire.Command(mark=1)])),
+        (books.Batch, wire.Batch(commands=[wire.Command(mark=1, what=wire.What())])),
+        (orders.Beat, wire.Beat()),
+        (keeper.Message, wire.Message()),
+        (orders.Answer, wire.Answer()),
+        (orders.Answer, wire.Answer(done=wire.Done(value=wire.Value(number=1)))),
+        (orders.Answer, wire.Answer(done=wire.Done(told=[wire.Told(name="x")]))),
+        (orders.Answer, wire.Answer(done=wire.Done(value=_nested(20)))),
+        (keeper.Message, wire.Message(append=wire.Append(entries=[wire.Entry(kind="other")]))),
+    ],
+)
 def test_what_is_not_whole_is_not_read(kind: type, message: object) -> None:
     with pytest.raises(errors.UnreadableError):
         codec.form_of(kind, message)
@@ -133,7 +201,7 @@
 def test_bytes_of_any_kind_are_read_or_refused() -> None:
     chance, sound, read = Chance(5), codec.packed(BATCH), 0
     for _ in range(6000):
-        data = bytearray(sound[:1 + chance.below(len(sound))])
+        data = bytearray(sound[: 1 + chance.below(len(sound))])
         for _ in range(chance.below(4)):
             data[chance.below(len(data))] = chance.below(256)
         try:
@@ -146,6 +214,7 @@
 
 # Versions
 
+
 def _with_more(message: object) -> object:
     """The same from a newer version: bytes of a field 900 at its end."""
     return type(message).FromString(message.SerializeToString() + b"\xa2\x38\x03new")
@@ -173,7 +242,8 @@
 
 @pytest.mark.parametrize("kind, form", FORMS)
 def test_a_field_that_a_former_version_did_not_send_is_read_as_nothing_or_refused(
-        kind: type, form: object) -> None:
+    kind: type, form: object
+) -> None:
     """At any depth, one field at a time; all else is as it was sent."""
     whole, read = codec.message_of(form), 0
     for place, part in enumerate(_parts(whole)):
@@ -191,17 +261,30 @@
 
 def test_the_generated_files_are_those_of_the_proto(tmp_path: Path) -> None:
     folder = "laurelcourse/fleet/calls"
-    subprocess.run([sys.executable, "-m", "grpc_tools.protoc", "-I.", f"--python_out={tmp_path}",
-                    f"--grpc_python_out={tmp_path}", f"{folder}/fleet.proto"], cwd=ROOT, check=True)
+    subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "grpc_tools.protoc",
+            "-I.",
+            f"--python_out={tmp_path}",
+            f"--grpc_python_out={tmp_path}",
+            f"{folder}/fleet.proto",
+        ],
+        cwd=ROOT,
+        check=True,
+    )
     for name in ("fleet_pb2.py", "fleet_pb2_grpc.py"):
         assert (tmp_path / folder / name).read_text() == (ROOT / folder / name).read_text()
 
 
 def test_grpc_is_loaded_by_nothing_else() -> None:
-    names = [".".join(one.relative_to(ROOT).with_suffix("").parts)
-             for one in sorted((ROOT / "laurelcourse/fleet").rglob("*.py"))
-             if one.stem not in ("wiring", "member", "flows_client", "stream") and (
-                 one.parent.name != "calls" or one.stem in ("codec", "mailbox"))]
+    names = [
+        ".".join(one.relative_to(ROOT).with_suffix("").parts)
+        for one in sorted((ROOT / "laurelcourse/fleet").rglob("*.py"))
+        if one.stem not in ("wiring", "member", "flows_client", "stream")
+        and (one.parent.name != "calls" or one.stem in ("codec", "mailbox"))
+    ]
     assert "laurelcourse.fleet.orders" in names
     code = f"import sys; [__import__(name) for name in {names}]; print('grpc' in sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
@@ -218,8 +301,10 @@
             elif isinstance(node, ast.ImportFrom):
                 assert node.module not in ("time", "datetime"), one
             elif isinstance(node, ast.Import):
-                assert all(alias.name != "datetime" and (alias.name != "time" or not alias.asname)
-                           for alias in node.names), one
+                assert all(
+                    alias.name != "datetime" and (alias.name != "time" or not alias.asname)
+                    for alias in node.names
+                ), one
     assert "CLOCK_BOOTTIME" in found <= clocks
     shown = {time.CLOCK_BOOTTIME: 7_000_999, time.CLOCK_MONOTONIC: 5_000_000, time.CLOCK_REALTIME: 9_000_000}
     monkeypatch.setattr(time, "clock_gettime_ns", shown.__getitem__)
@@ -228,6 +313,7 @@
 
 # The real server and client
 
+
 class Scripted:
     """Stands in for Keeping: `script` gives an answer, an error or a future for each order."""
 
@@ -262,8 +348,14 @@
     def __init__(self, ends: contextlib.ExitStack) -> None:
         self.ends, self.held = ends, []
 
-    def keeper(self, name: str, keeping: Scripted, port: int = 0, limits: Limits = LIMITS,
-               others: dict[str, str] | None = None) -> Service:
+    def keeper(
+        self,
+        name: str,
+        keeping: Scripted,
+        port: int = 0,
+        limits: Limits = LIMITS,
+        others: dict[str, str] | None = None,
+    ) -> Service:
         hands = Hands("fleet", name, others or {}, limits)
         service = Service(keeping, "fleet", name, f"127.0.0.2:{port}", limits, hands)
         service.start()
@@ -283,6 +375,7 @@
                 while True:
                     self.held.append(listener.accept()[0])
                     self.held[-1].sendall(b"\0\0\0\4\0\0\0\0\0")
+
         threading.Thread(target=serve, daemon=True).start()
         self.ends.callback(lambda: [one.close() for one in self.held])
         self.ends.callback(listener.shutdown, socket.SHUT_RDWR)
@@ -331,20 +424,30 @@
         assert hints == (turn != 1)  # one hint suffices, and who led is remembered
         client.renew(BEAT, [].remove)  # an asker's own failure ends nobody else's order
         assert [told(client.submit, SUBMIT), told(client.ask, ASKED), told(client.change, VOTERS)] == [
-            RENEWED, books.Done(("x",)), RENEWED]
+            RENEWED,
+            books.Done(("x",)),
+            RENEWED,
+        ]
         assert told(client.renew, BEAT) == RENEWED and len(others.orders) == hints
         assert [one for one in leading.orders if one != BEAT] == [SUBMIT, ASKED, VOTERS]
 
 
-@pytest.mark.parametrize("answer, heard", [
-    (refused("lapsed_lease", session=7), books.Done), (errors.LapsedLeaseError("x", session=7), books.Done),
-    (refused("no_quorum"), errors.NoQuorumError), (refused("not_leader", leader="a"), errors.NoQuorumError),
-    (refused("not_leader", leader="none"), errors.NoQuorumError),
-    (refused("overloaded", waiting=1, at_most=1), errors.OverloadedError),
-    (refused("stopping"), errors.StoppingError), (refused("never heard of"), books.Done),
-    (refused("older_disk", held=1, said=2), errors.OlderDiskError),
-    (Future(), errors.UnknownFateError),
-    (books.Done(("x" * 2000,) * 40), books.Done)])
+@pytest.mark.parametrize(
+    "answer, heard",
+    [
+        (refused("lapsed_lease", session=7), books.Done),
+        (errors.LapsedLeaseError("x", session=7), books.Done),
+        (refused("no_quorum"), errors.NoQuorumError),
+        (refused("not_leader", leader="a"), errors.NoQuorumError),
+        (refused("not_leader", leader="none"), errors.NoQuorumError),
+        (refused("overloaded", waiting=1, at_most=1), errors.OverloadedError),
+        (refused("stopping"), errors.StoppingError),
+        (refused("never heard of"), books.Done),
+        (refused("older_disk", held=1, said=2), errors.OlderDiskError),
+        (Future(), errors.UnknownFateError),
+        (books.Done(("x" * 2000,) * 40), books.Done),
+    ],
+)
 def test_what_a_keeper_refuses_comes_out_by_type(ground: Ground, answer: object, heard: type) -> None:
     keeping = Scripted(lambda _: answer)
     client = ground.client({"a": at(ground.keeper("a", keeping))}, LIMITS._replace(answer=SECOND // 2))
@@ -355,11 +458,17 @@
 
 
 # A refusal by type comes with the answer, however slow the machine; an unknown fate only at the time limit.
-@pytest.mark.parametrize("head, limits, error", [
-    ({"version": 2}, SLOW, errors.OtherVersionError), ({"fleet": "other"}, SLOW, errors.OtherFleetError),
-    ({"to": "relay-2"}, LIMITS._replace(answer=SECOND // 4), errors.UnknownFateError)])
+@pytest.mark.parametrize(
+    "head, limits, error",
+    [
+        ({"version": 2}, SLOW, errors.OtherVersionError),
+        ({"fleet": "other"}, SLOW, errors.OtherFleetError),
+        ({"to": "relay-2"}, LIMITS._replace(answer=SECOND // 4), errors.UnknownFateError),
+    ],
+)
 def test_an_answer_of_another_fleet_version_or_asker_is_not_taken(
-        ground: Ground, head: dict, limits: Limits, error: type) -> None:
+    ground: Ground, head: dict, limits: Limits, error: type
+) -> None:
     service = ground.keeper("a", Scripted())
     answer = codec.message_of(RENEWED)
     service._reply = lambda to, _: wire.Reply(head=_head(**{"sender": "a", "to": to, **head}), answer=answer)
@@ -376,20 +485,27 @@
 def test_a_half_open_and_a_dead_keeper_are_passed_over_in_time(ground: Ground) -> None:
     keeping = Scripted()
     for turn in range(3):
-        client = ground.client({"a": ground.half_open(), "b": ground.dead(),
-                                "c": at(ground.keeper("c", keeping))})
+        client = ground.client(
+            {"a": ground.half_open(), "b": ground.dead(), "c": at(ground.keeper("c", keeping))}
+        )
         client.routes.turn, began = turn, now()
         assert told(client.renew, BEAT) == RENEWED and now() - began < 2 * LIMITS.call + SECOND // 2
         assert client.leader == "c"
 
 
-@pytest.mark.parametrize("verb, form, keepers, error", [
-    ("submit", SUBMIT, ["dead"], errors.NoQuorumError), ("ask", ASKED, ["dead"], errors.NoQuorumError),
-    ("submit", SUBMIT, ["half_open"], errors.NoQuorumError),
-    ("submit", SUBMIT, ["mute"], errors.UnknownFateError),
-    ("renew", BEAT, ["half_open", "dead", "mute"], errors.NoQuorumError)])
+@pytest.mark.parametrize(
+    "verb, form, keepers, error",
+    [
+        ("submit", SUBMIT, ["dead"], errors.NoQuorumError),
+        ("ask", ASKED, ["dead"], errors.NoQuorumError),
+        ("submit", SUBMIT, ["half_open"], errors.NoQuorumError),
+        ("submit", SUBMIT, ["mute"], errors.UnknownFateError),
+        ("renew", BEAT, ["half_open", "dead", "mute"], errors.NoQuorumError),
+    ],
+)
 def test_without_keepers_an_order_ends_in_its_time(
-        ground: Ground, verb: str, form: object, keepers: list[str], error: type) -> None:
+    ground: Ground, verb: str, form: object, keepers: list[str], error: type
+) -> None:
     addresses = {one: getattr(ground, one)() for one in keepers}
     client, began = ground.client(addresses, LIMITS._replace(answer=SECOND // 2)), now()
     assert type(told(getattr(client, verb), form)) is error
@@ -419,13 +535,23 @@
     return wire.Head(**{"fleet": "fleet", "sender": "relay-1", "to": "a", "version": 1, **other})
 
 
-@pytest.mark.parametrize("head, code", [
-    (_head(), ""), (_head(minor=9), ""), (_head(version=2), "other_version"),
-    (_head(version=0), "other_version"), (_head(fleet="other"), "other_fleet"), (_head(to="b"), "unreadable"),
-    (_head(sender=""), "unreadable"),
-    (_head(sender="x" * 5000), "too_large"), (None, "unreadable")])
+@pytest.mark.parametrize(
+    "head, code",
+    [
+        (_head(), ""),
+        (_head(minor=9), ""),
+        (_head(version=2), "other_version"),
+        (_head(version=0), "other_version"),
+        (_head(fleet="other"), "other_fleet"),
+        (_head(to="b"), "unreadable"),
+        (_head(sender=""), "unreadable"),
+        (_head(sender="x" * 5000), "too_large"),
+        (None, "unreadable"),
+    ],
+)
 def test_a_head_of_another_fleet_version_or_process_is_refused(
-        ground: Ground, head: wire.Head, code: str) -> None:
+    ground: Ground, head: wire.Head, code: str
+) -> None:
     keeping = Scripted()
     channel = ground.raw(ground.keeper("a", keeping))
     order = _with_more(wire.RenewOrder(head=head, what=codec.message_of(BEAT)))
@@ -446,8 +572,10 @@
             one.sendall(garbage)
     channel = ground.raw(service)
     renew = "/laurelcourse.fleet.v1.Books/Renew"
-    for data, status in ((b"\xff" * 50, grpc.StatusCode.INTERNAL),
-                         (b"\0" * (LIMITS.message + 1), grpc.StatusCode.RESOURCE_EXHAUSTED)):
+    for data, status in (
+        (b"\xff" * 50, grpc.StatusCode.INTERNAL),
+        (b"\0" * (LIMITS.message + 1), grpc.StatusCode.RESOURCE_EXHAUSTED),
+    ):
         with pytest.raises(grpc.RpcError) as caught:
             grpc.insecure_channel(at(service)).unary_unary(renew)(data, timeout=5)
         assert caught.value.code() is status
@@ -505,8 +633,12 @@
     for unheard in (ground.dead, ground.half_open, ground.mute):
         client = ground.client({"a": unheard(), "b": at(b)})
         leading.orders.clear()
-        assert [told(client.renew, BEAT), told(client.submit, SUBMIT), told(client.ask, ASKED),
-                told(client.change, VOTERS)] == [RENEWED, RENEWED, books.Done(("x",)), RENEWED]
+        assert [
+            told(client.renew, BEAT),
+            told(client.submit, SUBMIT),
+            told(client.ask, ASKED),
+            told(client.change, VOTERS),
+        ] == [RENEWED, RENEWED, books.Done(("x",)), RENEWED]
         assert leading.orders == [BEAT, SUBMIT, ASKED, VOTERS] and client.leader == "a"
         # Found out once: a renewal has no time to wait for whom it can't reach each time.
         began = now()
@@ -518,12 +650,20 @@
     assert told(straight.renew, BEAT) == RENEWED and len(others.orders) == 1 and straight.said == ""
 
 
-@pytest.mark.parametrize("timeout, head, error, asked", [
-    (1, {}, None, 1), (0, {}, errors.NotLeaderError, 0), (-1, {}, errors.NotLeaderError, 0),
-    (1, {"fleet": "other"}, errors.UnknownFateError, 1), (1, {"version": 9}, errors.UnknownFateError, 1),
-    (1, {"to": "c"}, errors.UnknownFateError, 1)])
+@pytest.mark.parametrize(
+    "timeout, head, error, asked",
+    [
+        (1, {}, None, 1),
+        (0, {}, errors.NotLeaderError, 0),
+        (-1, {}, errors.NotLeaderError, 0),
+        (1, {"fleet": "other"}, errors.UnknownFateError, 1),
+        (1, {"version": 9}, errors.UnknownFateError, 1),
+        (1, {"to": "c"}, errors.UnknownFateError, 1),
+    ],
+)
 def test_no_order_is_handed_on_after_its_time_and_an_answer_of_another_leaves_its_fate_unknown(
-        ground: Ground, timeout: int, head: dict, error: type | None, asked: int) -> None:
+    ground: Ground, timeout: int, head: dict, error: type | None, asked: int
+) -> None:
     hands, calls = Hands("fleet", "b", {"a": "127.0.0.1:1"}, LIMITS), []
     ground.ends.callback(hands.close)
     reply = wire.Reply(head=_head(**{"to": "b", **head}), answer=codec.message_of(RENEWED))
@@ -537,7 +677,8 @@
 
 @pytest.mark.parametrize("hours", [-1, 1])
 def test_the_time_of_day_set_while_a_keeper_waits_changes_nothing_of_the_askers_time(
-        ground: Ground, monkeypatch: pytest.MonkeyPatch, hours: int) -> None:
+    ground: Ground, monkeypatch: pytest.MonkeyPatch, hours: int
+) -> None:
     """gRPC's `time_remaining` is reckoned against `time.time`: set back, an order would be handed on after
     its asker's time; set forward, not at all."""
     own, times, handed = Future(), [], []
@@ -546,7 +687,7 @@
 
     def remaining() -> float:
         left, clock = max(end - time.time(), 0), time.time()
-        if not times:                               # the keeper loses the lead only after that
+        if not times:  # the keeper loses the lead only after that
             monkeypatch.setattr(time, "time", lambda: clock + 3600 * hours)
             threading.Timer(0.05, own.set_result, (refused("not_leader", leader="a"),)).start()
         times.append(left)
@@ -555,6 +696,7 @@
     def on(verb: str, request: object, leader: str, timeout: int) -> object:
         handed.append(timeout)
         return wire.Reply(answer=codec.message_of(RENEWED))
+
     monkeypatch.setattr(service.hands, "on", on)
     context = SimpleNamespace(time_remaining=remaining, add_callback=lambda _: True)
     order = wire.RenewOrder(head=_head(to="b"), what=codec.message_of(BEAT), hand_on=True)
@@ -565,7 +707,7 @@
 def test_an_order_is_handed_on_once_at_most(ground: Ground) -> None:
     asked = {name: Scripted() for name in "abc"}
     doors = {name: ground.keeper(name, keeping) for name, keeping in asked.items()}
-    for name, following in (("a", "b"), ("b", "c"), ("c", "a")):     # each takes another for the leader
+    for name, following in (("a", "b"), ("b", "c"), ("c", "a")):  # each takes another for the leader
         asked[name].script = lambda _, leader=following: refused("not_leader", leader=leader)
         doors[name].hands = Hands("fleet", name, {one: at(door) for one, door in doors.items()}, LIMITS)
     stub = fleet_pb2_grpc.BooksStub(ground.raw(doors["a"]))
@@ -574,15 +716,18 @@
     done = found.answer.done
     assert (found.by, done.code, done.told[0].value.text) == ("b", "not_leader", "c")
     assert [len(one.orders) for one in asked.values()] == [1, 1, 0]
-    found = stub.Renew(wire.RenewOrder(**order), timeout=5)          # nobody wished for it
+    found = stub.Renew(wire.RenewOrder(**order), timeout=5)  # nobody wished for it
     assert (found.by, found.answer.done.told[0].value.text) == ("", "b")
     assert [len(one.orders) for one in asked.values()] == [2, 1, 0]
 
 
-@pytest.mark.parametrize("lost, error", [
-    ("dead", errors.NoQuorumError), ("half_open", errors.NoQuorumError), ("mute", errors.UnknownFateError)])
+@pytest.mark.parametrize(
+    "lost, error",
+    [("dead", errors.NoQuorumError), ("half_open", errors.NoQuorumError), ("mute", errors.UnknownFateError)],
+)
 def test_an_answer_that_never_came_back_leaves_the_fate_unknown(
-        ground: Ground, lost: str, error: type) -> None:
+    ground: Ground, lost: str, error: type
+) -> None:
     """Of an order that went no way but by hand: the relay's own way to the leader brings nothing there."""
     b = ground.keeper("b", Scripted(hinting), others={"a": getattr(ground, lost)()})
     client = ground.client({"a": ground.dead(), "b": at(b)}, LIMITS._replace(answer=SECOND))
@@ -599,7 +744,7 @@
     client.submit(SUBMIT, found.set_result)
     until(lambda: leading.orders)
     began = now()
-    b.stop(0)       # does not wait for the leader's answer
+    b.stop(0)  # does not wait for the leader's answer
     assert now() - began < SECOND
     assert type(found.result(5)) is errors.UnknownFateError
 
@@ -608,7 +753,7 @@
     leading, former = Scripted(), Scripted(hinting)
     a, b = ground.keeper("a", leading), ground.keeper("b", former)
     c = ground.keeper("c", Scripted(hinting), others={"a": at(a)})
-    b.hands = Hands("fleet", "b", {}, LIMITS)                       # as if the wish were not there
+    b.hands = Hands("fleet", "b", {}, LIMITS)  # as if the wish were not there
     client = ground.client({"a": ground.dead(), "b": at(b), "c": at(c)})
     client.routes.turn = 0
     assert told(client.renew, BEAT) == RENEWED and client.routes.via == "c" and len(former.orders) > 0
@@ -644,6 +789,7 @@
 
 # Between keepers
 
+
 def test_peers_bring_all_in_order_and_find_one_that_comes_back(ground: Ground) -> None:
     keeping = Scripted()
     first = ground.keeper("b", keeping)
@@ -652,8 +798,8 @@
     ground.ends.callback(peers.close, SECOND)
     for one in TALK:
         began = now()
-        peers.send("c", one)   # never answers: its queue fills, the sender does not wait
-        peers.send("d", one)   # without an address
+        peers.send("c", one)  # never answers: its queue fills, the sender does not wait
+        peers.send("d", one)  # without an address
         peers.send("b", one)
         assert now() - began < SECOND
         until(lambda one=one: keeping.talk and keeping.talk[-1] == ("a", one))
@@ -668,6 +814,7 @@
     def again() -> list:
         peers.send("b", BEATING)
         return later.talk
+
     until(again)
     assert {sender for sender, _ in later.talk} == {"a"}
     peers.know({"b": at(first)})
@@ -699,11 +846,13 @@
     def call(*_: object) -> None:
         calls.append(now())
         raise UnheardError("unavailable", False, False)
+
     peers.peers["b"].way.call = call
 
     def enough() -> bool:
         peers.send("b", BEATING)
         return len(calls) >= 6
+
     until(enough)
     assert calls[1] - calls[0] >= LIMITS.pause * 3 // 4 and calls[5] - calls[4] >= 4 * LIMITS.pause
 
@@ -717,12 +866,13 @@
 
 # The mailbox
 
+
 def test_letters_wake_the_scheduler_from_another_thread_and_are_bounded() -> None:
     scheduler = Scheduler(Clock(), lambda: None)
     letters, got = Letters(scheduler, 3), []
 
     def read() -> None:
-        got.append(letters.get(until=scheduler.now() + 10_000))   # nothing comes
+        got.append(letters.get(until=scheduler.now() + 10_000))  # nothing comes
         while (item := letters.get()) is not None:
             got.append(item)
         got.append("closed")
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -44,8 +44,9 @@
 class Fleet:
     """With `faults`: messages late, lost, twice and out of order, and keepers that die around a write."""
 
-    def __init__(self, keepers: Keepers = ABC, seed: int = 1, names: str = "",
-                 disks: dict[str, Kept] | None = None) -> None:
+    def __init__(
+        self, keepers: Keepers = ABC, seed: int = 1, names: str = "", disks: dict[str, Kept] | None = None
+    ) -> None:
         self.now, self.keepers, self.chance, self.faults = 0, keepers, Chance(seed * 7919 + 13), False
         self.cores: dict[str, Core] = {}
         self.disks, self.books = dict(disks or {}), dict[str, list[bytes]]()
@@ -188,9 +189,11 @@
     fleet, core = begun(kept)
     fleet.run(lambda: core.role == forms.CANDIDATE)
     fleet.say("a", "b", forms.Vote(core.term + 1, True, True))
-    for sender, vote in (("x", forms.Vote(core.term, True, False)),       # it has no vote
-                         ("a", forms.Vote(core.term + 1, True, True)),    # a trial, for another term
-                         ("a", forms.Vote(core.term, False, False))):
+    for sender, vote in (
+        ("x", forms.Vote(core.term, True, False)),  # it has no vote
+        ("a", forms.Vote(core.term + 1, True, True)),  # a trial, for another term
+        ("a", forms.Vote(core.term, False, False)),
+    ):
         fleet.say(sender, "b", vote)
         assert core.role == forms.CANDIDATE
     fleet.say("a", "b", forms.Vote(core.term, True, False))
@@ -200,17 +203,21 @@
     return fleet, core
 
 
-@pytest.mark.parametrize("held, term, vote, ask, granted", [
-    ((1, 2), 0, "", (3, 2, 2, False), True),
-    ((1, 2), 0, "", (3, 9, 1, False), False),   # its last term is earlier
-    ((1, 2), 0, "", (3, 1, 2, False), False),   # its log is shorter
-    ((1, 2), 0, "", (1, 2, 2, False), False),   # a term gone by
-    ((1,), 3, "c", (3, 2, 2, False), False),    # voted for another
-    ((1,), 3, "a", (3, 2, 2, False), True),     # for this one, which asks again
-    ((1,), 3, "", (3, 2, 2, False), False),     # the disk may have been copied before its vote
-    ((1,), 0, "", (3, 2, 2, True), True),
-    ((1,), 3, "", (3, 2, 2, True), False),      # of the term that it has
-    ((1, 2), 0, "", (3, 2, 1, True), False)])
+@pytest.mark.parametrize(
+    "held, term, vote, ask, granted",
+    [
+        ((1, 2), 0, "", (3, 2, 2, False), True),
+        ((1, 2), 0, "", (3, 9, 1, False), False),  # its last term is earlier
+        ((1, 2), 0, "", (3, 1, 2, False), False),  # its log is shorter
+        ((1, 2), 0, "", (1, 2, 2, False), False),  # a term gone by
+        ((1,), 3, "c", (3, 2, 2, False), False),  # voted for another
+        ((1,), 3, "a", (3, 2, 2, False), True),  # for this one, which asks again
+        ((1,), 3, "", (3, 2, 2, False), False),  # the disk may have been copied before its vote
+        ((1,), 0, "", (3, 2, 2, True), True),
+        ((1,), 3, "", (3, 2, 2, True), False),  # of the term that it has
+        ((1, 2), 0, "", (3, 2, 1, True), False),
+    ],
+)
 def test_who_gets_a_vote(held: tuple, term: int, vote: str, ask: tuple, granted: bool) -> None:
     fleet, core = begun(disk("b", *held, term=term, vote=vote))
     asked = forms.AskVote(*ask, handed=False)
@@ -222,10 +229,13 @@
         assert fleet.disks["b"][1:3] == (3, "a") and not fleet.say("c", "b", asked).send[0][1].granted
 
 
-@pytest.mark.parametrize("handed, trial, late, heeded", [
-    (False, False, 0, False), (False, True, 0, False), (True, False, 0, True), (False, False, 600, True)])
+@pytest.mark.parametrize(
+    "handed, trial, late, heeded",
+    [(False, False, 0, False), (False, True, 0, False), (True, False, 0, True), (False, False, 600, True)],
+)
 def test_one_who_hears_its_leader_is_not_disturbed(
-        handed: bool, trial: bool, late: int, heeded: bool) -> None:
+    handed: bool, trial: bool, late: int, heeded: bool
+) -> None:
     fleet, core = begun(disk("b", 1))
     fleet.say("a", "b", forms.Append(2, 1, 1, (), 1, 1))
     fleet.now += late * MS
@@ -234,20 +244,32 @@
     assert any(vote.granted for _, vote in out.send) == heeded
 
 
-@pytest.mark.parametrize("held, term, before, terms, known, answer, left, commit", [
-    ((1, 1), 2, (2, 1), (1, 1, 2), 3, (True, 3), (1, 1, 2), 3),
-    ((1, 1), 2, (3, 2), (), 3, (False, 2), (1, 1), 0),                 # it has less
-    ((1, 1, 1, 1), 2, (3, 2), (), 0, (False, 0), (1, 1, 1, 1), 0),     # back past the whole term
-    ((1, 2, 2), 3, (3, 3), (), 1, (False, 1), (1, 2, 2), 0),
-    ((1, 1, 1), 2, (1, 1), (1, 2), 1, (True, 2), (1, 2), 1),           # a real conflict is cut
-    ((1, 1, 2), 2, (1, 1), (1, 1), 1, (True, 2), (1, 1, 2), 1),        # one that came late cuts nothing
-    ((1, 1, 1), 2, (1, 1), (), 3, (True, 1), (1, 1, 1), 1),            # never past what matches
-    ((1, 1), 2, (1, 1), (1, 1, 1, 2)[2:], 3, None, (1, 1), 0),         # no leader sends such
-    ((1, 2), 1, (1, 1), (1, 1), 2, (False, 0), (1, 2), 0)])            # a leader gone by
-def test_what_a_follower_takes(held: tuple, term: int, before: tuple, terms: tuple, known: int,
-                               answer: tuple | None, left: tuple, commit: int) -> None:
+@pytest.mark.parametrize(
+    "held, term, before, terms, known, answer, left, commit",
+    [
+        ((1, 1), 2, (2, 1), (1, 1, 2), 3, (True, 3), (1, 1, 2), 3),
+        ((1, 1), 2, (3, 2), (), 3, (False, 2), (1, 1), 0),  # it has less
+        ((1, 1, 1, 1), 2, (3, 2), (), 0, (False, 0), (1, 1, 1, 1), 0),  # back past the whole term
+        ((1, 2, 2), 3, (3, 3), (), 1, (False, 1), (1, 2, 2), 0),
+        ((1, 1, 1), 2, (1, 1), (1, 2), 1, (True, 2), (1, 2), 1),  # a real conflict is cut
+        ((1, 1, 2), 2, (1, 1), (1, 1), 1, (True, 2), (1, 1, 2), 1),  # one that came late cuts nothing
+        ((1, 1, 1), 2, (1, 1), (), 3, (True, 1), (1, 1, 1), 1),  # never past what matches
+        ((1, 1), 2, (1, 1), (1, 1, 1, 2)[2:], 3, None, (1, 1), 0),  # no leader sends such
+        ((1, 2), 1, (1, 1), (1, 1), 2, (False, 0), (1, 2), 0),
+    ],
+)  # a leader gone by
+def test_what_a_follower_takes(
+    held: tuple,
+    term: int,
+    before: tuple,
+    terms: tuple,
+    known: int,
+    answer: tuple | None,
+    left: tuple,
+    commit: int,
+) -> None:
     fleet, core = begun(disk("b", *held))
-    entries = log(*terms)[before[0]:] if answer else log(*terms)
+    entries = log(*terms)[before[0] :] if answer else log(*terms)
     out = fleet.say("a", "b", forms.Append(term, *before, entries, known, 7))
     said = [forms.Appended(core.term, *answer, 7 if term == core.term else 0)] if answer else []
     assert [message for _, message in out.send] == said
@@ -278,8 +300,13 @@
 def test_a_snapshot_leaves_of_the_log_only_what_goes_on_from_it(index_term: int, last: int) -> None:
     fleet, core = begun(disk("b", 1, 1, 1, 1))
     for term, index, at, data, offset in (
-            (2, 3, 0, b"|x|", 3), (3, 3, 3, b"the rest, of another leader", 0), (3, 3, 0, b"|a|", 3),
-            (3, 2, 0, b"of an earlier one", None), (3, 3, 9, b"too early", 3), (3, 3, 3, b"b|c", 6)):
+        (2, 3, 0, b"|x|", 3),
+        (3, 3, 3, b"the rest, of another leader", 0),
+        (3, 3, 0, b"|a|", 3),
+        (3, 2, 0, b"of an earlier one", None),
+        (3, 3, 9, b"too early", 3),
+        (3, 3, 3, b"b|c", 6),
+    ):
         assert core.commit == 0
         out = fleet.say("a", "b", forms.Piece(term, index, index_term, FIVE, at, data, at > 2, 1))
         assert [message.offset for _, message in out.send] == ([] if offset is None else [offset])
@@ -338,7 +365,7 @@
     fleet.propose("a", 1)
     out = fleet.carry("a", old.hand_over(fleet.now, "c"))
     assert forms.TakeOver(old.term) not in [message for _, message in out.send]  # entry 1 first
-    assert not fleet.say("b", "c", forms.TakeOver(old.term)).send                # not from the leader
+    assert not fleet.say("b", "c", forms.TakeOver(old.term)).send  # not from the leader
     assert fleet.propose("a", 2) == "not_leader" and fleet.change("a", "ab") == "not_leader"
     fleet.run(lambda: fleet.leading() == "c", BOUNDS.patience // 2)
     fleet.run(fleet.same)
@@ -356,11 +383,14 @@
     fleet = Fleet(names="abcde")
     lead = fleet.lead("a")
     for voters, learners, code in [
-            ("abcd", "", "unfit_change"),       # was no learner
-            ("abc", "de", "unfit_change"),      # two
-            ("abc", "", "unfit_change"),        # none
-            ("abc", "c", "unfit_change"), ("", "abc", "unfit_change"),
-            ("abc", "d", ""), ("abc", "de", "change_under_way")]:
+        ("abcd", "", "unfit_change"),  # was no learner
+        ("abc", "de", "unfit_change"),  # two
+        ("abc", "", "unfit_change"),  # none
+        ("abc", "c", "unfit_change"),
+        ("", "abc", "unfit_change"),
+        ("abc", "d", ""),
+        ("abc", "de", "change_under_way"),
+    ]:
         assert fleet.change("a", voters, learners) == code
     assert fleet.change("a", "abcd") == "change_under_way"
     fleet.rest()
@@ -409,12 +439,18 @@
     assert core.role == FOLLOWER and core.term == 2
 
 
-@pytest.mark.parametrize("old, new, caught_up, alive, fits", [
-    (Keepers(("a",), ("b",)), Keepers(("a", "b")), "b", "ab", True),
-    (Keepers(("a",), ("b",)), Keepers(("a", "b")), "", "ab", False),
-    (Keepers(("a",), ("b",)), Keepers(("a", "b"), ("b",)), "b", "ab", False),
-    (ABC, Keepers(("b", "a")), "", "abc", False), (ABC, Keepers(("a", "b", "c"), ("d;",)), "", "abc", False),
-    (ABC, Keepers(("a", "b")), "", "ab", True), (ABC, Keepers(("a", "b")), "", "ac", False)])
+@pytest.mark.parametrize(
+    "old, new, caught_up, alive, fits",
+    [
+        (Keepers(("a",), ("b",)), Keepers(("a", "b")), "b", "ab", True),
+        (Keepers(("a",), ("b",)), Keepers(("a", "b")), "", "ab", False),
+        (Keepers(("a",), ("b",)), Keepers(("a", "b"), ("b",)), "b", "ab", False),
+        (ABC, Keepers(("b", "a")), "", "abc", False),
+        (ABC, Keepers(("a", "b", "c"), ("d;",)), "", "abc", False),
+        (ABC, Keepers(("a", "b")), "", "ab", True),
+        (ABC, Keepers(("a", "b")), "", "ac", False),
+    ],
+)
 def test_which_changes_fit(old: Keepers, new: Keepers, caught_up: str, alive: str, fits: bool) -> None:
     assert changes.fit(old, new, set(caught_up), set(alive)) == fits
 
@@ -466,15 +502,19 @@
     refused = set[int]()
     while not fleet.same():
         fleet.step()
-        sizes = [sum(len(entry.data) + 32 for entry in one[4].entries) for one in fleet.wire
-                 if isinstance(one[4], forms.Append)]
+        sizes = [
+            sum(len(entry.data) + 32 for entry in one[4].entries)
+            for one in fleet.wire
+            if isinstance(one[4], forms.Append)
+        ]
         assert max(sizes, default=0) <= BOUNDS.batch
         refused |= {one[1] for one in fleet.wire if isinstance(one[4], forms.Appended) and not one[4].ok}
     assert len(refused) <= 3 and fleet.books["c"] == fleet.books["a"]
 
 
-@pytest.mark.parametrize("comes_back, role", [("same", FOLLOWER), ("older", REFUSED), ("wiped", REFUSED),
-                                              ("a term back", REFUSED)])
+@pytest.mark.parametrize(
+    "comes_back, role", [("same", FOLLOWER), ("older", REFUSED), ("wiped", REFUSED), ("a term back", REFUSED)]
+)
 def test_an_older_disk_is_found_out_and_takes_no_part(comes_back: str, role: str) -> None:
     fleet = Fleet()
     fleet.lead("a")
@@ -559,6 +599,7 @@
         if sender == "c" and told_it:
             told.append(max(told[-1], told_of_disk(message, fleet.cores["c"])))
         return say(sender, to, message)
+
     fleet.carry, fleet.say, disks = carried, said, [fleet.disks["c"]]
     for token in range(1, 250):
         fleet.step()
@@ -590,14 +631,18 @@
     assert fleet.cores["b"].role == role
 
 
-@pytest.mark.parametrize("sender, said, role", [
-    ("a", (1, "disk-b", False, ("disk-b", 1, 1)), PROVING),       # the other one may know more
-    ("ac", (1, "disk-b", False, ("disk-b", 1, 1)), FOLLOWER),
-    ("a", (1, "disk-b", True, ("", 0, 0)), REFUSED),
-    ("a", (1, "disk-b", False, ("disk-b", 1, 2)), REFUSED),       # what was seen is more, whatever it says
-    ("a", (1, "disk-b", False, ("another", 0, 0)), REFUSED),
-    ("a", (1, "another", True, ("disk-b", 9, 9)), PROVING),       # an answer to another disk
-    ("x", (1, "disk-b", False, ("", 0, 0)), PROVING)])            # no voter
+@pytest.mark.parametrize(
+    "sender, said, role",
+    [
+        ("a", (1, "disk-b", False, ("disk-b", 1, 1)), PROVING),  # the other one may know more
+        ("ac", (1, "disk-b", False, ("disk-b", 1, 1)), FOLLOWER),
+        ("a", (1, "disk-b", True, ("", 0, 0)), REFUSED),
+        ("a", (1, "disk-b", False, ("disk-b", 1, 2)), REFUSED),  # what was seen is more, whatever it says
+        ("a", (1, "disk-b", False, ("another", 0, 0)), REFUSED),
+        ("a", (1, "another", True, ("disk-b", 9, 9)), PROVING),  # an answer to another disk
+        ("x", (1, "disk-b", False, ("", 0, 0)), PROVING),
+    ],
+)  # no voter
 def test_what_the_others_know_of_a_disk(sender: str, said: tuple, role: str) -> None:
     fleet = Fleet(disks={"b": disk("b", 1)}, names="b")
     for one in sender:
@@ -654,7 +699,7 @@
         fleet.read(one, token)
     elif what < 33:
         fleet.part(one, every[chance.below(len(every))])
-        fleet.cut = {pair for pair in fleet.cut if what == 30 or one in pair[what - 31:what - 30]}
+        fleet.cut = {pair for pair in fleet.cut if what == 30 or one in pair[what - 31 : what - 30]}
     elif what < 37:
         fleet.cut = set()
     elif what < 39:
@@ -674,11 +719,14 @@
         fleet.change(lead, "".join(voters), "".join(learners))
 
 
-@pytest.mark.parametrize("keepers, names", [(ABC, "abcde"), (FIVE, "abcdef"), (Keepers(("a",)), "abc"),
-                                            (Keepers(("a", "b")), "abc")])
+@pytest.mark.parametrize(
+    "keepers, names",
+    [(ABC, "abcde"), (FIVE, "abcdef"), (Keepers(("a",)), "abc"), (Keepers(("a", "b")), "abc")],
+)
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_whatever_happens_one_log_is_left_and_nothing_committed_is_lost(
-        keepers: Keepers, names: str, seed: int) -> None:
+    keepers: Keepers, names: str, seed: int
+) -> None:
     fleet = Fleet(keepers, seed, names)
     fleet.faults = True
     for token in range(1, 600):
@@ -690,5 +738,10 @@
         fleet.start(name)
     fleet.run(fleet.same)
     inside = [name for part in fleet.cores[fleet.leading()].keepers for name in part]
-    assert all(fleet.books[name] == [fleet.committed[at].data for at in sorted(fleet.committed)]
-               for name in inside) and len(fleet.committed) > 5
+    assert (
+        all(
+            fleet.books[name] == [fleet.committed[at].data for at in sorted(fleet.committed)]
+            for name in inside
+        )
+        and len(fleet.committed) > 5
+    )
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_desk.py
@@ -38,6 +38,7 @@
 
 # The relay's side
 
+
 def opened(at: int = 0, terms: Terms = TERMS) -> Session:
     one = Session("r", "s", terms, Chance(1), at)
     one.orders(at)
@@ -51,22 +52,31 @@
     one.answered(now, asked, Renewed(TERMS.lease, shares))
 
 
-@pytest.mark.parametrize("steps, state, usable", [
-    ((), side.HELD, True),
-    (("at 899998",), side.HELD, True), (("at 899999",), side.LAPSED, False),
-    (("ask 500000", "yes 500000 900000", "at 1399998"), side.HELD, True),
-    (("ask 500000", "yes 500000 900000", "at 1399999"), side.LAPSED, False),
-    (("ask 500000", "at 950000", "yes 500000 950000"), side.HELD, True),
-    (("ask 500000", "at 1500000", "yes 500000 1500000"), side.LAPSED, False),
-    (("ask 500000", "ask 600000", "yes 600000 700000", "yes 500000 700000", "at 1499998"), side.HELD, True),
-    (("ask 500000", "no 500000 500001 not_leader"), side.HELD, True),
-    (("ask 500000", "no 500000 500001 lapsed_lease"), side.OPENING, False),
-    (("ask 500000", "no 500000 500001 fenced_off"), side.OPENING, False),
-    (("no 77 500000 fenced_off",), side.HELD, True),
-    (("close",), side.CLOSING, False),
-    (("close", "ask 500000", "no 500000 500001 no_quorum"), side.CLOSING, False),
-    (("close", "ask 500000", "done 500000"), side.ENDED, False),
-    (("close", "ask 500000", "no 500000 500001 lapsed_lease"), side.ENDED, False)])
+@pytest.mark.parametrize(
+    "steps, state, usable",
+    [
+        ((), side.HELD, True),
+        (("at 899998",), side.HELD, True),
+        (("at 899999",), side.LAPSED, False),
+        (("ask 500000", "yes 500000 900000", "at 1399998"), side.HELD, True),
+        (("ask 500000", "yes 500000 900000", "at 1399999"), side.LAPSED, False),
+        (("ask 500000", "at 950000", "yes 500000 950000"), side.HELD, True),
+        (("ask 500000", "at 1500000", "yes 500000 1500000"), side.LAPSED, False),
+        (
+            ("ask 500000", "ask 600000", "yes 600000 700000", "yes 500000 700000", "at 1499998"),
+            side.HELD,
+            True,
+        ),
+        (("ask 500000", "no 500000 500001 not_leader"), side.HELD, True),
+        (("ask 500000", "no 500000 500001 lapsed_lease"), side.OPENING, False),
+        (("ask 500000", "no 500000 500001 fenced_off"), side.OPENING, False),
+        (("no 77 500000 fenced_off",), side.HELD, True),
+        (("close",), side.CLOSING, False),
+        (("close", "ask 500000", "no 500000 500001 no_quorum"), side.CLOSING, False),
+        (("close", "ask 500000", "done 500000"), side.ENDED, False),
+        (("close", "ask 500000", "no 500000 500001 lapsed_lease"), side.ENDED, False),
+    ],
+)
 def test_states_of_a_session(steps: tuple[str, ...], state: str, usable: bool) -> None:
     one, now = opened(), 0
     for step in steps:
@@ -136,7 +146,7 @@
     assert one.orders(60)[1].commands == (commands[1],)
     for _ in range(side.MARKS - 1):
         one.command(GiveBack("held", 0), 61)
-    with pytest.raises(OverloadedError):      # or its fate would be forgotten by the books
+    with pytest.raises(OverloadedError):  # or its fate would be forgotten by the books
         one.command(GiveBack("held", 0), 61)
     one.failed(70, 60, "fenced_off")
     assert [done.code for _, done in one.settled()] == ["unknown_fate"]
@@ -144,8 +154,9 @@
         one.command(GiveBack("tries", 0), 80)
 
 
-@pytest.mark.parametrize("now, closed", [(TERMS.holds(), False), (TERMS.holds() + TERMS.lease, False),
-                                         (TERMS.holds() - 1, True)])
+@pytest.mark.parametrize(
+    "now, closed", [(TERMS.holds(), False), (TERMS.holds() + TERMS.lease, False), (TERMS.holds() - 1, True)]
+)
 def test_no_command_is_made_without_a_usable_lease(now: int, closed: bool) -> None:
     """The look is in the making itself: what is sent after a pause has been made after it."""
     one = opened()
@@ -158,15 +169,28 @@
     assert one.mark == before and not one.out
 
 
-@pytest.mark.parametrize("steps, granted", [
-    ("", 30), ("back", 10), ("back old30", 10), ("back new30", 10), ("back new30 known old30", 10),
-    ("back known new30", 30), ("back new10", 10), ("back new10 old30", 10), ("back new10 new30", 30),
-    ("back new10 late20 new30", 30), ("back back5 new10 new30", 5), ("back back5 known new30", 5)])
+@pytest.mark.parametrize(
+    "steps, granted",
+    [
+        ("", 30),
+        ("back", 10),
+        ("back old30", 10),
+        ("back new30", 10),
+        ("back new30 known old30", 10),
+        ("back known new30", 30),
+        ("back new10", 10),
+        ("back new10 old30", 10),
+        ("back new10 new30", 30),
+        ("back new10 late20 new30", 30),
+        ("back back5 new10 new30", 5),
+        ("back back5 known new30", 5),
+    ],
+)
 def test_a_share_given_back_is_not_used_on_an_older_word(steps: str, granted: int) -> None:
     one = opened()
     renew(one, 10, 20, Share("tries", 30, 10))
     one.next_at = 90
-    one.orders(90)                                       # asked before anything is given back
+    one.orders(90)  # asked before anything is given back
     now, back = 100, None
     for step in steps.split():
         now += 10
@@ -185,11 +209,13 @@
 
 # The leader's side
 
+
 def test_leases_as_the_leader_counts_them() -> None:
     binds, one = TERMS.binds(), Members(TERMS, 1000, [2, 1])
     assert one.due() == 1000 + binds and one.over(1000 + binds - 1) == []
-    beats = [Beat(FENCE._replace(session=number), (("tries", 7),), 0, (("tries", 5),))
-             for number in range(10)]
+    beats = [
+        Beat(FENCE._replace(session=number), (("tries", 7),), 0, (("tries", 5),)) for number in range(10)
+    ]
     assert one.renewed(5000, beats[1]) and one.renewed(4000, beats[1]._replace(demands=()))
     assert not one.renewed(5000, beats[9])
     assert (one.used_of(1, "tries"), one.used_of(2, "tries")) == (5, -1)
@@ -197,7 +223,7 @@
     assert one.over(1000 + binds) == [2] and one.over(1000 + binds) == []
     assert not one.renewed(1000 + binds, beats[2]) and one.refuses(2)
     assert one.demand(6000, 2, "tries", 50) == 0 and one.demand(6000, 1, "tries", 50) == 7
-    assert one.demand(6000, 3, "tries", 50) == 50           # it has told this leader nothing yet
+    assert one.demand(6000, 3, "tries", 50) == 50  # it has told this leader nothing yet
     assert one.over(5000 + binds - 1) == [] and one.over(5000 + binds) == [1]
     one.spare(1)
     assert one.due() <= 5000 + binds and one.renewed(6000, beats[1]._replace(demands=(("tries", 1000),)))
@@ -265,8 +291,10 @@
 
 # The desk around the real core
 
-KINDS = {one.__name__: one for one in
-         (forms.Open, forms.Close, forms.Lapse, forms.Define, forms.Grant, forms.GiveBack)}
+KINDS = {
+    one.__name__: one
+    for one in (forms.Open, forms.Close, forms.Lapse, forms.Define, forms.Grant, forms.GiveBack)
+}
 
 
 def encode(batch: Batch) -> bytes:
@@ -276,8 +304,14 @@
 
 def decode(data: bytes) -> Batch:
     at, term, told = json.loads(data)
-    return Batch(at, term, tuple(Command(Fence(*fence) if fence else None, mark, what(kind, fields))
-                                 for fence, mark, kind, fields in told))
+    return Batch(
+        at,
+        term,
+        tuple(
+            Command(Fence(*fence) if fence else None, mark, what(kind, fields))
+            for fence, mark, kind, fields in told
+        ),
+    )
 
 
 def what(kind: str, fields: list) -> forms.What:
@@ -305,12 +339,15 @@
 
     def start(self, name: str) -> None:
         chance = Chance(ord(name) + self.now)
-        self.desks[name] = Desk(name, "s", self.terms, chance, self.disks[name].kept, self.now,
-                                encode=encode, decode=decode)
+        self.desks[name] = Desk(
+            name, "s", self.terms, chance, self.disks[name].kept, self.now, encode=encode, decode=decode
+        )
 
     def leader(self) -> Desk:
-        return max((desk for name, desk in self.desks.items() if desk.lead and name not in self.cut),
-                   key=lambda desk: desk.core.term)
+        return max(
+            (desk for name, desk in self.desks.items() if desk.lead and name not in self.cut),
+            key=lambda desk: desk.core.term,
+        )
 
     def carry(self, name: str, acts: Acts) -> None:
         if acts.write is not None:
@@ -376,8 +413,9 @@
     fleet.pass_time(fleet.now + 3 * TERMS.beat)
     shares = fleet.renew(fence, tries=70).shares
     assert [(one.budget, one.granted >= 50) for one in shares] == [("tries", True)]
-    kept = fleet.ask("submit", Submit((Command(fence, 1, GiveBack("tries", 5)),
-                                       Command(fence, 2, GiveBack("held", 1)))))
+    kept = fleet.ask(
+        "submit", Submit((Command(fence, 1, GiveBack("tries", 5)), Command(fence, 2, GiveBack("held", 1))))
+    )
     assert [(done.value, done.code) for done in kept] == [((5,), ""), ((), "not_held")]
     assert fleet.ask("submit", Submit(())) == ()
     assert fleet.ask("ask", Question("budget", "tries")).value == (forms.RATE, 100, 10, 5, 0)
@@ -398,7 +436,8 @@
     "too_large": lambda fence: ("submit", submit(None, Open("x" * (BOUNDS.batch + 1), ""))),
     "no_such_budget": lambda fence: ("ask", Question("budget", "none")),
     "unknown_command": lambda fence: ("ask", Question("colour")),
-    "unfit_change": lambda fence: ("change", Keepers(("x",)))}
+    "unfit_change": lambda fence: ("change", Keepers(("x",))),
+}
 
 
 @pytest.mark.parametrize("code", REFUSALS)
@@ -407,7 +446,7 @@
     fence = fleet.open("r")
     index = fleet.leader().core.last
     verb, asked = REFUSALS[code](fence)
-    done = fleet.answers[fleet.call(verb, asked)][0]       # at once, without any time passing
+    done = fleet.answers[fleet.call(verb, asked)][0]  # at once, without any time passing
     assert done.code == code and fleet.leader().core.last == index
     assert isinstance(made(done.code, done.to, dict(done.told)), CODES[code])
     assert fleet.renew(fence)._replace(shares=()) == Renewed(TERMS.lease, ())
@@ -417,8 +456,12 @@
     fleet = Fleet()
     leader = fleet.leader()
     other = next(desk for desk in fleet.desks.values() if desk is not leader)
-    calls = (("submit", Submit(())), ("renew", Beat(FENCE)), ("ask", Question("hash")),
-             ("change", Keepers(("a", "b"))))
+    calls = (
+        ("submit", Submit(())),
+        ("renew", Beat(FENCE)),
+        ("ask", Question("hash")),
+        ("change", Keepers(("a", "b"))),
+    )
     told = [fleet.answers[fleet.call(verb, asked, other)][0] for verb, asked in calls]
     assert {(done.code, done.told) for done in told} == {("not_leader", (("leader", leader.name),))}
     waiting = fleet.call("renew", Beat(FENCE._replace(term=0)), leader)
@@ -453,7 +496,7 @@
     fleet.renew(other)
     fleet.pass_time(heard + TERMS.binds() - 1)
     assert leader.books.numbered(fence.session)
-    fleet.cut = set(fleet.desks) - {leader.name}           # the Lapse is proposed and not committed
+    fleet.cut = set(fleet.desks) - {leader.name}  # the Lapse is proposed and not committed
     fleet.pass_time(heard + TERMS.binds())
     token = fleet.call("renew", Beat(fence))
     assert fleet.answers[token][0].code == "lapsed_lease" and leader.books.numbered(fence.session)
@@ -486,8 +529,10 @@
     heard = fleet.now
     fleet.pass_time(heard + TERMS.beat)
     fleet.cut = {old.name}
-    beats = [fleet.call("renew", Beat(fence), old),
-             fleet.call("submit", submit(fence, GiveBack("tries", 1)), old)]
+    beats = [
+        fleet.call("renew", Beat(fence), old),
+        fleet.call("submit", submit(fence, GiveBack("tries", 1)), old),
+    ]
     fleet.until(lambda: any(desk.lead for desk in fleet.desks.values() if desk is not old))
     began, new = fleet.now, fleet.leader()
     fleet.pass_time(began + TERMS.beat)
@@ -508,12 +553,12 @@
     old = fleet.leader()
     fleet.cut = {old.name}
     token = fleet.call("submit", submit(None, Open("r", "")), old)
-    fleet.desks.pop(old.name)                            # paused: it neither beats nor finds out
+    fleet.desks.pop(old.name)  # paused: it neither beats nor finds out
     fleet.until(lambda: any(desk.lead for desk in fleet.desks.values()))
     fleet.cut, fleet.desks[old.name] = set(), old
     fleet.until(lambda: token in fleet.answers)
     assert [answer.code for answer in fleet.answers[token]] == ["unknown_fate"]
-    assert fleet.open("r", 1).session == 1               # with the same mark: it was not carried out
+    assert fleet.open("r", 1).session == 1  # with the same mark: it was not carried out
     fleet = Fleet("a")
     desk = fleet.desks["a"]
     desk.under[desk.core.last + 1] = Under(7, (Order(99, (), 0),))
@@ -582,7 +627,7 @@
 # All orders of a small fleet: real sessions, members and books; the keepers' agreement is taken as one log,
 # and a change of leader as what it leaves: a new account of leases, and proposals that are lost.
 
-WHOLE, UNTIL = 2, 3    # microseconds; by then a lease is over and what it held can be granted again
+WHOLE, UNTIL = 2, 3  # microseconds; by then a lease is over and what it held can be granted again
 SMALL = TERMS._replace(lease=2, drift=0, beat=2, budgets=(forms.Budget("x", forms.RATE, WHOLE, 0, 2, 0, 0),))
 
 
@@ -601,14 +646,36 @@
 def plain(one: Session, under_way: set[int], now: int) -> tuple:
     """All that can make a difference to what it does from now on."""
     waits = one.state in (side.AWAY, side.OPENING)
-    return (one.state, one.fence, one.mark, max(one.next_at, now), waits and (one.failures, one.first_asked),
-            waits and one.open_mark, one.granted_at, *one.held.values(), *sorted(one.given_back.items()),
-            *sorted(one.unknown), *sorted(item for item in one.out.items() if item[0] in under_way))
+    return (
+        one.state,
+        one.fence,
+        one.mark,
+        max(one.next_at, now),
+        waits and (one.failures, one.first_asked),
+        waits and one.open_mark,
+        one.granted_at,
+        *one.held.values(),
+        *sorted(one.given_back.items()),
+        *sorted(one.unknown),
+        *sorted(item for item in one.out.items() if item[0] in under_way),
+    )
 
 
 class World:
-    __slots__ = ("answers", "books", "heard", "lapses", "left", "live", "now", "paused", "prompt", "relays",
-                 "requests", "until")
+    __slots__ = (
+        "answers",
+        "books",
+        "heard",
+        "lapses",
+        "left",
+        "live",
+        "now",
+        "paused",
+        "prompt",
+        "relays",
+        "requests",
+        "until",
+    )
 
     def __init__(self, prompt: bool, until: int) -> None:
         self.prompt, self.until = prompt, until
@@ -632,14 +699,30 @@
         return self.relays[place]
 
     def key(self) -> tuple:
-        asked = [{one.asked_at for one in requests} | {asked for asked, _ in answers}
-                 | ({heard[0].asked_at} if heard else set())
-                 for requests, answers, heard in zip(self.requests, self.answers, self.heard, strict=True)]
-        counted = tuple((one, max(member.heard, self.now - SMALL.binds()), member.lapsing)
-                        for one, member in self.live.items())
+        asked = [
+            {one.asked_at for one in requests}
+            | {asked for asked, _ in answers}
+            | ({heard[0].asked_at} if heard else set())
+            for requests, answers, heard in zip(self.requests, self.answers, self.heard, strict=True)
+        ]
+        counted = tuple(
+            (one, max(member.heard, self.now - SMALL.binds()), member.lapsing)
+            for one, member in self.live.items()
+        )
         relays = (plain(one, under, self.now) for one, under in zip(self.relays, asked, strict=True))
-        return (self.now, *relays, counted, self.books.shares("x"), self.lapses, *self.requests, *self.heard,
-                *self.answers, self.paused, self.left, *(one.fence for one in self.books.sessions()))
+        return (
+            self.now,
+            *relays,
+            counted,
+            self.books.shares("x"),
+            self.lapses,
+            *self.requests,
+            *self.heard,
+            *self.answers,
+            self.paused,
+            self.left,
+            *(one.fence for one in self.books.sessions()),
+        )
 
     def members(self) -> Members:
         members = Members(SMALL, 0, ())
@@ -651,7 +734,7 @@
         self.books = Books.restored(self.books.snapshot())
         dones = self.books.apply(self.books.index + 1, Batch(self.now, 1, commands))
         self.members().follow(self.now, [one.number for one in self.books.sessions()])
-        if grant := self.grant():               # as soon as may be: that is the hardest for what is in use
+        if grant := self.grant():  # as soon as may be: that is the hardest for what is in use
             self.books.apply(self.books.index + 1, Batch(self.now, 1, (grant,)))
         return dones
 
@@ -667,7 +750,7 @@
         if self.now < self.until:
             yield "time", World.time
         if self.prompt and self.requests[1]:
-            yield "serve", World.serve          # nothing else may come before
+            yield "serve", World.serve  # nothing else may come before
             return
         # The first relay's messages may take any time; the second, alike but for that, is served in one step.
         if self.requests[0]:
@@ -684,7 +767,7 @@
             yield "restart", World.restart
         if "lead" in self.left:
             yield "lead", World.lead
-        if "pause" in self.left:                # of the first relay: they are alike
+        if "pause" in self.left:  # of the first relay: they are alike
             yield "pause", World.pause
         if self.paused:
             yield "wake", World.wake
@@ -715,10 +798,10 @@
         if self.books.refusal(beat.fence) is None and self.members().renewed(heard, beat):
             shares = self.books.shares_of(beat.fence.session)
             answer = Renewed(SMALL.lease, tuple(Share(*one) for one in shares))
-        self.answers[place] = ((beat.asked_at, answer),)        # one that did not come by now is lost
+        self.answers[place] = ((beat.asked_at, answer),)  # one that did not come by now is lost
 
     def answer(self, place: int = 0) -> None:
-        (asked_at, answer), = self.answers[place]
+        ((asked_at, answer),) = self.answers[place]
         self.answers[place], relay = (), self.relay(place)
         relay.answered(self.now, asked_at, answer)
         share = relay.shares(self.now).get("x")
@@ -820,7 +903,8 @@
     "a pause is not looked for at use": (Session, "usable", lambda self, now: self.state == side.HELD),
     "a lease counts from the answer": (Session, "_renewed", counted_from_the_answer),
     "renewed though a Lapse is proposed": (Members, "refuses", lambda self, one: one not in self.live),
-    "a new leader does not count anew": (World, "counted_anew", not_counted_anew)}
+    "a new leader does not count anew": (World, "counted_anew", not_counted_anew),
+}
 
 
 @pytest.mark.parametrize("guard", BROKEN)
@@ -833,6 +917,7 @@
 
 # One relay and one keeper in true time, with clocks that run wrong
 
+
 def pair(seed: int, holder: int, keeper: int, handed_on: bool = False) -> int:
     """How often the relay thought its lease usable when the books no longer had its session. Clocks run
     `holder` and `keeper` parts of a million fast; messages take their time or get lost, both sides pause.
@@ -860,8 +945,11 @@
                 relay.answered(mine, asked.pop(token), fleet.answers[token][0])
             if relay.due() <= mine:
                 times, longest = (2, terms.lease) if handed_on else (1, terms.lease // 4)
-                under_way += [(true + chance.below(longest), order) for order in relay.orders(mine) * times
-                              if chance.below(8)]
+                under_way += [
+                    (true + chance.below(longest), order)
+                    for order in relay.orders(mine) * times
+                    if chance.below(8)
+                ]
     assert relay.fence is None or relay.fence.session > 1
     return faults
 
@@ -876,7 +964,8 @@
 
 
 def test_an_order_handed_on_late_and_twice_lets_no_lapsed_lease_be_used(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     for seed in SEEDS:
         for holder, keeper in ((-FAST, FAST), (0, 0), (FAST, -FAST)):
             assert pair(seed, holder, keeper, True) == 0, f"seed {seed}, clocks {holder} and {keeper}"
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -28,8 +28,17 @@
 DOC = Path(__file__).parent.parent / "docs" / "on-call-fleet.md"
 SECOND = 1_000_000
 WORDS = {"leader", "fault", "fleet", "keeper", "theirs", "ours", "of", "state", "order", "resource", "kind"}
-TERMS = Terms("agenda", SECOND, 1000, SECOND // 10, 9, Bounds(SECOND // 20, SECOND // 5, 1 << 14, 4, 1 << 14,
-                                                                 64), Keepers(("k1",)), (), 99)
+TERMS = Terms(
+    "agenda",
+    SECOND,
+    1000,
+    SECOND // 10,
+    9,
+    Bounds(SECOND // 20, SECOND // 5, 1 << 14, 4, 1 << 14, 64),
+    Keepers(("k1",)),
+    (),
+    99,
+)
 
 
 def figures(kind: type[FleetError]) -> dict[str, int | str]:
@@ -80,19 +89,23 @@
 class Running:
     def __init__(self, folder: Path) -> None:
         def desk(kept: object) -> Desk:
-            return Desk("k1", "a", TERMS, Chance(1), kept, clock(),
-                        encode=codec.packed, decode=codec.unpacked)
+            return Desk(
+                "k1", "a", TERMS, Chance(1), kept, clock(), encode=codec.packed, decode=codec.unpacked
+            )
+
         self.limits = limits(TERMS)
         self.keeping = kept_in(folder, "agenda", "k1", 1, desk, lambda to, message: None, clock, log)
         assert isinstance(self.keeping, Keeping)
-        self.service = Service(self.keeping, "agenda", "k1", "127.0.0.1:0", self.limits,
-                               Hands("agenda", "k1", {}, self.limits))
+        self.service = Service(
+            self.keeping, "agenda", "k1", "127.0.0.1:0", self.limits, Hands("agenda", "k1", {}, self.limits)
+        )
         self.service.start()
         self.channel = grpc.insecure_channel(f"127.0.0.1:{self.service.port}")
 
     def ask(self, verb: str, order: object, **head: object) -> Done | tuple:
         request = {"Submit": wire.SubmitOrder, "Ask": wire.AskOrder, "Change": wire.ChangeOrder}[verb](
-            head=codec.head("agenda", "m1", "k1"), what=codec.message_of(order))
+            head=codec.head("agenda", "m1", "k1"), what=codec.message_of(order)
+        )
         for name, value in head.items():
             setattr(request.head, name, value)
         reply = getattr(fleet_pb2_grpc.BooksStub(self.channel), verb)(request, timeout=5)
@@ -115,19 +128,28 @@
 ASK = orders.Question("hash")
 
 
-@pytest.mark.parametrize("verb, order, head, code", [
-    ("Ask", ASK, {"fleet": "other"}, "other_fleet"), ("Ask", ASK, {"version": 99}, "other_version"),
-    ("Ask", ASK, {"version": 0}, "other_version"), ("Ask", ASK, {"to": "k2"}, "unreadable"),
-    ("Ask", ASK, {"sender": ""}, "unreadable"), ("Ask", ASK, {"sender": "x" * 5000}, "too_large"),
-    ("Ask", orders.Question("everything"), {}, "unknown_command"),
-    ("Ask", orders.Question("budget", "none"), {}, "no_such_budget"),
-    ("Submit", orders.Submit((Command(None, 5, Lapse(1)),)), {}, "out_of_order"),
-    ("Submit", orders.Submit((Command(Fence("m1", 9, 1, 0), 5, GiveBack("x", 0)),)), {}, "lapsed_lease"),
-    ("Submit", orders.Submit((Command(None, 5, Open("m" * 4000, "a")),) * 5), {}, "too_large"),
-    ("Change", Keepers(("k1", "k2", "k3")), {}, "unfit_change"), ("Change", Keepers(()), {}, "unfit_change"),
-    ("Change", Keepers(("k;1",)), {}, "unfit_change")])
+@pytest.mark.parametrize(
+    "verb, order, head, code",
+    [
+        ("Ask", ASK, {"fleet": "other"}, "other_fleet"),
+        ("Ask", ASK, {"version": 99}, "other_version"),
+        ("Ask", ASK, {"version": 0}, "other_version"),
+        ("Ask", ASK, {"to": "k2"}, "unreadable"),
+        ("Ask", ASK, {"sender": ""}, "unreadable"),
+        ("Ask", ASK, {"sender": "x" * 5000}, "too_large"),
+        ("Ask", orders.Question("everything"), {}, "unknown_command"),
+        ("Ask", orders.Question("budget", "none"), {}, "no_such_budget"),
+        ("Submit", orders.Submit((Command(None, 5, Lapse(1)),)), {}, "out_of_order"),
+        ("Submit", orders.Submit((Command(Fence("m1", 9, 1, 0), 5, GiveBack("x", 0)),)), {}, "lapsed_lease"),
+        ("Submit", orders.Submit((Command(None, 5, Open("m" * 4000, "a")),) * 5), {}, "too_large"),
+        ("Change", Keepers(("k1", "k2", "k3")), {}, "unfit_change"),
+        ("Change", Keepers(()), {}, "unfit_change"),
+        ("Change", Keepers(("k;1",)), {}, "unfit_change"),
+    ],
+)
 def test_bad_orders_are_refused_by_type_and_the_books_stay_whole(
-        keeper: Running, verb: str, order: object, head: dict, code: str) -> None:
+    keeper: Running, verb: str, order: object, head: dict, code: str
+) -> None:
     before = keeper.hash()
     answer = keeper.ask(verb, order, **head)
     done = answer if isinstance(answer, Done) else answer[0]
@@ -140,21 +162,27 @@
     return bytes(chance.below(256) for _ in range(size))
 
 
-@pytest.mark.parametrize("data", [b"", b"\xff" * 9, _garbage(7), _garbage(900), b"x" * (1 << 20)],
-                         ids=["nothing", "ones", "few", "many", "over the bound"])
+@pytest.mark.parametrize(
+    "data",
+    [b"", b"\xff" * 9, _garbage(7), _garbage(900), b"x" * (1 << 20)],
+    ids=["nothing", "ones", "few", "many", "over the bound"],
+)
 def test_garbage_ends_nothing(keeper: Running, data: bytes) -> None:
     before = keeper.hash()
     own = [("grpc.use_local_subchannel_pool", 1)]
     stranger = grpc.insecure_channel(f"127.0.0.1:{keeper.service.port}", own)
-    for name in ("Keepers", "Books"):   # Flows has a port of its own: tests/test_fleet_flows.py
+    for name in ("Keepers", "Books"):  # Flows has a port of its own: tests/test_fleet_flows.py
         service = wire.DESCRIPTOR.services_by_name[name]
         for method in service.methods:
             try:
                 answer = stranger.unary_unary(f"/{service.full_name}/{method.name}")(data, timeout=5)
             except grpc.RpcError as error:
-                assert error.code() in (grpc.StatusCode.INTERNAL, grpc.StatusCode.UNKNOWN,
-                                        grpc.StatusCode.RESOURCE_EXHAUSTED), (method.name, error)
+                assert error.code() in (
+                    grpc.StatusCode.INTERNAL,
+                    grpc.StatusCode.UNKNOWN,
+                    grpc.StatusCode.RESOURCE_EXHAUSTED,
+                ), (method.name, error)
             else:
-                assert answer, method.name   # refused by type, in an answer that can be read
+                assert answer, method.name  # refused by type, in an answer that can be read
     stranger.close()
     assert keeper.hash() == before and keeper.keeping.thread.is_alive()
--- a/tests/test_fleet_flows.py
+++ b/tests/test_fleet_flows.py
@@ -45,8 +45,14 @@
         self.units, directory = [HoldsStand(self.ledger) for _ in range(3)], DirectoryStand()
         for place, unit in enumerate(self.units):
             directory.put(f"u-{place}", unit.at)
-        self.host = Host(folder, {"k1": "a", "k2": "b", "k3": "c"}, {"m1": "a", "m2": "b"}, flows=FLOWS,
-                         known=directory.whole(), directory=directory.at)
+        self.host = Host(
+            folder,
+            {"k1": "a", "k2": "b", "k3": "c"},
+            {"m1": "a", "m2": "b"},
+            flows=FLOWS,
+            known=directory.whole(),
+            directory=directory.at,
+        )
         self.host.start()
 
     def client(self, *names: str) -> FlowsClient:
@@ -64,8 +70,11 @@
 
     def effects(self, mark: str) -> list[str]:
         """In the order in which units came to them."""
-        found = [(one.at, f"{one.what} {one.thing.partition('.')[0]}") for one in self.ledger.effects
-                 if one.thing.endswith(f"-{mark}")]
+        found = [
+            (one.at, f"{one.what} {one.thing.partition('.')[0]}")
+            for one in self.ledger.effects
+            if one.thing.endswith(f"-{mark}")
+        ]
         return [what for _, what in sorted(found)]
 
 
@@ -98,11 +107,16 @@
     assert fleet.effects("three") == ["hold room", "hold device", "free device", "free room"]
 
 
-@pytest.mark.parametrize(("definition", "values", "code"), [
-    ("other", {}, "definition_refused"),
-    ("booking", {"room": "a' /* id=x,c=once,d=9 */"}, "definition_refused")])
+@pytest.mark.parametrize(
+    ("definition", "values", "code"),
+    [
+        ("other", {}, "definition_refused"),
+        ("booking", {"room": "a' /* id=x,c=once,d=9 */"}, "definition_refused"),
+    ],
+)
 def test_what_would_be_no_statement_is_refused_before_anything_is_held(
-        fleet: Fleet, definition: str, values: dict[str, str], code: str) -> None:
+    fleet: Fleet, definition: str, values: dict[str, str], code: str
+) -> None:
     told = fleet.client("m1").start(definition, "firm", "bad", values, 2.0)
     assert (told.number, told.answer, told.refused) == (0, ERRORED, code)
 
@@ -121,8 +135,9 @@
 def test_a_client_that_leaves_undoes(fleet: Fleet) -> None:
     fleet.ledger.delays["hold.device.d-left"] = 0.5
     client = fleet.client("m1")
-    thread = threading.Thread(target=lambda: client.start("booking", "firm", "left", {
-        "room": "r-left", "device": "d-left"}, 3.0))
+    thread = threading.Thread(
+        target=lambda: client.start("booking", "firm", "left", {"room": "r-left", "device": "d-left"}, 3.0)
+    )
     thread.start()
     until(lambda: fleet.ledger.statements("hold.device.d-left"))
     client.close()
@@ -173,10 +188,22 @@
 # Without processes
 
 SEND = d.Send("mark", "x{a}", 5, "deduplicated", 9)
-COMMANDS = (f.Limits(1, 2, 3, 4), f.Begin("t", "m", d.Definition("n", 1, 2, 3, 4, (
-    d.Step("s", SEND, SEND), d.Step("s2", SEND, None, False, True, "never", True))), (("a", "b"),)),
-    f.Intend(1, 0, True, 2), f.Result(1, 0, False, 2, "unknown"), f.Leave(3, "left"),
-    f.Settle(3, 1, "again"), f.Adopt(3, 4, 5))
+COMMANDS = (
+    f.Limits(1, 2, 3, 4),
+    f.Begin(
+        "t",
+        "m",
+        d.Definition(
+            "n", 1, 2, 3, 4, (d.Step("s", SEND, SEND), d.Step("s2", SEND, None, False, True, "never", True))
+        ),
+        (("a", "b"),),
+    ),
+    f.Intend(1, 0, True, 2),
+    f.Result(1, 0, False, 2, "unknown"),
+    f.Leave(3, "left"),
+    f.Settle(3, 1, "again"),
+    f.Adopt(3, 4, 5),
+)
 
 
 @pytest.mark.parametrize("what", COMMANDS, ids=lambda one: type(one).__name__)
@@ -192,48 +219,81 @@
     books.apply(2, f.Batch(1, 1, (f.Command(f.Fence(*fence), 1, f.Begin("t", "m", found, (("a", "b"),))),)))
     assert views.seen(views.told(books.workflow(1))) == books.workflow(1)
     assert views.seen(views.told(None)) is None
-    for index, (what, elapsed) in enumerate(((f.Intend(1, 0, False, 1), 4), (f.Result(
-            1, 0, False, 1, f.COMPLETED), 9)), 3):
+    for index, (what, elapsed) in enumerate(
+        ((f.Intend(1, 0, False, 1), 4), (f.Result(1, 0, False, 1, f.COMPLETED), 9)), 3
+    ):
         before = books.workflow(1)
         books.apply(index, f.Batch(1 + elapsed, 1, (f.Command(f.Fence(*fence), index, what),)))
         assert views.after(before, what, elapsed) == books.workflow(1) != before
 
 
-@pytest.mark.parametrize(("end", "statuses", "once", "outcome"), [
-    (req.COMPLETED, ["reset", "ok"], False, f.COMPLETED), (req.SHED, [], False, f.NEVER_RAN),
-    (req.SHED, ["busy", "unsent"], False, f.NEVER_RAN), (req.SHED, ["reset"], False, f.UNKNOWN),
-    (req.SHED, ["failed"], True, f.NEVER_RAN), (req.ERRORED, ["at_fault"], False, f.FAILED),
-    (req.ERRORED, ["busy", "at_fault"], True, f.FAILED),
-    (req.ERRORED, ["reset", "at_fault"], False, f.UNKNOWN),
-    (req.ERRORED, [], False, f.UNKNOWN), (req.WITHDRAWN, ["ok"], False, f.UNKNOWN)])
+@pytest.mark.parametrize(
+    ("end", "statuses", "once", "outcome"),
+    [
+        (req.COMPLETED, ["reset", "ok"], False, f.COMPLETED),
+        (req.SHED, [], False, f.NEVER_RAN),
+        (req.SHED, ["busy", "unsent"], False, f.NEVER_RAN),
+        (req.SHED, ["reset"], False, f.UNKNOWN),
+        (req.SHED, ["failed"], True, f.NEVER_RAN),
+        (req.ERRORED, ["at_fault"], False, f.FAILED),
+        (req.ERRORED, ["busy", "at_fault"], True, f.FAILED),
+        (req.ERRORED, ["reset", "at_fault"], False, f.UNKNOWN),
+        (req.ERRORED, [], False, f.UNKNOWN),
+        (req.WITHDRAWN, ["ok"], False, f.UNKNOWN),
+    ],
+)
 def test_what_is_said_of_a_step(end: str, statuses: list[str], once: bool, outcome: str) -> None:
     assert steps.outcome(end, statuses, once) == outcome
 
 
 def seen(words: str) -> dict[str, flows_seen.Seen]:
     """Of one mark: `hold.room`, and so on, in order; one with a `?` came without effect."""
-    ones = [(Effect(at, *word.strip("?").split("."), "", ""), word[-1] != "?")
-            for at, word in enumerate(words.split())]
+    ones = [
+        (Effect(at, *word.strip("?").split("."), "", ""), word[-1] != "?")
+        for at, word in enumerate(words.split())
+    ]
     ones = [(one._replace(thing=one.thing + ".m"), effect) for one, effect in ones]
-    return flows_seen.by_mark(["m"], [one for one, _ in ones], [one for one, effect in ones if effect],
-                              frozenset(["device.m"]))
-
-
-@pytest.mark.parametrize(("words", "answer", "ended", "took", "broken"), [
-    ("hold.room hold.device hold.slot notice.n", DONE, DONE, 1.0, {}),
-    ("hold.room hold.device free.device free.room", UNDONE, UNDONE, 2.0, {}),
-    ("hold.device hold.room hold.slot notice.n", DONE, DONE, 1.0, {"out_of_order": 1, "two_owners_acted": 1}),
-    ("hold.room hold.device free.room free.device", UNDONE, UNDONE, 2.0, {
-        "out_of_order": 1, "two_owners_acted": 1}),
-    ("hold.room hold.device free.device", UNDONE, UNDONE, 2.0, {"effects_left_behind": 1}),
-    ("hold.room free.room hold.room", UNDONE, UNDONE, 2.0, {"effects_left_behind": 1, "two_owners_acted": 1}),
-    ("hold.room free.room notice.n", DONE, DONE, 1.0, {"undone_though_done": 1, "two_owners_acted": 1}),
-    ("hold.room notice.n notice.n", DONE, DONE, 1.0, {"notices_twice": 1}),
-    ("hold.room hold.device? free.device free.room", UNDONE, UNDONE, 0.3, {"undo_of_never_ran": 1}),
-    ("hold.room hold.device? free.device free.room", UNDONE, UNDONE, 2.0, {}),
-    ("hold.room", UNDONE, DONE, 1.0, {"one_outcome_each": 1}),
-    ("hold.room", "maybe", DONE, 1.0, {"one_outcome_each": 1}),
-    ("hold.room", ERRORED, DONE, 8.5, {"answered_after_deadline": 1})])
+    return flows_seen.by_mark(
+        ["m"], [one for one, _ in ones], [one for one, effect in ones if effect], frozenset(["device.m"])
+    )
+
+
+@pytest.mark.parametrize(
+    ("words", "answer", "ended", "took", "broken"),
+    [
+        ("hold.room hold.device hold.slot notice.n", DONE, DONE, 1.0, {}),
+        ("hold.room hold.device free.device free.room", UNDONE, UNDONE, 2.0, {}),
+        (
+            "hold.device hold.room hold.slot notice.n",
+            DONE,
+            DONE,
+            1.0,
+            {"out_of_order": 1, "two_owners_acted": 1},
+        ),
+        (
+            "hold.room hold.device free.room free.device",
+            UNDONE,
+            UNDONE,
+            2.0,
+            {"out_of_order": 1, "two_owners_acted": 1},
+        ),
+        ("hold.room hold.device free.device", UNDONE, UNDONE, 2.0, {"effects_left_behind": 1}),
+        (
+            "hold.room free.room hold.room",
+            UNDONE,
+            UNDONE,
+            2.0,
+            {"effects_left_behind": 1, "two_owners_acted": 1},
+        ),
+        ("hold.room free.room notice.n", DONE, DONE, 1.0, {"undone_though_done": 1, "two_owners_acted": 1}),
+        ("hold.room notice.n notice.n", DONE, DONE, 1.0, {"notices_twice": 1}),
+        ("hold.room hold.device? free.device free.room", UNDONE, UNDONE, 0.3, {"undo_of_never_ran": 1}),
+        ("hold.room hold.device? free.device free.room", UNDONE, UNDONE, 2.0, {}),
+        ("hold.room", UNDONE, DONE, 1.0, {"one_outcome_each": 1}),
+        ("hold.room", "maybe", DONE, 1.0, {"one_outcome_each": 1}),
+        ("hold.room", ERRORED, DONE, 8.5, {"answered_after_deadline": 1}),
+    ],
+)
 def test_how_the_lab_judges(words: str, answer: str, ended: str, took: float, broken: dict[str, int]) -> None:
     asked = [flows_seen.Asked("m", 0.0, took, 8.0, Told(1, answer, answer, ()), True)]
     counts = flows_seen.judged(seen(words), asked, {"m": Told(1, ended, ended, ())})
@@ -241,7 +301,8 @@
 
 
 def test_the_lead_sets_limits_and_takes_no_word_of_the_leaders_from_outside(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(test_fleet_desk, "encode", codec.packed)
     monkeypatch.setattr(test_fleet_desk, "decode", codec.unpacked)
     limits = f.Limits(9, 8, 7, 6)
@@ -259,10 +320,21 @@
         told = copy.deepcopy(OUTSIDE)
         told["classes"][1]["effect"] = effect
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(config("r-1", f"{RELAY}:1", NOWHERE, NOWHERE, {
-            "revision": 1, "complete": True, "members": []}, told)))
-        ran = CliRunner().invoke(cli.main, ["check", "--config", str(path), "-o",
-                                            str(ROOT / "deploy/fleet.xml")])
+        path.write_text(
+            json.dumps(
+                config(
+                    "r-1",
+                    f"{RELAY}:1",
+                    NOWHERE,
+                    NOWHERE,
+                    {"revision": 1, "complete": True, "members": []},
+                    told,
+                )
+            )
+        )
+        ran = CliRunner().invoke(
+            cli.main, ["check", "--config", str(path), "-o", str(ROOT / "deploy/fleet.xml")]
+        )
         assert (ran.exit_code, words in ran.output) == (code, True), ran.output
 
 
@@ -277,8 +349,9 @@
             begun.append("unsent")
 
     owned, leases = steps.Owned(Tries()), [True, False]
-    asked = steps.statement(steps.Send("i", "k", "mark", "SELECT blob FROM rows WHERE handle = 'a'", 0),
-                            5000, True)
+    asked = steps.statement(
+        steps.Send("i", "k", "mark", "SELECT blob FROM rows WHERE handle = 'a'", 0), 5000, True
+    )
     assert asked.repeated and (asked.req, asked.mark, asked.left_ms) == ("i", "k", 5)
     owned.statuses["i"], owned.usable["i"] = [], lambda: leases.pop(0)
     for number in range(2):
@@ -293,12 +366,18 @@
     def usable(now: int) -> bool:
         looks.append(now)
         return lease[0]
+
     now = itertools.count(100)
-    flows = SimpleNamespace(me=7, clock=lambda: next(now), _usable=usable, late=None,
-                            sender=SimpleNamespace(send=lambda *of: sent.append(of)))
+    flows = SimpleNamespace(
+        me=7,
+        clock=lambda: next(now),
+        _usable=usable,
+        late=None,
+        sender=SimpleNamespace(send=lambda *of: sent.append(of)),
+    )
     one = SimpleNamespace(sending=lambda: SimpleNamespace(tried=2), came=None)
     Flows._send(flows, 1, one, steps.Send("i", "k", "mark", "SELECT 1", 5000))
-    (_, left, again, look, _), = sent
+    ((_, left, again, look, _),) = sent
     assert (left, again, looks) == (4900, True, []), "looked at when it is sent, not before"
     assert look() and looks == [101]
     lease[0] = False
--- a/tests/test_fleet_flows_service.py
+++ b/tests/test_fleet_flows_service.py
@@ -19,7 +19,7 @@
 from laurelcourse.standins.ports import reserve_port
 
 MANY = 200
-GRACE = 5_000_000    # microseconds
+GRACE = 5_000_000  # microseconds
 
 
 class Flows:
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.definitions: dict = {}
-        self.asked: dict[str, Callable] = {}     # by mark
+        self.asked: dict[str, Callable] = {}  # by mark
         self.gone: list[Callable] = []
         self.refuses: Exception | None = None
 
@@ -119,9 +119,13 @@
         flows.tell("1")
 
 
-@pytest.mark.parametrize("refuses, wait, code", [
-    (made("overloaded", "letters", {"waiting": 1, "at_most": 1}), 20_000_000, "overloaded"),
-    (None, 100_000, "unknown_fate")])
+@pytest.mark.parametrize(
+    "refuses, wait, code",
+    [
+        (made("overloaded", "letters", {"waiting": 1, "at_most": 1}), 20_000_000, "overloaded"),
+        (None, 100_000, "unknown_fate"),
+    ],
+)
 def test_each_call_has_one_answer_in_time(refuses: FleetError | None, wait: int, code: str) -> None:
     flows = Flows()
     flows.refuses = refuses
--- a/tests/test_fleet_handing.py
+++ b/tests/test_fleet_handing.py
@@ -14,21 +14,30 @@
 AWAY = Done(code="not_leader", to="b", told=(("leader", "a"),))
 
 
-@pytest.mark.parametrize(("wished", "answer", "to"), [
-    (True, AWAY, "a"),
-    (False, AWAY, ""),                                                    # not asked for, or handed on before
-    (True, AWAY._replace(told=(("leader", ""),)), ""), (True, AWAY._replace(told=()), ""),
-    (True, AWAY._replace(told=(("leader", "b"),)), ""),                   # itself: a circle of one
-    (True, AWAY._replace(told=(("leader", "d"),)), ""),                   # without an address
-    (True, AWAY._replace(code="unknown_fate"), ""),                       # it may yet be carried out here
-    (True, AWAY._replace(code="overloaded"), ""), (True, AWAY._replace(code="stopping"), ""),
-    (True, Done(("a",)), ""), (True, (AWAY,), ""), (True, Renewed(5, ()), "")])
+@pytest.mark.parametrize(
+    ("wished", "answer", "to"),
+    [
+        (True, AWAY, "a"),
+        (False, AWAY, ""),  # not asked for, or handed on before
+        (True, AWAY._replace(told=(("leader", ""),)), ""),
+        (True, AWAY._replace(told=()), ""),
+        (True, AWAY._replace(told=(("leader", "b"),)), ""),  # itself: a circle of one
+        (True, AWAY._replace(told=(("leader", "d"),)), ""),  # without an address
+        (True, AWAY._replace(code="unknown_fate"), ""),  # it may yet be carried out here
+        (True, AWAY._replace(code="overloaded"), ""),
+        (True, AWAY._replace(code="stopping"), ""),
+        (True, Done(("a",)), ""),
+        (True, (AWAY,), ""),
+        (True, Renewed(5, ()), ""),
+    ],
+)
 def test_what_a_keeper_hands_on(wished: bool, answer: Answer, to: str) -> None:
     assert leader_for(wished, answer, "b", ("a", "c")) == to
 
 
-@pytest.mark.parametrize(("left", "time"), [
-    (None, 1000), (800, 700), (10_000, 1000), (8, 7), (1, 0), (0, 0), (-5, 0)])
+@pytest.mark.parametrize(
+    ("left", "time"), [(None, 1000), (800, 700), (10_000, 1000), (8, 7), (1, 0), (0, 0), (-5, 0)]
+)
 def test_an_eighth_of_the_askers_time_stays_for_the_way_back(left: int | None, time: int) -> None:
     assert time_for(left, 1000) == time
 
@@ -66,31 +75,37 @@
     return told
 
 
-@pytest.mark.parametrize(("steps", "tries"), [
-    ("= = =", "a a a a"),
-    ("-c = =", "a c c c"),                          # a hint is followed, and remembered
-    ("x x x x", "a b c a b"),                       # nobody is heard: in turn
-    ("-- -- --", "a b c a"), ("-d -d", "a b c"),    # nobody is known to lead
-    ("? ? ?", "a b c a"),
-    ("! ! =", "a a a a"),                           # it has to wait, wherever it asks
-    ("-c x b>", "a c a> b"),                        # b leads by now, and may be heard
-    ("-c x c> c>", "a c a> a> a>"),                 # by whoever handed on last
-    ("-c x -c c> c>", "a c a> b> b> b>"),           # a can't reach it either, or knows no such wish
-    ("-c x -c -- c>", "a c a> b> a> a>"),           # one that is cut off itself knows no better
-    ("-c x -b =", "a c a> b b"),                    # another leads, and is heard: straight
-    ("-c x = =", "a c a> a a"),                     # who was to hand on leads itself by now
-    ("-c x c> x c>", "a c a> a> b> b>"),            # who handed on is gone
-    ("-c x c> ? c>", "a c a> a> b> b>"), ("-c x c> ! c>", "a c a> a> a> a>"),
-    ("-c x c> + =", "a c a> a> c c"),               # the leader itself is tried again, once in a while
-    ("-c x c> + x c>", "a c a> a> c a> a>"),
-    ("x -a c>", "a b b> c"),                        # who knows it as leader is asked to hand on
-    ("x -a a>", "a b b> b>"),
-    ("x x -a a>", "a b c c> c>"),
-    ("x x x -- =", "a b c a b b"),
-    ("x -a x x", "a b b> c> a"),                    # nobody to hand on is heard: the leader again
-    ("-c x -bc", "a c a> b"), ("-c x --c =", "a c a> b b"),      # it says itself that it leads no more
-    ("-c x ?c =", "a c a> b b"),
-])
+@pytest.mark.parametrize(
+    ("steps", "tries"),
+    [
+        ("= = =", "a a a a"),
+        ("-c = =", "a c c c"),  # a hint is followed, and remembered
+        ("x x x x", "a b c a b"),  # nobody is heard: in turn
+        ("-- -- --", "a b c a"),
+        ("-d -d", "a b c"),  # nobody is known to lead
+        ("? ? ?", "a b c a"),
+        ("! ! =", "a a a a"),  # it has to wait, wherever it asks
+        ("-c x b>", "a c a> b"),  # b leads by now, and may be heard
+        ("-c x c> c>", "a c a> a> a>"),  # by whoever handed on last
+        ("-c x -c c> c>", "a c a> b> b> b>"),  # a can't reach it either, or knows no such wish
+        ("-c x -c -- c>", "a c a> b> a> a>"),  # one that is cut off itself knows no better
+        ("-c x -b =", "a c a> b b"),  # another leads, and is heard: straight
+        ("-c x = =", "a c a> a a"),  # who was to hand on leads itself by now
+        ("-c x c> x c>", "a c a> a> b> b>"),  # who handed on is gone
+        ("-c x c> ? c>", "a c a> a> b> b>"),
+        ("-c x c> ! c>", "a c a> a> a> a>"),
+        ("-c x c> + =", "a c a> a> c c"),  # the leader itself is tried again, once in a while
+        ("-c x c> + x c>", "a c a> a> c a> a>"),
+        ("x -a c>", "a b b> c"),  # who knows it as leader is asked to hand on
+        ("x -a a>", "a b b> b>"),
+        ("x x -a a>", "a b c c> c>"),
+        ("x x x -- =", "a b c a b b"),
+        ("x -a x x", "a b b> c> a"),  # nobody to hand on is heard: the leader again
+        ("-c x -bc", "a c a> b"),
+        ("-c x --c =", "a c a> b b"),  # it says itself that it leads no more
+        ("-c x ?c =", "a c a> b b"),
+    ],
+)
 def test_whom_an_asker_turns_to(steps: str, tries: str) -> None:
     assert " ".join(played(steps)) == tries
 
@@ -123,6 +138,7 @@
                     tried = routes.first(now)
             if tried.keeper not in routes.names:
                 strange.append(tried)
+
     interval = sys.getswitchinterval()
     sys.setswitchinterval(1e-6)
     try:
--- a/tests/test_fleet_holder.py
+++ b/tests/test_fleet_holder.py
@@ -13,10 +13,23 @@
 from laurelcourse.fleet.session import Session
 
 SECOND = 1_000_000
-BUDGETS = (Budget("calls", COUNT, 100, 2, 10, SECOND, 0), Budget("cold-work", RATE, 30, 0, 10, 0, 0),
-           Budget("connections", LEVEL, 20, 1, 10, 0, SECOND), Budget("resends", RATE, 100, 4, 10, 0, 0))
-TERMS = Terms("f", 6 * SECOND, 1000, SECOND, 100, Bounds(100_000, 500_000, 1 << 16, 8, 1 << 16, 64),
-              Keepers(("k",)), BUDGETS, 1000)
+BUDGETS = (
+    Budget("calls", COUNT, 100, 2, 10, SECOND, 0),
+    Budget("cold-work", RATE, 30, 0, 10, 0, 0),
+    Budget("connections", LEVEL, 20, 1, 10, 0, SECOND),
+    Budget("resends", RATE, 100, 4, 10, 0, 0),
+)
+TERMS = Terms(
+    "f",
+    6 * SECOND,
+    1000,
+    SECOND,
+    100,
+    Bounds(100_000, 500_000, 1 << 16, 8, 1 << 16, 64),
+    Keepers(("k",)),
+    BUDGETS,
+    1000,
+)
 
 
 class Relay:
@@ -114,8 +127,12 @@
 @pytest.mark.parametrize("told, ends", [(None, face.SEND), (True, face.SEND), (False, face.SHED)])
 def test_the_module_asks_for_each_resend(relay: type, told: bool | None, ends: str) -> None:
     one, asked = relay(), []
-    one.one.heed(one.now, SimpleNamespace(
-        could=lambda *_: None, take=lambda now, name, key="": asked.append((name, key)) or told))
+    one.one.heed(
+        one.now,
+        SimpleNamespace(
+            could=lambda *_: None, take=lambda now, name, key="": asked.append((name, key)) or told
+        ),
+    )
     one.list((1, "a", 5, 90), (2, "a", 5, 90))
     sent = one.req()[-1]
     assert asked == [] and one.end(sent, 0, face.FAILED)[-1][0] == ends and asked == [(face.RESENDS, "")]
@@ -123,20 +140,31 @@
 
 @pytest.mark.parametrize("told, ends", [(None, face.SHED), (True, face.SEND), (False, face.SHED)])
 def test_a_share_of_a_cold_units_work_takes_the_place_of_the_own_part(
-        relay: type, told: bool | None, ends: str) -> None:
+    relay: type, told: bool | None, ends: str
+) -> None:
     one, taken = relay(relays=300), []
-    one.one.heed(one.now, SimpleNamespace(
-        could=lambda *_: told, take=lambda now, name, key="": taken.append((name, key))))
+    one.one.heed(
+        one.now,
+        SimpleNamespace(could=lambda *_: told, take=lambda now, name, key="": taken.append((name, key))),
+    )
     one.list((9, "a", 5, 0))
     assert one.req()[-1][0] == ends
     assert taken == ([(face.COLD_WORK, "9")] if ends == face.SEND else [])
 
 
-@pytest.mark.parametrize("units, age, ends", [
-    (1, 0, [face.SHED]), (2, 0, [face.SHED]), (1, -0.5, [face.SHED]), (2, 0.01, [face.SEND, 8, 9]),
-    (2, 4, [face.SEND, 8, 9])])
+@pytest.mark.parametrize(
+    "units, age, ends",
+    [
+        (1, 0, [face.SHED]),
+        (2, 0, [face.SHED]),
+        (1, -0.5, [face.SHED]),
+        (2, 0.01, [face.SEND, 8, 9]),
+        (2, 4, [face.SEND, 8, 9]),
+    ],
+)
 def test_a_unit_that_starts_at_nothing_gets_nothing_at_its_start(
-        relay: type, units: int, age: float, ends: list) -> None:
+    relay: type, units: int, age: float, ends: list
+) -> None:
     """Whatever the fleet's budget says: there is no capacity that it could be a share of."""
     one = relay(cold_share=0.0)
     one.one.heed(one.now, SimpleNamespace(could=lambda *_: True, take=lambda *_: True))
@@ -153,17 +181,24 @@
     assert [one.req()[-1][2] for _ in range(8)] == [8] * 8
 
 
-
-
-@pytest.mark.parametrize("ends, taken", [
-    ([face.UNSENT, face.OK], 0), ([face.UNSENT] * 4, 0), ([face.UNSENT, face.FAILED, face.OK], 1),
-    ([face.FAILED, face.UNSENT, face.OK], 1), ([face.FAILED, face.FAILED, face.OK], 2)])
+@pytest.mark.parametrize(
+    "ends, taken",
+    [
+        ([face.UNSENT, face.OK], 0),
+        ([face.UNSENT] * 4, 0),
+        ([face.UNSENT, face.FAILED, face.OK], 1),
+        ([face.FAILED, face.UNSENT, face.OK], 1),
+        ([face.FAILED, face.FAILED, face.OK], 2),
+    ],
+)
 def test_a_try_that_found_no_connection_costs_no_resend(relay: type, ends: list, taken: int) -> None:
     """Where connections are not waited for, such tries come back at once, and many: each took the place of a
     resend, and relays on their floor (`floor_broken` of lab budgets) made none."""
     one, asked = relay(), []
-    one.one.heed(one.now, SimpleNamespace(
-        could=lambda *_: None, take=lambda now, name, key="": asked.append(name) or True))
+    one.one.heed(
+        one.now,
+        SimpleNamespace(could=lambda *_: None, take=lambda now, name, key="": asked.append(name) or True),
+    )
     one.list(*((unit, "a", 5, 90) for unit in range(1, 6)))
     sent = one.req()[-1]
     for number, status in enumerate(ends):
@@ -175,9 +210,13 @@
 def test_reqs_that_find_no_connection_leave_the_floor_of_resends_to_one_that_fails(relay: type) -> None:
     """A relay without a lease, with a floor of 4 resends a second, and units that take nothing new."""
     one, away = relay(), Relay()
-    assert away.holder.could(one.now - SECOND, "resends") is False   # a bucket begins empty
-    one.one.heed(one.now, SimpleNamespace(could=lambda *_: None,
-                                          take=lambda now, name, key="": away.holder.take(now, name, key)))
+    assert away.holder.could(one.now - SECOND, "resends") is False  # a bucket begins empty
+    one.one.heed(
+        one.now,
+        SimpleNamespace(
+            could=lambda *_: None, take=lambda now, name, key="": away.holder.take(now, name, key)
+        ),
+    )
     one.list(*((unit, "a", 5, 90) for unit in range(1, 6)))
     for _ in range(50):
         sent = one.req()[-1]
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_moves.py
@@ -35,17 +35,31 @@
 class Fleet(Host):
     def __init__(self, folder: Path) -> None:
         self.folder, self.doors = folder, {name: reserve_port() for name in MEMBERS}
-        doors = {site: "".join(f'<door relay="{name}" address="127.0.0.1:{self.doors[name]}"/>'
-                               for name, at in MEMBERS.items() if at == site) for site in "ab"}
-        moves = "".join(f'<site name="{site}" slots="4" folder="{folder}/{site}">{doors[site]}</site>'
-                        for site in "ab") + "".join(
-            f'<link origin="{one}" to="{to}" capacity="2MiB" kept="1MiB"/>' for one, to in ("ab", "ba"))
+        doors = {
+            site: "".join(
+                f'<door relay="{name}" address="127.0.0.1:{self.doors[name]}"/>'
+                for name, at in MEMBERS.items()
+                if at == site
+            )
+            for site in "ab"
+        }
+        moves = "".join(
+            f'<site name="{site}" slots="4" folder="{folder}/{site}">{doors[site]}</site>' for site in "ab"
+        ) + "".join(
+            f'<link origin="{one}" to="{to}" capacity="2MiB" kept="1MiB"/>' for one, to in ("ab", "ba")
+        )
         super().__init__(folder, KEEPERS, MEMBERS, moves=moves)
         settings = reading.read(str(folder / "m1" / "operator.xml")).fleet
         self.terms = terms.terms(settings)
         self.limits = limits(self.terms)
-        self.client = Client("lab", "test", {one.name: shown(one.address) for one in settings.keepers},
-                             self.limits, clock, Chance(1))
+        self.client = Client(
+            "lab",
+            "test",
+            {one.name: shown(one.address) for one in settings.keepers},
+            self.limits,
+            clock,
+            Chance(1),
+        )
 
     def close(self) -> None:
         self.client.close(1_000_000)
@@ -67,12 +81,17 @@
         data = os.urandom(size)
         (self.folder / "a" / name).write_bytes(data)
         (self.folder / "a" / f"{name}.job").write_text(
-            f'<job firm="f" to="b" within="{within}" earnings="{earnings}" slots="1"/>')
+            f'<job firm="f" to="b" within="{within}" earnings="{earnings}" slots="1"/>'
+        )
         return data
 
     def logs(self, words: str, job: str) -> list[tuple[str, str]]:
-        return [(name, line) for name in MEMBERS for line in self.nodes[name].log.read_text().splitlines()
-                if words in line and f"job={job}" in line.split()]
+        return [
+            (name, line)
+            for name in MEMBERS
+            for line in self.nodes[name].log.read_text().splitlines()
+            if words in line and f"job={job}" in line.split()
+        ]
 
     def copy(self, name: str) -> Path:
         return self.folder / "b" / "in" / name
@@ -82,18 +101,22 @@
 
 
 # What stands in the example, what instead, and what must be said of that line.
-@pytest.mark.parametrize("old, new, words", [
-    ('to="b" capacity', 'to="a" capacity', "a link from a to itself"),
-    ('to="b" capacity', 'to="x" capacity', "no site x"),
-    ('<link origin="b" to="a"', '<link origin="a" to="b"', "link a>b stands twice"),
-    ('kept="4MiB"', 'kept="16MiB"', "nothing is left for transfers"),
-    ('capacity="16MiB" kept="4MiB"', 'capacity="0B"', "without capacity"),
-    ('<site name="b"', '<site name="a"', "site a stands twice"),
-    ("transfers-b", "transfers-a", "folder /var/lib/laurelcourse/transfers-a stands twice"),
-    ('relay="r-2" a', 'relay="r-1" a', "door of relay r-1 stands twice"),
-    ("127.0.0.2:7502", "127.0.0.2:7402", "address 127.0.0.2:7402 stands twice"),
-    ("127.0.0.2:7502", "127.0.0.2:70000", "is no address"),
-    ("/var/lib/laurelcourse/transfers-b", "fleet.xml", "is a file")])
+@pytest.mark.parametrize(
+    "old, new, words",
+    [
+        ('to="b" capacity', 'to="a" capacity', "a link from a to itself"),
+        ('to="b" capacity', 'to="x" capacity', "no site x"),
+        ('<link origin="b" to="a"', '<link origin="a" to="b"', "link a>b stands twice"),
+        ('kept="4MiB"', 'kept="16MiB"', "nothing is left for transfers"),
+        ('capacity="16MiB" kept="4MiB"', 'capacity="0B"', "without capacity"),
+        ('<site name="b"', '<site name="a"', "site a stands twice"),
+        ("transfers-b", "transfers-a", "folder /var/lib/laurelcourse/transfers-a stands twice"),
+        ('relay="r-2" a', 'relay="r-1" a', "door of relay r-1 stands twice"),
+        ("127.0.0.2:7502", "127.0.0.2:7402", "address 127.0.0.2:7402 stands twice"),
+        ("127.0.0.2:7502", "127.0.0.2:70000", "is no address"),
+        ("/var/lib/laurelcourse/transfers-b", "fleet.xml", "is a file"),
+    ],
+)
 def test_what_does_not_fit_is_said_with_its_line(tmp_path: Path, old: str, new: str, words: str) -> None:
     path = tmp_path / "fleet.xml"
     head, found, rest = EXAMPLE.partition(old)
@@ -110,8 +133,10 @@
     with Fleet(tmp_path_factory.mktemp("moves")) as found:
         found.start()
         # Places are in the books, and both sites' relays have sessions.
-        until(lambda: all(found.asked(found.client.ask, Question("session", name)).value
-                          for name in MEMBERS), 20)
+        until(
+            lambda: all(found.asked(found.client.ask, Question("session", name)).value for name in MEMBERS),
+            20,
+        )
         yield found
 
 
@@ -131,7 +156,7 @@
     until(fleet.copy("killed").exists, 20)
     fleet.nodes[dead].start()
     assert fleet.copy("killed").read_bytes() == data
-    (name, line), = fleet.logs("transfer taken over", "killed")
+    ((name, line),) = fleet.logs("transfer taken over", "killed")
     proven = int(line.split("proven=")[1].split()[0])
     begun = [int(line.split("at_byte=")[1].split()[0]) for _, line in fleet.logs("stream begins", "killed")]
     assert name != dead and proven > MIB // 2 and begun[-1] >= proven
@@ -140,7 +165,7 @@
 def test_a_receiver_killed_before_and_after_the_rename_shows_one_copy(fleet: Fleet) -> None:
     inside, aside = fleet.folder / "b" / "in", fleet.folder / "b" / "aside"
     inside.rename(aside)
-    inside.touch()          # no rename can succeed from now on
+    inside.touch()  # no rename can succeed from now on
     try:
         data = fleet.lay("shown", MIB // 2)
         until(lambda: fleet.look("shown").ended == "committed", 15)
@@ -165,40 +190,50 @@
     (fleet.folder / "a" / "unlinked.job").write_text('<job firm="f" to="c" within="9000000" earnings="1"/>')
 
     def told() -> list[tuple[str, bool]]:
-        return [(name, "fault=no_direct_link" in line and "a>c" in line) for name in MEMBERS
-                for line in fleet.nodes[name].log.read_text().splitlines()
-                if "transfer can't go" in line and "to=unlinked" in line.split()]
+        return [
+            (name, "fault=no_direct_link" in line and "a>c" in line)
+            for name in MEMBERS
+            for line in fleet.nodes[name].log.read_text().splitlines()
+            if "transfer can't go" in line and "to=unlinked" in line.split()
+        ]
 
     assert until(lambda: len(told()) == 2 and told(), 10) == [("m1", True), ("m2", True)]
     (fleet.folder / "a" / "unlinked.job").unlink()
 
 
-def chunks(fence: forms.Fence, job: str, data: bytes, *, spoiled: bool = False, whole: bytes = b"",
-           at: int = 0) -> Iterator[wire.Chunk]:
+def chunks(
+    fence: forms.Fence, job: str, data: bytes, *, spoiled: bool = False, whole: bytes = b"", at: int = 0
+) -> Iterator[wire.Chunk]:
     yield wire.Chunk(head=codec.head("lab", "test", "m3"), fence=codec.message_of(fence), job=job)
     for first in range(0, len(data), CHUNK):
-        part = data[first:first + CHUNK]
+        part = data[first : first + CHUNK]
         last = first + CHUNK >= len(data)
-        yield wire.Chunk(offset=at + first, data=part, crc=zlib.crc32(part) ^ spoiled,
-                         whole=whole if last else b"")
+        yield wire.Chunk(
+            offset=at + first, data=part, crc=zlib.crc32(part) ^ spoiled, whole=whole if last else b""
+        )
 
 
 # Rate in chunks a second, bytes sent, how, and what is refused; "" where all is proven.
-@pytest.mark.parametrize("name, rate, sent, how, code", [
-    ("beyond", 4, 60 * CHUNK, {}, "too_fast"),
-    ("within", 16, 2 * CHUNK, {}, ""),
-    ("spoiled", 16, 2 * CHUNK, {"spoiled": True}, "wrong_bytes"),
-    ("other", 16, 2 * CHUNK, {"whole": b"x"}, "wrong_bytes"),
-    ("ahead", 16, 2 * CHUNK, {"at": 1}, "out_of_order"),
-    ("foreign", 16, 2 * CHUNK, {"session": 1}, "fenced_off")])
-def test_a_stream_is_refused_by_type(fleet: Fleet, name: str, rate: int, sent: int, how: dict,
-                                     code: str) -> None:
+@pytest.mark.parametrize(
+    "name, rate, sent, how, code",
+    [
+        ("beyond", 4, 60 * CHUNK, {}, "too_fast"),
+        ("within", 16, 2 * CHUNK, {}, ""),
+        ("spoiled", 16, 2 * CHUNK, {"spoiled": True}, "wrong_bytes"),
+        ("other", 16, 2 * CHUNK, {"whole": b"x"}, "wrong_bytes"),
+        ("ahead", 16, 2 * CHUNK, {"at": 1}, "out_of_order"),
+        ("foreign", 16, 2 * CHUNK, {"session": 1}, "fenced_off"),
+    ],
+)
+def test_a_stream_is_refused_by_type(
+    fleet: Fleet, name: str, rate: int, sent: int, how: dict, code: str
+) -> None:
     fence = forms.Fence(*fleet.given(forms.Command(None, 7, forms.Open(name, "a")))[0].value)
     first = fleet.look("none").time // SLICE + 1
     job = forms.Job(name, "f", "a", "b", sent, 0, (first + 40) * SLICE, 1, 0)
     length = -(-sent // (rate * CHUNK))
     piece = forms.Stretch(first, first + length, rate * CHUNK, ("a", "b"))
-    done, = fleet.given(forms.Command(fence, 1, forms.Reserve(job, (piece,))))
+    (done,) = fleet.given(forms.Command(fence, 1, forms.Reserve(job, (piece,))))
     assert not done.code, done
     until(lambda: fleet.look("none").time >= first * SLICE)
     data = bytes(sent)
@@ -210,7 +245,7 @@
     assert proofs[-1].refused.code == code
     assert (proofs[-1].proven == sent) == (code == "")
     fleet.given(forms.Command(fence._replace(session=session), 2, forms.Free(name)))
-    assert not fleet.copy(name).exists()        # proven or not, without the books' Commit there is no copy
+    assert not fleet.copy(name).exists()  # proven or not, without the books' Commit there is no copy
 
 
 def test_a_shrunk_link_recalls_what_earns_least_and_tells_it_once(fleet: Fleet) -> None:
@@ -220,7 +255,7 @@
     low = fleet.lay("low", MIB, 1)
     until(lambda: fleet.look("low").views, 10)
     first = fleet.look("low").views[0].pieces[0].first
-    done, = fleet.given(forms.Command(None, 0, forms.Shrink("a>b", MIB + MIB // 2, first)))
+    (done,) = fleet.given(forms.Command(None, 0, forms.Shrink("a>b", MIB + MIB // 2, first)))
     assert not done.code, done
     until(lambda: fleet.logs("transfer recalled", "low") or fleet.look("low").ended, 10)
     until(lambda: fleet.copy("high").exists() and fleet.copy("low").exists(), 28)
--- a/tests/test_fleet_plain.py
+++ b/tests/test_fleet_plain.py
@@ -29,11 +29,18 @@
 """
 
 
-@pytest.mark.parametrize("also, found", [
-    ("", []), ("import laurelcourse.fleet.orders", ["laurelcourse.fleet"]), ("import sqlite3", ["sqlite3"]),
-    ("import laurelcourse.operator.reading", ["laurelcourse.fleet", "laurelcourse.operator", "lxml"])])
+@pytest.mark.parametrize(
+    "also, found",
+    [
+        ("", []),
+        ("import laurelcourse.fleet.orders", ["laurelcourse.fleet"]),
+        ("import sqlite3", ["sqlite3"]),
+        ("import laurelcourse.operator.reading", ["laurelcourse.fleet", "laurelcourse.operator", "lxml"]),
+    ],
+)
 def test_the_plain_relay_brings_in_none_of_the_fleets_modules(
-        serve: Callable[..., Served], also: str, found: list[str]) -> None:
+    serve: Callable[..., Served], also: str, found: list[str]
+) -> None:
     served = serve(watched=WATCHED.format(absent=ABSENT, also=also))
     assert served.client().ask(sql())[:2] == COMPLETED
     served.process.send_signal(signal.SIGHUP)
@@ -74,6 +81,7 @@
             results = getattr(self.balancer, name)(now, *args)
             self.calls.append((name, now, args, list(results)))
             return results
+
         return call
 
 
@@ -98,8 +106,19 @@
             under_way.append((result[1], tries - 1, result[2]))
 
     def units(build: int) -> list[face.Listed]:
-        return [face.Listed(unit, "ab"[unit % 2], 0, build if unit > 4 else 5, face.READY, 1.0,
-                            scheduler.time - 90 * SECOND) for unit in range(1, 7)]
+        return [
+            face.Listed(
+                unit,
+                "ab"[unit % 2],
+                0,
+                build if unit > 4 else 5,
+                face.READY,
+                1.0,
+                scheduler.time - 90 * SECOND,
+            )
+            for unit in range(1, 7)
+        ]
+
     known, news = units(5), State(5, 0, face.RELEASED, 1.0, 0)
     told("start")
     told("directory", face.CACHED, known)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -35,8 +35,15 @@
 # Seconds in which a new leader leads, and all sessions are held again, though other tests have the CPU too.
 LEADS, HELD = 20, 40
 KEEPERS, MEMBERS = {"k1": "a", "k2": "b", "k3": "c"}, {"m1": "a", "m2": "b"}
-BUDGET = {"name": "resends", "kind": "rate", "whole": "2000", "floor": "2", "relays": "10", "scope": "fleet",
-          "when-used-up": "shed"}
+BUDGET = {
+    "name": "resends",
+    "kind": "rate",
+    "whole": "2000",
+    "floor": "2",
+    "relays": "10",
+    "scope": "fleet",
+    "when-used-up": "shed",
+}
 
 
 class Seen:
@@ -46,8 +53,14 @@
         self.host, self.guests = host, 0
         fleet = reading.read(host.nodes["k1"].folder / "operator.xml").fleet
         self.terms = terms(fleet)
-        self.client = Client(fleet.name, "guest", {name: f"{at[0]}:{at[1]}" for name, at in host.at.items()},
-                             limits(self.terms), clock, Chance(9))
+        self.client = Client(
+            fleet.name,
+            "guest",
+            {name: f"{at[0]}:{at[1]}" for name, at in host.at.items()},
+            limits(self.terms),
+            clock,
+            Chance(9),
+        )
 
     def answered(self, give: Callable, order: object) -> Answer | FleetError:
         came: queue.Queue = queue.Queue()
@@ -58,6 +71,7 @@
         def once() -> Done | None:
             answer = self.answered(self.client.ask, Question(what, of))
             return answer if isinstance(answer, Done) and not answer.code else None
+
         return until(once, seconds).value
 
     def give(self, fence: Fence | None, mark: int, what: object) -> Done:
@@ -83,6 +97,7 @@
         def opened() -> tuple:
             came = self.give(None, 1, Open(f"g{self.guests}", "a"))
             return came.value if isinstance(came, Done) else ()
+
         return Fence(*until(opened, LEADS))
 
     def a_lease_passes(self) -> None:
@@ -98,10 +113,13 @@
 
     def settled(self, *names: str) -> None:
         """All processes run, and books and relays agree on who holds which session."""
+
         def agreed(name: str) -> bool:
             fence = self.fence(name)
             return fence is not None and self.state(name).startswith(
-                f"held session={fence.session} boot={fence.boot}")
+                f"held session={fence.session} boot={fence.boot}"
+            )
+
         for name in names or self.host.nodes:
             assert self.host.nodes[name].alive(), name
             until(lambda name=name: agreed(name), HELD)
@@ -200,8 +218,11 @@
         until(lambda name=name: len(fleet.said(name, "keepers fail")) > before[name], HELD)
     for name in MEMBERS:
         counters = fleet.host.nodes[name].counters()
-        until(lambda name=name, had=counters: fleet.host.nodes[name].counters().get(
-            "fleet.failed.no_quorum", 0) > had.get("fleet.failed.no_quorum", 0), HELD)
+        until(
+            lambda name=name, had=counters: fleet.host.nodes[name].counters().get("fleet.failed.no_quorum", 0)
+            > had.get("fleet.failed.no_quorum", 0),
+            HELD,
+        )
         assert len(fleet.said(name, "keepers fail")) == before[name] + 1, fleet.said(name, "keepers fail")
     for name in lost:
         fleet.host.nodes[name].start(wait=False)
@@ -269,9 +290,13 @@
     until(lambda: "keeper goes on" in node.log.read_text(), HELD)
 
 
-WAYS = {"silent": (Mode(way.SILENT), None), "cut": (Mode(way.CUT), None),
-        "deaf": (Mode(way.DEAF, lane=way.THERE), Mode(way.DEAF, lane=way.BACK)),
-        "half-open": (Mode(way.HALF_OPEN), None), "flap": (Mode(way.FLAP, period=SECOND // 5), None)}
+WAYS = {
+    "silent": (Mode(way.SILENT), None),
+    "cut": (Mode(way.CUT), None),
+    "deaf": (Mode(way.DEAF, lane=way.THERE), Mode(way.DEAF, lane=way.BACK)),
+    "half-open": (Mode(way.HALF_OPEN), None),
+    "flap": (Mode(way.FLAP, period=SECOND // 5), None),
+}
 
 
 @pytest.mark.parametrize("kind", ["site", *WAYS])
@@ -298,8 +323,10 @@
     """Stops the leader until another leads: the former, which is stopped still, the new, and the sessions
     before. By the logs: whoever asked would wait for the one that is stopped. A move that took as long as a
     lease may cost sessions by right, and is made anew."""
+
     def times() -> dict[str, int]:
         return {name: len(fleet.said(name, '"keeper is now"', "role=leader")) for name in KEEPERS}
+
     for _ in range(8):
         former, before, had = fleet.leader(), fleet.fences(), times()
         began = time.monotonic()
@@ -321,7 +348,7 @@
         fleet.a_lease_passes()
         fleet.settled()
         assert fleet.fences() == before
-        if kind == "silent":            # in the others the former leader may hear that one now and then
+        if kind == "silent":  # in the others the former leader may hear that one now and then
             assert fleet.said(former, '"orders are handed on"', f"leader={new}")
         # And wherever it goes next, while the way is cut: to the former leader, or to the third.
         former, _, before = moved(fleet)
@@ -352,8 +379,9 @@
 
 
 @pytest.mark.parametrize("kind", ["former", "newer"])
-def test_a_rollout_with_one_process_of_another_version(fleet: Seen, kind: str,
-                                                       monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_rollout_with_one_process_of_another_version(
+    fleet: Seen, kind: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The former one lacks fields that the others send, the newer one sends fields that they don't know."""
     leader = fleet.leader()
     node = fleet.host.nodes[leader]
@@ -361,13 +389,14 @@
     runner.write_text(OTHER)
     with monkeypatch.context() as patch:
         patch.setattr(node, "words", lambda: [str(runner), kind, *RelayProcess.words(node)[1:]])
-        patch.setattr(subprocess, "Popen", lambda words, **more: POPEN(
-            [word for word in words if word != "-m"], **more))
+        patch.setattr(
+            subprocess, "Popen", lambda words, **more: POPEN([word for word in words if word != "-m"], **more)
+        )
         node.stop()
         node.start()
     assert "runner.py" in Path(f"/proc/{node.process.pid}/cmdline").read_text()
     fleet.settled()
-    for name in KEEPERS:                # until the other version leads, and once more without it
+    for name in KEEPERS:  # until the other version leads, and once more without it
         if name != leader:
             fleet.host.nodes[name].stop()
             fleet.leader()
@@ -382,8 +411,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_script_of_faults(tmp_path: Path, seed: int) -> None:
-    plan = faults.Plan(tuple(KEEPERS.items()), tuple(MEMBERS.items()), lasts=5 * SECOND, gap=SECOND // 2,
-                       lease=SECOND)
+    plan = faults.Plan(
+        tuple(KEEPERS.items()), tuple(MEMBERS.items()), lasts=5 * SECOND, gap=SECOND // 2, lease=SECOND
+    )
     with run(tmp_path) as fleet:
         fleet.host.leader = fleet.leader
         fleet.host.play(faults.script(seed, plan), threading.Event(), print)
--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -21,21 +21,24 @@
     return Op(began, ended, what, told)
 
 
-@pytest.mark.parametrize(("history", "fits"), [
-    ([op(1, 2, "open", 3), op(3, 4, "look", 3)], True),
-    ([op(1, 2, "open", 3), op(3, 4, "look", 0)], True),                           # it lapsed
-    ([op(1, 2, "open", 3), op(3, 4, "look", 0), op(5, 6, "look", 3)], False),     # and came back
-    ([op(1, 2, "open", 3), op(3, 6, "look", 0), op(4, 5, "look", 3)], True),      # at one time: either first
-    ([op(1, 2, "open", 3), op(3, 4, "open", 5), op(5, 6, "look", 3)], False),     # read from before
-    ([op(3, 4, "open", 3), op(1, 2, "look", 3)], False),                          # read before it was
-    ([op(1, 2, "open", 5), op(3, 4, "open", 3)], False),                          # numbers only grow
-    ([op(1, 2, "open", 3), op(3, 4, "taken", 3), op(5, 6, "open", 4)], True),
-    ([op(1, 2, "taken", 3)], False),                                              # by nobody
-    ([op(1, NEVER, "open", 3), op(5, 6, "look", 3)], True),                       # unanswered, and done
-    ([op(1, NEVER, "open", 3), op(5, 6, "look", 0)], True),                       # or not
-    ([op(1, 2, "open", 3), op(3, 4, "close", 3), op(5, 6, "look", 3)], False),
-    ([op(1, 2, "open", 3), op(3, NEVER, "close", 3), op(5, 6, "look", 3)], True),
-])
+@pytest.mark.parametrize(
+    ("history", "fits"),
+    [
+        ([op(1, 2, "open", 3), op(3, 4, "look", 3)], True),
+        ([op(1, 2, "open", 3), op(3, 4, "look", 0)], True),  # it lapsed
+        ([op(1, 2, "open", 3), op(3, 4, "look", 0), op(5, 6, "look", 3)], False),  # and came back
+        ([op(1, 2, "open", 3), op(3, 6, "look", 0), op(4, 5, "look", 3)], True),  # at one time: either first
+        ([op(1, 2, "open", 3), op(3, 4, "open", 5), op(5, 6, "look", 3)], False),  # read from before
+        ([op(3, 4, "open", 3), op(1, 2, "look", 3)], False),  # read before it was
+        ([op(1, 2, "open", 5), op(3, 4, "open", 3)], False),  # numbers only grow
+        ([op(1, 2, "open", 3), op(3, 4, "taken", 3), op(5, 6, "open", 4)], True),
+        ([op(1, 2, "taken", 3)], False),  # by nobody
+        ([op(1, NEVER, "open", 3), op(5, 6, "look", 3)], True),  # unanswered, and done
+        ([op(1, NEVER, "open", 3), op(5, 6, "look", 0)], True),  # or not
+        ([op(1, 2, "open", 3), op(3, 4, "close", 3), op(5, 6, "look", 3)], False),
+        ([op(1, 2, "open", 3), op(3, NEVER, "close", 3), op(5, 6, "look", 3)], True),
+    ],
+)
 def test_histories_of_a_name(history: list[Op], fits: bool) -> None:
     assert linearizable(history, (0, False), session_step) is fits
 
@@ -45,9 +48,16 @@
     assert linearizable(many, (0, False), session_step, most=50) is None
 
 
-@pytest.mark.parametrize(("looks", "found"), [
-    ([(1, 2, 5), (3, 4, 5), (5, 6, 9)], 0), ([(1, 2, 5), (3, 4, 4)], 1), ([(1, 4, 5), (3, 6, 4)], 0),
-    ([(1, 2, 5), (3, NEVER, 4)], 0), ([(1, 9, 2), (2, 3, 7), (4, 5, 6), (6, 8, 1)], 2)])
+@pytest.mark.parametrize(
+    ("looks", "found"),
+    [
+        ([(1, 2, 5), (3, 4, 5), (5, 6, 9)], 0),
+        ([(1, 2, 5), (3, 4, 4)], 1),
+        ([(1, 4, 5), (3, 6, 4)], 0),
+        ([(1, 2, 5), (3, NEVER, 4)], 0),
+        ([(1, 9, 2), (2, 3, 7), (4, 5, 6), (6, 8, 1)], 2),
+    ],
+)
 def test_looks_at_what_only_grows(looks: list[tuple[int, int, int]], found: int) -> None:
     assert len(stale([op(began, ended, "hash", told) for began, ended, told in looks])) == found
 
@@ -57,7 +67,8 @@
     fits = [Holding("r1", "tries", 50), Holding("r2", "tries", 30), Holding("r1", "other", 99)]
     assert over_whole([budget], fits) == []
     assert over_whole([budget], [*fits, Holding("r3", "tries", 1)]) == [
-        "tries: 101 of 100: r1 50, r2 30, r3 1"]
+        "tries: 101 of 100: r1 50, r2 30, r3 1"
+    ]
     gone = lost([(1, "r1", ("x", 1)), (2, "r1", ("x", 2))], {("x", 1)})
     assert [(one.check, one.at) for one in gone] == [("committed_lost", 2)]
 
@@ -74,18 +85,32 @@
 
 def test_one_seed_is_one_run_whatever_else_differs() -> None:
     words = "from laurelcourse.lab import keepers; print(keepers.one(5, 'all', 900_000, 500_000).print)"
-    told = {subprocess.run([sys.executable, "-c", words], cwd=ROOT, capture_output=True, text=True,
-                           check=True, env={**os.environ, "PYTHONHASHSEED": salt}).stdout.strip()
-            for salt in ("1", "2")}
+    told = {
+        subprocess.run(
+            [sys.executable, "-c", words],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
+            env={**os.environ, "PYTHONHASHSEED": salt},
+        ).stdout.strip()
+        for salt in ("1", "2")
+    }
     assert told == {keepers.one(5, "all", 900_000, 500_000).print}
     assert keepers.one(6, "all", 900_000, 500_000).print not in told
 
 
 # by check: a kind of run, and how many seeds of it are tried at most
 WITHOUT = {
-    "two_leaders_in_a_term": ("network", 8), "logs_differ": ("network", 60), "committed_lost": ("network", 4),
-    "states_differ": ("leaders", 2), "not_linearizable": ("pauses", 80), "over_whole": ("network", 20),
-    "older_disk_voted": ("disks", 24), "module_faults": ("pauses", 12)}
+    "two_leaders_in_a_term": ("network", 8),
+    "logs_differ": ("network", 60),
+    "committed_lost": ("network", 4),
+    "states_differ": ("leaders", 2),
+    "not_linearizable": ("pauses", 80),
+    "over_whole": ("network", 20),
+    "older_disk_voted": ("disks", 24),
+    "module_faults": ("pauses", 12),
+}
 
 
 def broken(seed: int, kind: str) -> set[str]:
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -72,15 +72,29 @@
     """Entries 11 to 30 after a snapshot, of terms 3 to 7."""
     one = opened(folder)
     one.save(Write(1, "b", 0, tuple(entry(at, 1, 300) for at in range(1, 11))))
-    one.save(Write(7, "c", 0, tuple(entry(at, at // 4, 300) for at in range(11, 31)),
-                   Snapshot(10, 1, VOTERS, b"s" * 3000), marks={"b": Mark("d", 7, 9), "c": Mark("e", 2, 3)}))
+    one.save(
+        Write(
+            7,
+            "c",
+            0,
+            tuple(entry(at, at // 4, 300) for at in range(11, 31)),
+            Snapshot(10, 1, VOTERS, b"s" * 3000),
+            marks={"b": Mark("d", 7, 9), "c": Mark("e", 2, 3)},
+        )
+    )
     return one
 
 
 def kept_by(one: Store) -> Kept:
     """As it would be read now, but that the folder is this store's."""
-    return Kept(one.head.disk, one.head.term, one.head.vote, read_snapshot(one.db, one.head),
-                read_log(one.db, one.head), read_marks(one.db, one.head))
+    return Kept(
+        one.head.disk,
+        one.head.term,
+        one.head.vote,
+        read_snapshot(one.db, one.head),
+        read_log(one.db, one.head),
+        read_marks(one.db, one.head),
+    )
 
 
 def test_any_sequence_of_writes_is_read_as_it_was_given(tmp_path: Path) -> None:
@@ -113,13 +127,24 @@
     one.close()
 
 
-@pytest.mark.parametrize("write", [
-    Write(6, "c"), Write(7, "b"), Write(7, ""), Write(7, "c", 0, (entry(32, 7),)), Write(7, "c", 10),
-    Write(7, "c", 0, (entry(31, 6),)), Write(7, "c", 0, (entry(31, 8),)), Write(7, "c", 32),
-    Write(7, "c", 0, (), Snapshot(9, 1, VOTERS, b"")), Write(7, "c", 0, (), Snapshot(20, 4, VOTERS, b"")),
-    Write(7, "c", 0, (), Snapshot(9, 1, VOTERS, b""), True),
-    Write(7, "c", 0, (), Snapshot(40, 8, VOTERS, b"")),
-    Write(7, "c", 20, (entry(20, 7), entry(22, 7)), Snapshot(12, 3, VOTERS, b""))])
+@pytest.mark.parametrize(
+    "write",
+    [
+        Write(6, "c"),
+        Write(7, "b"),
+        Write(7, ""),
+        Write(7, "c", 0, (entry(32, 7),)),
+        Write(7, "c", 10),
+        Write(7, "c", 0, (entry(31, 6),)),
+        Write(7, "c", 0, (entry(31, 8),)),
+        Write(7, "c", 32),
+        Write(7, "c", 0, (), Snapshot(9, 1, VOTERS, b"")),
+        Write(7, "c", 0, (), Snapshot(20, 4, VOTERS, b"")),
+        Write(7, "c", 0, (), Snapshot(9, 1, VOTERS, b""), True),
+        Write(7, "c", 0, (), Snapshot(40, 8, VOTERS, b"")),
+        Write(7, "c", 20, (entry(20, 7), entry(22, 7)), Snapshot(12, 3, VOTERS, b"")),
+    ],
+)
 def test_a_write_that_no_log_could_go_on_with_changes_nothing(tmp_path: Path, write: Write) -> None:
     one = filled(tmp_path)
     with pytest.raises(ValueError):
@@ -129,15 +154,28 @@
     assert kept(tmp_path).vote == "a" and [e.index for e in kept(tmp_path).entries] == [*range(11, 32)]
 
 
-@pytest.mark.parametrize("sql", [
-    "DELETE FROM log WHERE place = 20", "DELETE FROM log WHERE place > 29",
-    "DELETE FROM log WHERE place < 12", "UPDATE log SET term = 4 WHERE place = 30",
-    "UPDATE log SET sum = x'00' WHERE place = 20",
-    "UPDATE log SET data = CAST(data AS TEXT) WHERE place = 30",
-    "DELETE FROM snapshot", "UPDATE snapshot SET voters = 'a'", "UPDATE marks SET place = 8",
-    "DROP TABLE marks", "CREATE TABLE more (a)", "DELETE FROM head", "UPDATE head SET vote = 'b'",
-    "UPDATE head SET term = 8", "PRAGMA application_id = 1", "PRAGMA user_version = 0",
-    "PRAGMA user_version = 2"])
+@pytest.mark.parametrize(
+    "sql",
+    [
+        "DELETE FROM log WHERE place = 20",
+        "DELETE FROM log WHERE place > 29",
+        "DELETE FROM log WHERE place < 12",
+        "UPDATE log SET term = 4 WHERE place = 30",
+        "UPDATE log SET sum = x'00' WHERE place = 20",
+        "UPDATE log SET data = CAST(data AS TEXT) WHERE place = 30",
+        "DELETE FROM snapshot",
+        "UPDATE snapshot SET voters = 'a'",
+        "UPDATE marks SET place = 8",
+        "DROP TABLE marks",
+        "CREATE TABLE more (a)",
+        "DELETE FROM head",
+        "UPDATE head SET vote = 'b'",
+        "UPDATE head SET term = 8",
+        "PRAGMA application_id = 1",
+        "PRAGMA user_version = 0",
+        "PRAGMA user_version = 2",
+    ],
+)
 def test_what_was_changed_behind_its_back_is_refused(tmp_path: Path, sql: str) -> None:
     filled(tmp_path).close()
     db = sqlite3.connect(tmp_path / FILE, isolation_level=None)
@@ -158,7 +196,7 @@
         at, hurt = chance.below(len(raw)), bytearray(raw)
         hurt[at] ^= 1 << chance.below(8)
         (tmp_path / "hurt" / FILE).unlink(missing_ok=True)  # ext4 syncs a file that is overwritten
-        (tmp_path / "hurt" / FILE).write_bytes((hurt, raw[:at], raw[:at - at % 512])[max(turn - 200, 0) % 3])
+        (tmp_path / "hurt" / FILE).write_bytes((hurt, raw[:at], raw[: at - at % 512])[max(turn - 200, 0) % 3])
         try:
             assert kept(tmp_path / "hurt") == want
         except (errors.DamagedBooksError, errors.NewerBooksError):
@@ -218,12 +256,12 @@
     one, chance = filled(tmp_path / "a"), Chance(9)
     old, before = (tmp_path / "a" / FILE).read_bytes(), kept_by(one)
     real, one.db = one.db, Amid(one.db, tmp_path / "a", tmp_path / "amid")
-    real.execute("PRAGMA cache_size = 1")           # pages go to the file before the end
+    real.execute("PRAGMA cache_size = 1")  # pages go to the file before the end
     one.save(Write(8, "a", 25, tuple(entry(at, 8, 3000) for at in range(25, 40))))
     one.db = real
     one.close()
     amid, journal = ((tmp_path / "amid" / name).read_bytes() for name in (FILE, f"{FILE}-journal"))
-    assert amid[:len(old)] != old and len(amid) > len(old) and any(journal[:8])
+    assert amid[: len(old)] != old and len(amid) > len(old) and any(journal[:8])
     hurt, refused = tmp_path / "hurt", 0
     hurt.mkdir()
     for turn in range(60):
@@ -267,7 +305,7 @@
     one.save(Write(8, "a"))
     one.db.execute("PRAGMA max_page_count = 1000000")
     one.save(write)
-    for only in ("ON", "OFF"):                      # a disk that failed once is not trusted again
+    for only in ("ON", "OFF"):  # a disk that failed once is not trusted again
         one.db.execute(f"PRAGMA query_only = {only}")
         with pytest.raises(errors.DiskFailedError):
             one.save(Write(10, "c"))
@@ -280,8 +318,11 @@
     for turn in range(int(os.environ.get("KILLS", "8"))):
         limit = 0 if turn else 40_000  # bytes that a file may have, once: a failing write, told as such
         order = [sys.executable, "-c", CHILD, str(tmp_path), str(limit)]
-        with told.open("w") as out, fault.open("w") as err, subprocess.Popen(
-                order, cwd=ROOT, stdout=out, stderr=err) as one:
+        with (
+            told.open("w") as out,
+            fault.open("w") as err,
+            subprocess.Popen(order, cwd=ROOT, stdout=out, stderr=err) as one,
+        ):
             try:
                 lines = 1 + chance.below(12)
                 until(lambda: one.poll() is not None or told.read_text().count("\n") >= lines)  # noqa: B023
@@ -297,6 +338,7 @@
 
 # The thread
 
+
 class Scripted:
     """A desk and a store in one: what is done to them is in `seen`, what they say comes from `says`."""
 
@@ -350,12 +392,17 @@
 
 
 WRITE, ORDER = Write(3, "b"), Submit(())
-ACTS = Acts(WRITE, (("b", TakeOver(3)), ("c", TakeOver(3))), ((0, Done("yes")),),
-            (Note("warning", "said", (("name", "x"), ("of", 1))),))
+ACTS = Acts(
+    WRITE,
+    (("b", TakeOver(3)), ("c", TakeOver(3))),
+    ((0, Done("yes")),),
+    (Note("warning", "said", (("name", "x"), ("of", 1))),),
+)
 
 
 def test_a_write_comes_before_what_rests_on_it_also_through_a_full_disk(
-        caplog: pytest.LogCaptureFixture) -> None:
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     caplog.set_level(logging.INFO)
     desk = Scripted(submit=ACTS, save=errors.DiskFullError("d"))
     desk.free.clear()
@@ -377,19 +424,26 @@
     assert not [seen for seen in desk.seen if seen[0] == "hear"]
     assert one.stop(1_000_000) and desk.closed
     assert [record.message for record in caplog.records] == [
-        "keeper steps out", "keeper goes on, there is room again",
-        *["a message could not be sent", "said"] * 2]
+        "keeper steps out",
+        "keeper goes on, there is room again",
+        *["a message could not be sent", "said"] * 2,
+    ]
     assert (caplog.records[-1].of_name, caplog.records[-1].of) == ("x", 1)
 
 
-@pytest.mark.parametrize("says, error", [
-    ({"save": errors.DiskFailedError("d", fault="x")}, errors.DiskFailedError),
-    ({"hear": ZeroDivisionError("x\ny")}, errors.KeeperFaultError)])
+@pytest.mark.parametrize(
+    "says, error",
+    [
+        ({"save": errors.DiskFailedError("d", fault="x")}, errors.DiskFailedError),
+        ({"hear": ZeroDivisionError("x\ny")}, errors.KeeperFaultError),
+    ],
+)
 def test_a_failing_disk_or_a_fault_ends_the_keepers_part_and_nothing_else(
-        says: dict, error: type, caplog: pytest.LogCaptureFixture) -> None:
+    says: dict, error: type, caplog: pytest.LogCaptureFixture
+) -> None:
     desk = Scripted(**({"hear": ACTS} | says))
     one = desk.begin()
-    taken = one.submit(ORDER)                       # never answered by this desk
+    taken = one.submit(ORDER)  # never answered by this desk
     until(lambda: ("submit", 1) in desk.seen)
     desk.free.clear()
     one.heard("b", TakeOver(1))
@@ -412,10 +466,11 @@
     def noted(now: int, *of: object) -> Acts:
         seen.append((now, came[0]))
         return Acts(answers=((of[0], Done("yes")),) if isinstance(of[0], int) else ())
+
     desk.submit = desk.renew = desk.ask = desk.change = desk.hear = noted
     came = [0]
     one = Keeping(desk, desk, desk.send, lambda: next(ticks), desk.log)
-    for turn in range(40):                          # nearly always it waits for the next one by then
+    for turn in range(40):  # nearly always it waits for the next one by then
         for ask in (one.submit, one.renew, one.ask, one.change):
             came[0] = next(ticks)
             assert ask(None).result(10) == Done("yes")
@@ -462,7 +517,8 @@
 
 
 def test_a_keeper_alone_goes_on_where_it_was_and_a_damaged_one_stands_aside(
-        tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     bounds = Bounds(5_000, 50_000, 1 << 16, 8, 1 << 14, 64)
     terms = Terms("f", 60_000_000, 1000, 20_000, 8, bounds, Keepers(("a",)), (), 4)
 
@@ -474,9 +530,16 @@
         return Batch(at, term, tuple(Command(None, mark, Open(*what)) for mark, *what in opens))
 
     def begun() -> Keeping | Aside:
-        return kept_in(tmp_path, "f", "a", 1, lambda kept: Desk(
-            "a", "s", terms, Chance(1), kept, clock(), encode=encode, decode=decode),
-            lambda to, message: None, clock, logging.getLogger("alone"))
+        return kept_in(
+            tmp_path,
+            "f",
+            "a",
+            1,
+            lambda kept: Desk("a", "s", terms, Chance(1), kept, clock(), encode=encode, decode=decode),
+            lambda to, message: None,
+            clock,
+            logging.getLogger("alone"),
+        )
 
     for boot in range(1, 6):
         one = begun()
@@ -484,11 +547,11 @@
         done = one.submit(Submit((Command(None, boot, Open(f"r{boot}", "s")),))).result(10)
         assert isinstance(done[0].value, Fence) and done[0].value.session == boot
         assert one.stop(2_000_000)
-    for _ in range(2):                              # the folder is let go of when no desk can be made
+    for _ in range(2):  # the folder is let go of when no desk can be made
         with pytest.raises(AttributeError):
             kept_in(tmp_path, "f", "a", 1, lambda kept: kept.no, print, clock, logging.getLogger("alone"))
     raw = (tmp_path / FILE).read_bytes()
-    (tmp_path / FILE).write_bytes(raw[:len(raw) // 2])
+    (tmp_path / FILE).write_bytes(raw[: len(raw) // 2])
     caplog.clear()
     one = begun()
     assert isinstance(one, Aside) and isinstance(one.renew(None).exception(10), errors.DamagedBooksError)
--- a/tests/test_fleet_transfers.py
+++ b/tests/test_fleet_transfers.py
@@ -30,8 +30,10 @@
 from laurelcourse.fleet.transfers import best, pace, plan
 
 SITES, ON = "abc", {"a>b": 90, "a>c": 70, "b>a": 60, "b>c": 60, "c>a": 80, "c>b": 60, "a": 3, "b": 2, "c": 3}
-PLACES = Places(tuple(Link(x, y, ON[f"{x}>{y}"] + 10, 10) for x in SITES for y in SITES if x != y),
-                tuple(Site(x, ON[x]) for x in SITES))
+PLACES = Places(
+    tuple(Link(x, y, ON[f"{x}>{y}"] + 10, 10) for x in SITES for y in SITES if x != y),
+    tuple(Site(x, ON[x]) for x in SITES),
+)
 AHEAD, S, BEAT, MIB = 40, SLICE, SLICE // 4, 1 << 20
 
 
@@ -40,7 +42,7 @@
 
     def __init__(self, seed: int) -> None:
         self.chance, self.books, self.at, self.index, self.mark = Chance(seed), Books(), 0, 0, 0
-        self.jobs: dict[str, list] = {}        # job, pieces, proven, owner, recalled
+        self.jobs: dict[str, list] = {}  # job, pieces, proven, owner, recalled
         self.cap = {name: [amount] * 4000 for name, amount in ON.items()}
         self.wrong, self.taken, self.committed, self.log = Counter(), Counter(), Counter(), []
         self.fences: list[Fence] = []
@@ -63,12 +65,19 @@
 
     def used(self, name: str, at: int) -> int:
         if ">" in name:
-            return sum(one.rate for there in self.jobs.values() for one in there[1]
-                       if one.first <= at < one.until and name in ">".join(one.way)
-                       and f"{name[0]}>{name[2]}" in [f"{x}>{y}" for x, y in zip(one.way, one.way[1:],
-                                                                                 strict=False)])
-        return sum(there[0].slots for there in self.jobs.values() if name in (there[0].origin, there[0].to)
-                   and any(one.first <= at < one.until for one in there[1]))
+            return sum(
+                one.rate
+                for there in self.jobs.values()
+                for one in there[1]
+                if one.first <= at < one.until
+                and name in ">".join(one.way)
+                and f"{name[0]}>{name[2]}" in [f"{x}>{y}" for x, y in zip(one.way, one.way[1:], strict=False)]
+            )
+        return sum(
+            there[0].slots
+            for there in self.jobs.values()
+            if name in (there[0].origin, there[0].to) and any(one.first <= at < one.until for one in there[1])
+        )
 
     def book(self, job: Job, pieces: tuple, proven: int, owner: int) -> None:
         self.wrong["nobodys_bytes"] += any(one.way != (job.origin, job.to) for one in pieces)
@@ -114,8 +123,17 @@
             fence = next((one for one in self.fences if one.session == there[3]), fence)
         if kind < 30:
             x = below(3)
-            job = Job(f"j{self.index}", "firm", SITES[x], SITES[(x + 1 + below(2)) % 3], 1 + below(250),
-                      self.at, self.at + (5 + below(AHEAD - 5)) * S, 1, below(3))
+            job = Job(
+                f"j{self.index}",
+                "firm",
+                SITES[x],
+                SITES[(x + 1 + below(2)) % 3],
+                1 + below(250),
+                self.at,
+                self.at + (5 + below(AHEAD - 5)) * S,
+                1,
+                below(3),
+            )
             pieces = self.pieces(job)
             if not self.give(fence, Reserve(job, pieces)).code:
                 self.book(job, pieces, 0, fence.session)
@@ -140,8 +158,14 @@
             self.open(live.name)
             self.fences = self.fences[-8:]
         elif there:
-            what = (Move(name, self.pieces(there[0])), Resume(name), Progress(name, below(there[0].size) + 1),
-                    Progress(name, there[0].size), Commit(name), Free(name))[(kind - 41) // 10]
+            what = (
+                Move(name, self.pieces(there[0])),
+                Resume(name),
+                Progress(name, below(there[0].size) + 1),
+                Progress(name, there[0].size),
+                Commit(name),
+                Free(name),
+            )[(kind - 41) // 10]
             done = self.give(fence, what)
             if done.code:
                 return
@@ -189,9 +213,18 @@
     assert sum(taken.values()) > 4_000
     kinds = ("Reserve", "Move", "Resume", "Progress", "Commit", "Free", "Shrink", "Recall")
     assert all(taken[kind, ""] > 20 for kind in kinds), taken
-    assert all(any(code == one and count > 5 for (_, code), count in taken.items()) for one in
-               ("capacity_taken", "link_shrunk", "plan_unfit", "job_held", "no_such_job", "out_of_order",
-                "fenced_off")), taken
+    assert all(
+        any(code == one and count > 5 for (_, code), count in taken.items())
+        for one in (
+            "capacity_taken",
+            "link_shrunk",
+            "plan_unfit",
+            "job_held",
+            "no_such_job",
+            "out_of_order",
+            "fenced_off",
+        )
+    ), taken
 
 
 REAL = reservations._usable
@@ -201,15 +234,19 @@
     return lambda state, resource: [(0, 10**9)] if (">" in resource) == links else REAL(state, resource)
 
 
-@pytest.mark.parametrize("guard, instead, count", [
-    ("_usable", unbounded(True), "over_link"),
-    ("_usable", unbounded(False), "over_compute"),
-    ("_check_plan", lambda *_: None, "half_reserved"),
-    ("_turn", lambda state, there, to: setattr(there, "state", to), "committed_twice"),
-    ("free", lambda state: None, "leaked_reservations"),
-])
-def test_each_count_is_seen_when_its_guard_is_taken_out(guard: str, instead: object, count: str,
-                                                        monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    "guard, instead, count",
+    [
+        ("_usable", unbounded(True), "over_link"),
+        ("_usable", unbounded(False), "over_compute"),
+        ("_check_plan", lambda *_: None, "half_reserved"),
+        ("_turn", lambda state, there, to: setattr(there, "state", to), "committed_twice"),
+        ("free", lambda state: None, "leaked_reservations"),
+    ],
+)
+def test_each_count_is_seen_when_its_guard_is_taken_out(
+    guard: str, instead: object, count: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(reservations, guard, instead)
     assert Play(1).run(300).wrong[count] > 0
 
@@ -218,37 +255,68 @@
 FULL = (Stretch(2, 4, 50, ("a", "b")),)
 
 
-@pytest.mark.parametrize("commands, code, told", [
-    ((Reserve(JOB, FULL),), "", {}),
-    ((Reserve(JOB, FULL), Reserve(JOB._replace(name="y"), FULL)), "capacity_taken",
-     {"resource": "a>b", "free": 40, "asked": 50}),
-    ((Reserve(JOB._replace(slots=3), FULL),), "capacity_taken", {"resource": "b", "free": 2, "asked": 3}),
-    ((Reserve(JOB, FULL), Reserve(JOB._replace(name="y"), (Stretch(2, 4, 50, ("a", "c", "b")),))),
-     "plan_unfit", {"fault": "a way that is not the direct link"}),
-    ((Reserve(JOB, (Stretch(2, 4, 49, ("a", "b")),)),), "plan_unfit", {}),
-    ((Reserve(JOB._replace(deadline=4 * S - 1), FULL),), "plan_unfit", {}),
-    ((Reserve(JOB._replace(earliest=2 * S + 1), FULL),), "plan_unfit", {}),
-    ((Reserve(JOB, (Stretch(2, 4, 50, ("a", "x", "b")),)),), "plan_unfit", {}),
-    ((Reserve(JOB._replace(to="x"), (Stretch(2, 4, 50, ("a", "x")),)),), "capacity_taken",
-     {"resource": "a>x"}),
-    ((Reserve(JOB, FULL), Shrink("a>b", 40, 3),
-      Reserve(JOB._replace(name="y"), (Stretch(5, 15, 10, ("a", "b")),))), "link_shrunk", {"capacity": 30}),
-    ((Reserve(JOB, FULL), Commit("x")), "out_of_order", {"state": "proven 0"}),
-    ((Reserve(JOB, FULL), Progress("x", 60), Progress("x", 59)), "out_of_order", {}),
-    ((Reserve(JOB, FULL), Progress("x", 60), Move("x", (Stretch(5, 9, 10, ("a", "b")),))), "", {}),
-    ((Reserve(JOB, FULL), Progress("x", 100), Commit("x"), Reserve(JOB, FULL)), "no_such_job",
-     {"end": "committed"}),
-    ((Reserve(JOB._replace(slots=2), (Stretch(2, 9, 50, ("a", "b")), Stretch(3, 4, 9, ("a", "b")))),
-      Reserve(JOB._replace(name="y"), (Stretch(5, 9, 25, ("a", "b")),))),
-     "capacity_taken", {"resource": "b"}),
-    ((Reserve(JOB, FULL), Shrink("a>b", 40, 3), Move("x", FULL)), "", {}),
-    ((Reserve(JOB, FULL), Shrink("a>b", 40, 3), Move("x", (Stretch(2, 4, 51, ("a", "b")),))),
-     "capacity_taken", {"resource": "a>b", "free": 30}),
-    ((Reserve(JOB, FULL), Move("x", ())), "out_of_order", {"order": "park"}),
-    ((Places((), ()),), "out_of_order", {}), ((Shrink("a>b", 1, 0),) * 20, "", {}),
-    ((Shrink("q", 1, 0),), "definition_refused", {}),
-    ((Places((Link("a", "b", 1, 2),), ()),), "out_of_order", {}),
-])
+@pytest.mark.parametrize(
+    "commands, code, told",
+    [
+        ((Reserve(JOB, FULL),), "", {}),
+        (
+            (Reserve(JOB, FULL), Reserve(JOB._replace(name="y"), FULL)),
+            "capacity_taken",
+            {"resource": "a>b", "free": 40, "asked": 50},
+        ),
+        ((Reserve(JOB._replace(slots=3), FULL),), "capacity_taken", {"resource": "b", "free": 2, "asked": 3}),
+        (
+            (Reserve(JOB, FULL), Reserve(JOB._replace(name="y"), (Stretch(2, 4, 50, ("a", "c", "b")),))),
+            "plan_unfit",
+            {"fault": "a way that is not the direct link"},
+        ),
+        ((Reserve(JOB, (Stretch(2, 4, 49, ("a", "b")),)),), "plan_unfit", {}),
+        ((Reserve(JOB._replace(deadline=4 * S - 1), FULL),), "plan_unfit", {}),
+        ((Reserve(JOB._replace(earliest=2 * S + 1), FULL),), "plan_unfit", {}),
+        ((Reserve(JOB, (Stretch(2, 4, 50, ("a", "x", "b")),)),), "plan_unfit", {}),
+        (
+            (Reserve(JOB._replace(to="x"), (Stretch(2, 4, 50, ("a", "x")),)),),
+            "capacity_taken",
+            {"resource": "a>x"},
+        ),
+        (
+            (
+                Reserve(JOB, FULL),
+                Shrink("a>b", 40, 3),
+                Reserve(JOB._replace(name="y"), (Stretch(5, 15, 10, ("a", "b")),)),
+            ),
+            "link_shrunk",
+            {"capacity": 30},
+        ),
+        ((Reserve(JOB, FULL), Commit("x")), "out_of_order", {"state": "proven 0"}),
+        ((Reserve(JOB, FULL), Progress("x", 60), Progress("x", 59)), "out_of_order", {}),
+        ((Reserve(JOB, FULL), Progress("x", 60), Move("x", (Stretch(5, 9, 10, ("a", "b")),))), "", {}),
+        (
+            (Reserve(JOB, FULL), Progress("x", 100), Commit("x"), Reserve(JOB, FULL)),
+            "no_such_job",
+            {"end": "committed"},
+        ),
+        (
+            (
+                Reserve(JOB._replace(slots=2), (Stretch(2, 9, 50, ("a", "b")), Stretch(3, 4, 9, ("a", "b")))),
+                Reserve(JOB._replace(name="y"), (Stretch(5, 9, 25, ("a", "b")),)),
+            ),
+            "capacity_taken",
+            {"resource": "b"},
+        ),
+        ((Reserve(JOB, FULL), Shrink("a>b", 40, 3), Move("x", FULL)), "", {}),
+        (
+            (Reserve(JOB, FULL), Shrink("a>b", 40, 3), Move("x", (Stretch(2, 4, 51, ("a", "b")),))),
+            "capacity_taken",
+            {"resource": "a>b", "free": 30},
+        ),
+        ((Reserve(JOB, FULL), Move("x", ())), "out_of_order", {"order": "park"}),
+        ((Places((), ()),), "out_of_order", {}),
+        ((Shrink("a>b", 1, 0),) * 20, "", {}),
+        ((Shrink("q", 1, 0),), "definition_refused", {}),
+        ((Places((Link("a", "b", 1, 2),), ()),), "out_of_order", {}),
+    ],
+)
 def test_commands(commands: tuple, code: str, told: dict) -> None:
     play = Play(1)
     for what in commands[:-1]:
@@ -276,10 +344,12 @@
 
 # Plans
 
+
 def instance(seed: int, jobs: int, grains: int = 24, load: int = 100) -> tuple[plan.Room, list[plan.Want]]:
     chance, grain = Chance(seed), 300
-    links = {f"{x}>{y}": (10_000_000 + chance.below(20_000_000),) * grains
-             for x in SITES for y in SITES if x != y}
+    links = {
+        f"{x}>{y}": (10_000_000 + chance.below(20_000_000),) * grains for x in SITES for y in SITES if x != y
+    }
     room = plan.Room(0, grain, S, links, {site: (8,) * grains for site in SITES})
     mean = sum(sum(one) for one in links.values()) * grain * load // 100 // jobs
     made = []
@@ -288,8 +358,17 @@
         first = chance.below(grains * 2 // 3)
         last = min(grains, first + 2 + chance.below(grains // 2))
         to, earnings = (x + 1 + chance.below(2)) % 3, size // 1_000_000 * (50 + chance.below(150)) // 100 + 1
-        job = Job(f"j{number:03}", "f", SITES[x], SITES[to], size, first * grain * S, last * grain * S,
-                  earnings, 1 + chance.below(2))
+        job = Job(
+            f"j{number:03}",
+            "f",
+            SITES[x],
+            SITES[to],
+            size,
+            first * grain * S,
+            last * grain * S,
+            earnings,
+            1 + chance.below(2),
+        )
         made.append(plan.wanted(room, job))
     return room, made
 
@@ -301,8 +380,10 @@
     sites = tuple(Site(name, free[0]) for name, free in room.sites.items())
     fence = Fence("r", 1, 1, 1)
     commands = [Command(None, 1, Places(links, sites)), Command(None, 1, forms.Open("r", "a"))]
-    commands += [Command(fence, at, Reserve(by_name[name], plan.stretches(room, parts)))
-                 for at, (name, parts) in enumerate(made.items(), 1)]
+    commands += [
+        Command(fence, at, Reserve(by_name[name], plan.stretches(room, parts)))
+        for at, (name, parts) in enumerate(made.items(), 1)
+    ]
     return [done.code for done in books.apply(1, Batch(0, 1, tuple(commands))) if done.code]
 
 
@@ -332,8 +413,13 @@
 
 
 def flat(amount: int, slots: int = 2, over: int = 0) -> plan.Room:
-    return plan.Room(0, 1, S, {"a>b": (amount,) * 10, "a>c": (over,) * 10, "c>b": (over,) * 10},
-                     {site: (slots,) * 10 for site in SITES})
+    return plan.Room(
+        0,
+        1,
+        S,
+        {"a>b": (amount,) * 10, "a>c": (over,) * 10, "c>b": (over,) * 10},
+        {site: (slots,) * 10 for site in SITES},
+    )
 
 
 def held(name: str, earnings: int, rate: int, told: bool = False) -> plan.Held:
@@ -344,16 +430,19 @@
 NEW = plan.Want(JOB._replace(name="n", earnings=105, size=400), 400, 0, 4)
 
 
-@pytest.mark.parametrize("room, there, new, recall, planned", [
-    (flat(100), (held("x", 5, 40), held("y", 9, 60)), (), (), ()),
-    (flat(60, 2, 40), (held("x", 5, 40), held("y", 9, 60)), (), ("x",), ()),        # none over the third site
-    (flat(40, 1), (held("x", 5, 40), held("y", 9, 40)), (), ("x",), ()),        # a slot lost: the least goes
-    (flat(40, 1), (held("x", 5, 40, True), held("y", 9, 40)), (), (), ()),      # told once
-    (flat(100), (held("x", 5, 40, True),), (), (), ("x",)),
-    (flat(100), (held("x", 5, 40)._replace(parts=((0, 40, ("a", "b")),)),), (), ("x",), ("x",)),  # late
-    (flat(100, 1), (held("x", 100, 100),), (NEW,), (), ()),                     # slightly better: no swinging
-    (flat(100, 1), (held("x", 90, 100),), (NEW,), ("x",), ("n",)),
-])
+@pytest.mark.parametrize(
+    "room, there, new, recall, planned",
+    [
+        (flat(100), (held("x", 5, 40), held("y", 9, 60)), (), (), ()),
+        (flat(60, 2, 40), (held("x", 5, 40), held("y", 9, 60)), (), ("x",), ()),  # none over the third site
+        (flat(40, 1), (held("x", 5, 40), held("y", 9, 40)), (), ("x",), ()),  # a slot lost: the least goes
+        (flat(40, 1), (held("x", 5, 40, True), held("y", 9, 40)), (), (), ()),  # told once
+        (flat(100), (held("x", 5, 40, True),), (), (), ("x",)),
+        (flat(100), (held("x", 5, 40)._replace(parts=((0, 40, ("a", "b")),)),), (), ("x",), ("x",)),  # late
+        (flat(100, 1), (held("x", 100, 100),), (NEW,), (), ()),  # slightly better: no swinging
+        (flat(100, 1), (held("x", 90, 100),), (NEW,), ("x",), ("n",)),
+    ],
+)
 def test_planning_anew(room: plan.Room, there: tuple, new: tuple, recall: tuple, planned: tuple) -> None:
     changes = plan.replanned(room, there, new)
     assert (changes.recall, tuple(sorted(changes.plan))) == (recall, planned)
@@ -377,8 +466,12 @@
     assert books.over()
     for _ in range(4):
         seen = plan.seen(books.resources(), books.room, 600, 300, S, 10)
-        there = tuple(plan.held(seen, one.job, one.proven, one.pieces, played.at // S,
-                                one.state == reservations.RECALLED) for one in books.jobs())
+        there = tuple(
+            plan.held(
+                seen, one.job, one.proven, one.pieces, played.at // S, one.state == reservations.RECALLED
+            )
+            for one in books.jobs()
+        )
         changes = plan.replanned(plan.whole(seen, there), there, ())
         for one in books.jobs():
             if one.state == reservations.RECALLED and one.job.name not in changes.plan:
@@ -401,8 +494,13 @@
         room, wants = instance(seed, 12, 6)
         gone = sorted(room.links)[seed]
         room = room._replace(links={name: free for name, free in room.links.items() if name != gone})
-        for made in (plan.planned(room, wants), plan.first_come(room, wants), best.chosen(room, wants, 2),
-                     best.best(room, wants, 1).plan, plan.replanned(room, (), tuple(wants)).plan):
+        for made in (
+            plan.planned(room, wants),
+            plan.first_come(room, wants),
+            best.chosen(room, wants, 2),
+            best.best(room, wants, 1).plan,
+            plan.replanned(room, (), tuple(wants)).plan,
+        ):
             by_job = {want.job.name: (want.job.origin, want.job.to) for want in wants}
             assert made and all(way == by_job[name] for name, parts in made.items() for _, _, way in parts)
 
@@ -424,14 +522,16 @@
 def test_after_a_recall_room_is_kept_for_whom_it_was_made_and_others_go_on() -> None:
     play, moving = Play(1), Moving()
     play.give(None, Places(tuple(Link(x, y, 110 * MIB, 10 * MIB) for x, y in ("ab", "ca")), PLACES.sites))
-    assert not play.give(play.fences[0], Reserve(JOB._replace(size=900 * MIB, deadline=12 * S),
-                                                 (Stretch(2, 12, 100 * MIB, ("a", "b")),))).code
+    assert not play.give(
+        play.fences[0],
+        Reserve(JOB._replace(size=900 * MIB, deadline=12 * S), (Stretch(2, 12, 100 * MIB, ("a", "b")),)),
+    ).code
     comes = JOB._replace(name="n", size=900 * MIB, deadline=13 * S, earnings=20)
     least, other = comes._replace(name="l", earnings=1), JOB._replace(name="o", origin="c", to="a")
     assert not moving.plan(play.books, 0, comes)
     assert not play.give(None, moving.recall(play.books, 0, BEAT)).code
     assert not play.give(play.fences[0], Move("x", ())).code
-    assert not moving.plan(play.books, 0, least)    # kept for n
+    assert not moving.plan(play.books, 0, least)  # kept for n
     assert moving.plan(play.books, 0, other)
     assert moving.plan(play.books, 0, comes)
 
@@ -469,15 +569,16 @@
     comes = JOB._replace(name="n", size=900 * MIB, deadline=14 * S)
     assert not moving.plan(play.books, play.at, comes)
     assert moving.wishes and moving.recall(play.books, play.at, BEAT) is None
-    play.at = 5 * S          # nothing more came meanwhile
+    play.at = 5 * S  # nothing more came meanwhile
     play.give(None, Recall(()))
     assert not moving.plan(play.books, play.at, comes)
     assert moving.recall(play.books, play.at, BEAT) == Recall(("x",))
 
 
 def test_a_newcomer_pushes_a_few_out_and_the_others_stay() -> None:
-    wants = [plan.Want(JOB._replace(name=f"j{at}", size=100, earnings=10 + at), 100, 0, 10)
-             for at in range(9)]
+    wants = [
+        plan.Want(JOB._replace(name=f"j{at}", size=100, earnings=10 + at), 100, 0, 10) for at in range(9)
+    ]
     room = plan.Room(0, 1, S, {"a>b": (100,) * 10}, {"a": (1,) * 10, "b": (1,) * 10})
     there = tuple(plan.Held(want, ((at, 100, ("a", "b")),), False) for at, want in enumerate(wants))
     new = plan.Want(JOB._replace(name="n", size=300, earnings=60), 300, 0, 10)
@@ -493,8 +594,13 @@
 
     def __init__(self, seed: int) -> None:
         self.books, self.moving, self.chance, self.now, self.count = Books(), Moving(), Chance(seed), 0, 0
-        self.give(None, Places(tuple(Link(x, y, self.RATE, 0) for x in SITES for y in SITES if x != y),
-                               tuple(Site(x, self.SLOTS) for x in SITES)))
+        self.give(
+            None,
+            Places(
+                tuple(Link(x, y, self.RATE, 0) for x in SITES for y in SITES if x != y),
+                tuple(Site(x, self.SLOTS) for x in SITES),
+            ),
+        )
         self.fences = {name: Fence(*self.give(None, forms.Open(name, name)).value) for name in SITES}
         below = self.chance.below
         self.jobs: dict[str, Job] = {}
@@ -502,10 +608,18 @@
             x = below(3)
             earliest = at * 420_000 + 10_000
             self.jobs[f"j{at:02}"] = Job(
-                f"j{at:02}", "f", SITES[x], SITES[(x + 1 + below(2)) % 3], (128 << 10) + below(768 << 10),
-                earliest, earliest + (8 + below(10)) * S, 1 + below(20), 1)
+                f"j{at:02}",
+                "f",
+                SITES[x],
+                SITES[(x + 1 + below(2)) % 3],
+                (128 << 10) + below(768 << 10),
+                earliest,
+                earliest + (8 + below(10)) * S,
+                1 + below(20),
+                1,
+            )
         self.moved: dict[str, int] = dict.fromkeys(self.jobs, 0)
-        self.sends: dict[str, list] = {}      # its pieces, pace, and when it looks again
+        self.sends: dict[str, list] = {}  # its pieces, pace, and when it looks again
 
     def give(self, fence: Fence | None, what: forms.What) -> forms.Done:
         self.count += 1
@@ -551,8 +665,11 @@
                 if pieces := self.moving.plan(self.books, self.now, there.job):
                     self.give(fence, Move(name, pieces))
             elif not sends:
-                self.sends[name] = [there.pieces, pace.sender(there.pieces, S, self.now, 16 << 10),
-                                    self.now + 60_000]
+                self.sends[name] = [
+                    there.pieces,
+                    pace.sender(there.pieces, S, self.now, 16 << 10),
+                    self.now + 60_000,
+                ]
 
     def run(self) -> float:
         """What was earned of what a plan made with all known beforehand earns."""
@@ -568,8 +685,11 @@
         free = {f"{x}>{y}": (self.RATE,) * 30 for x in SITES for y in SITES if x != y}
         room = plan.Room(0, 1, S, free, {site: (self.SLOTS,) * 30 for site in SITES})
         wants = [plan.wanted(room, job) for job in self.jobs.values()]
-        done = sum(job.earnings for name, job in self.jobs.items()
-                   if self.books.ended(name) == reservations.COMMITTED)
+        done = sum(
+            job.earnings
+            for name, job in self.jobs.items()
+            if self.books.ended(name) == reservations.COMMITTED
+        )
         return done / plan.earned(wants, plan.planned(room, wants))
 
 
@@ -580,6 +700,7 @@
 
 # Pacing
 
+
 def test_a_sender_that_wakes_late_carries_what_is_reserved() -> None:
     send = pace.sender((Stretch(0, 5, 256 << 10, ("a", "b")),), S, 0, 16 << 10)
     chance, now, sent = Chance(3), 0, 0
@@ -602,8 +723,10 @@
             sent, by_second[now // S] = sent + size, by_second[now // S] + size
         fast_taken += 64 * fast.take(now, 64) + 64 * fast.take(now, 64) + 64 * fast.take(now, 64)
     assert by_second[0] == by_second[5] == 0 and sent > 0
-    assert all(by_second[at] <= rate + max(150, rate // 20) for at, rate in
-               ((1, 1_000), (2, 4_000), (3, 3_000), (4, 3_000)))
+    assert all(
+        by_second[at] <= rate + max(150, rate // 20)
+        for at, rate in ((1, 1_000), (2, 4_000), (3, 3_000), (4, 3_000))
+    )
     assert fast_taken <= 11_000 + (1_000 + 3_000) * 2 * pace.SLACK // S + 4 * 64
     assert not send.take(now, -1) and send.due(now, 1) == 0
     early, late = (pace.receiver(pieces, S, at, 64) for at in (0, 5 * S))
--- a/tests/test_fleet_transfers_lab.py
+++ b/tests/test_fleet_transfers_lab.py
@@ -16,8 +16,9 @@
 
 
 @pytest.mark.parametrize("found", [None, best.Best({}, 1, False)])
-def test_a_solver_short_of_time_does_not_lower_the_yardstick(found: best.Best | None,
-                                                             monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_solver_short_of_time_does_not_lower_the_yardstick(
+    found: best.Best | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     room, wants = instance(1, 16, 6, 80)
     monkeypatch.setattr(transfers.best, "best", lambda *_, **__: found)
     assert transfers.yardstick(room, tuple(wants), 2.0) == plan.earned(wants, plan.planned(room, wants)) > 0
@@ -25,16 +26,20 @@
 
 @pytest.mark.parametrize("count, ratio", [(LEAST, 3.0), (LEAST - 1, -1)])
 def test_the_ratio_is_of_what_was_measured_on_both_sides(count: int, ratio: float) -> None:
-    took = [Took(at + number / 1000, seconds) for at, seconds in ((1, 0.002), (3, 0.006), (5, 0.9))
-            for number in range(count if at == 3 else LEAST)]
+    took = [
+        Took(at + number / 1000, seconds)
+        for at, seconds in ((1, 0.002), (3, 0.006), (5, 0.9))
+        for number in range(count if at == 3 else LEAST)
+    ]
     told = compared(took, (1.0, 2.0), (3.0, 4.0))
     assert told["reqs_p99_ratio"] == ratio and told["reqs_p99_beside_ms"] == 6.0
     assert (told["reqs_without"], told["reqs_beside"]) == (LEAST, count)
 
 
 @pytest.mark.parametrize("leaks", [False, True])
-def test_a_job_that_ends_early_shows_what_is_left_reserved(leaks: bool,
-                                                           monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_job_that_ends_early_shows_what_is_left_reserved(
+    leaks: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     books, count = Books(), 0
 
     def submit(order: Submit, told: Callable) -> None:
@@ -46,8 +51,9 @@
     submit(Submit((Command(None, 1, Places(links, (Site("a", 2), Site("b", 2)))),)), list)
     if leaks:
         book = reservations._book
-        monkeypatch.setattr(reservations, "_book", lambda state, there, pieces: book(state, there, pieces)
-                            if pieces else None)
+        monkeypatch.setattr(
+            reservations, "_book", lambda state, there, pieces: book(state, there, pieces) if pieces else None
+        )
     lab = transfers.Lab.__new__(transfers.Lab)
     lab.client, lab.time = SimpleNamespace(submit=submit), lambda: 0
     assert [lab.free(*way) for way in ("ab", "ba")] == [not leaks] * 2
--- a/tests/test_fleet_way.py
+++ b/tests/test_fleet_way.py
@@ -84,17 +84,22 @@
 
 # By mode: what an old connection's asking gets, what a new one's, whether the far end hears the old one, and
 # whether the old one's answer comes once the way is healed.
-@pytest.mark.parametrize("mode, old, new, heard, comes", [
-    (Mode(OPEN), b"hello", b"hello", True, True),
-    (Mode(CUT), "reset", "refused", False, False),
-    (Mode(SILENT), "nothing", "unheard", False, True),
-    (Mode(DEAF, lane=THERE), "nothing", "nothing", False, True),
-    (Mode(DEAF, lane=BACK), "nothing", "nothing", True, True),
-    (Mode(HALF_OPEN), "nothing", "nothing", False, True),
-    (Mode(SLOW, delay=700_000), "nothing", "nothing", False, True),
-    (Mode(SLOW, delay=20_000), b"hello", b"hello", True, True)])
+@pytest.mark.parametrize(
+    "mode, old, new, heard, comes",
+    [
+        (Mode(OPEN), b"hello", b"hello", True, True),
+        (Mode(CUT), "reset", "refused", False, False),
+        (Mode(SILENT), "nothing", "unheard", False, True),
+        (Mode(DEAF, lane=THERE), "nothing", "nothing", False, True),
+        (Mode(DEAF, lane=BACK), "nothing", "nothing", True, True),
+        (Mode(HALF_OPEN), "nothing", "nothing", False, True),
+        (Mode(SLOW, delay=700_000), "nothing", "nothing", False, True),
+        (Mode(SLOW, delay=20_000), b"hello", b"hello", True, True),
+    ],
+)
 def test_each_mode_does_what_it_says_and_is_healed(
-        pair: Pair, mode: Mode, old: bytes | str, new: bytes | str, heard: bool, comes: bool) -> None:
+    pair: Pair, mode: Mode, old: bytes | str, new: bytes | str, heard: bool, comes: bool
+) -> None:
     sock = pair.connect()
     assert pair.asks(sock, b"first") == b"first"
     pair.ways.set("a", "b", mode)
@@ -224,17 +229,26 @@
     plan = Plan(KEEPERS[:3], MEMBERS)
     assert script(7, plan) == script(7, plan) != script(8, plan)
     lines = [line(one) for one in script(7, plan)]
-    assert lines[:4] == ["    2.183 s  disk-full    k1", "    3.141 s  pause        m1",
-                         "    3.891 s  wake         m1",
-                         "    3.986 s  slow         k3 k2 delay=40.386ms rate=131072B/s"]
+    assert lines[:4] == [
+        "    2.183 s  disk-full    k1",
+        "    3.141 s  pause        m1",
+        "    3.891 s  wake         m1",
+        "    3.986 s  slow         k3 k2 delay=40.386ms rate=131072B/s",
+    ]
     assert all("\n" not in one and len(one) < 100 for one in lines)
 
 
 def test_real_relays_meet_each_fault_and_none_is_left(tmp_path: Path) -> None:
     budget = {"name": "resends", "kind": "rate", "whole": "100", "relays": "4"}
     pids: list[int] = []
-    with Host(tmp_path, {"k1": "a", "k2": "b", "k3": "c"}, {"m1": "a"}, budgets=(budget,), skewed=True,
-              leader=lambda: "k2") as host:
+    with Host(
+        tmp_path,
+        {"k1": "a", "k2": "b", "k3": "c"},
+        {"m1": "a"},
+        budgets=(budget,),
+        skewed=True,
+        leader=lambda: "k2",
+    ) as host:
         nodes = host.start().nodes
 
         def meet(kind: str, *who: str, **figures: int) -> None:
@@ -245,11 +259,18 @@
             return " ".join(name for name, node in nodes.items() if node.alive())
 
         def kinds() -> set[tuple[str, str, str, int]]:
-            return {(*pair, one.mode.kind, one.mode.lane) for pair, one in host.ways.ways.items()
-                    if one.mode.kind != OPEN}
+            return {
+                (*pair, one.mode.kind, one.mode.lane)
+                for pair, one in host.ways.ways.items()
+                if one.mode.kind != OPEN
+            }
+
         fleet = reading.read(str(nodes["k1"].operator)).fleet
         assert [one.address for one in fleet.keepers] == [
-            host.at["k1"], host.ways.ways["k1", "k2"].address, host.ways.ways["k1", "k3"].address]
+            host.at["k1"],
+            host.ways.ways["k1", "k2"].address,
+            host.ways.ways["k1", "k3"].address,
+        ]
         assert alive() == "k1 k2 k3 m1"
         meet(faults.PAUSE, "m1")
         assert nodes["m1"].state() == "T"
@@ -275,8 +296,14 @@
         assert kinds() == {("m1", "k2", DEAF, BACK)}
         meet(faults.HEAL, "k2", "m1")
         meet(faults.SITE_CUT, "@a")
-        assert {found[:2] for found in kinds()} == {("k1", "k2"), ("k1", "k3"), ("k2", "k1"), ("k3", "k1"),
-                                                    ("m1", "k2"), ("m1", "k3")}
+        assert {found[:2] for found in kinds()} == {
+            ("k1", "k2"),
+            ("k1", "k3"),
+            ("k2", "k1"),
+            ("k3", "k1"),
+            ("m1", "k2"),
+            ("m1", "k3"),
+        }
         meet(faults.HEAL, "@a")
         assert not kinds()
         for node in nodes.values():
@@ -284,8 +311,11 @@
         assert nodes["m1"].stop() == 0 and alive() == "k1 k2 k3"
     # What was waited for has no entry, or one that was used again by another.
     assert all(not node.alive() for node in nodes.values())
-    mine = {pid for pid in pids if (path := Path(f"/proc/{pid}/cmdline")).exists()
-            and str(tmp_path).encode() in path.read_bytes()}
+    mine = {
+        pid
+        for pid in pids
+        if (path := Path(f"/proc/{pid}/cmdline")).exists() and str(tmp_path).encode() in path.read_bytes()
+    }
     assert not mine
 
 
@@ -298,8 +328,12 @@
         file.write_text("older")
         node.copied("older")
         file.write_text("newest!!")
-        for kind, found in ((faults.DISK_TORN, "newe"), (faults.DISK_BACK, "newest!!"),
-                            (faults.OLD_DISK, "older"), (faults.DISK_BACK, "newest!!")):
+        for kind, found in (
+            (faults.DISK_TORN, "newe"),
+            (faults.DISK_BACK, "newest!!"),
+            (faults.OLD_DISK, "older"),
+            (faults.DISK_BACK, "newest!!"),
+        ):
             host.carry(Fault(0, kind, ("k1",)))
             assert file.read_text() == found
         with pytest.raises(ValueError, match="skewed=True"):
@@ -310,9 +344,13 @@
     with Host(tmp_path, {"k1": "a", "k2": "b", "k3": "c"}, {}) as host:
         found: list[tuple[str, float, str]] = []
         began = time.monotonic()
-        host.play((Fault(20_000, faults.CUT, ("k1", "k2")), Fault(60_000, faults.HEAL, ("k1", "k2"))),
-                  threading.Event(), lambda told: found.append(
-                      (told.split()[2], time.monotonic() - began, host.ways.ways["k1", "k2"].mode.kind)))
+        host.play(
+            (Fault(20_000, faults.CUT, ("k1", "k2")), Fault(60_000, faults.HEAL, ("k1", "k2"))),
+            threading.Event(),
+            lambda told: found.append(
+                (told.split()[2], time.monotonic() - began, host.ways.ways["k1", "k2"].mode.kind)
+            ),
+        )
         assert [(kind, before) for kind, _, before in found] == [("cut", OPEN), ("heal", CUT)]
         assert found[0][1] >= 0.02 and found[1][1] >= 0.06
         over = threading.Event()
@@ -347,6 +385,13 @@
     (tmp_path / "probe.py").write_text(PROBE)
     (tmp_path / "clock").write_text("-3600000000 500000")
     words = [sys.executable, "-B", "-m", "laurelcourse.lab.skewed", str(tmp_path), "probe", str(tmp_path)]
-    ran = subprocess.run(words, cwd=ROOT, env=os.environ | {"PYTHONPATH": f"{ROOT}:{tmp_path}"}, timeout=30,
-                         capture_output=True, text=True, check=False)
+    ran = subprocess.run(
+        words,
+        cwd=ROOT,
+        env=os.environ | {"PYTHONPATH": f"{ROOT}:{tmp_path}"},
+        timeout=30,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert ran.stdout.split() == ["ok", "SQLITE_FULL", "ok", "-3600.0", "1.5"], ran.stderr
--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -32,11 +32,19 @@
 EXAMPLE = (ROOT / "deploy" / "fleet.xml").read_text()
 EXAMPLE = re.sub("<workflow.*</fleet>", lambda _: WORKFLOW, EXAMPLE, flags=re.DOTALL)
 # Three tries of a second with waits of 100 and 150 ms lie in 3250 ms.
-KINDS = {"hold": (NON_RETRIABLE, 0), "free": (RETRIABLE, 0), "look": (RETRIABLE, 0),
-         "keyed": (DEDUPED, 3_250_000), "short": (DEDUPED, 3_249_999), "notice": (NON_RETRIABLE, 0),
-         "lasting": (DEDUPED, d.LONGEST), "longer": (DEDUPED, d.LONGEST + 1)}
-ROUTES = [Route(name, 1, 2_000_000, 1.0, 0.0, repeat, "any", memory)
-          for name, (repeat, memory) in KINDS.items()]
+KINDS = {
+    "hold": (NON_RETRIABLE, 0),
+    "free": (RETRIABLE, 0),
+    "look": (RETRIABLE, 0),
+    "keyed": (DEDUPED, 3_250_000),
+    "short": (DEDUPED, 3_249_999),
+    "notice": (NON_RETRIABLE, 0),
+    "lasting": (DEDUPED, d.LONGEST),
+    "longer": (DEDUPED, d.LONGEST + 1),
+}
+ROUTES = [
+    Route(name, 1, 2_000_000, 1.0, 0.0, repeat, "any", memory) for name, (repeat, memory) in KINDS.items()
+]
 
 
 def faults(folder: Path, text: str) -> list[str]:
@@ -54,12 +62,25 @@
     fleet = reading.read(str(tmp_path / "fleet.xml")).fleet
     found = meaning_workflows.definitions(fleet, ROUTES)["booking"]
     assert (found.timeout, found.tries, found.back_off, found.longest, found.point(), found.waits()) == (
-        20_000_000, 3, 100_000, 150_000, 3, 250_000)
-    assert found.steps[2] == d.Step("device", d.Send("hold", ASK % "hold.{device}", 2_000_000, NON_RETRIABLE),
-                                    d.Send("keyed", ASK % "free.{device}", 1_000_000, DEDUPED, 3_250_000))
+        20_000_000,
+        3,
+        100_000,
+        150_000,
+        3,
+        250_000,
+    )
+    assert found.steps[2] == d.Step(
+        "device",
+        d.Send("hold", ASK % "hold.{device}", 2_000_000, NON_RETRIABLE),
+        d.Send("keyed", ASK % "free.{device}", 1_000_000, DEDUPED, 3_250_000),
+    )
     assert [(one.effect, one.no_return, one.fails) for one in found.steps] == [
-        (True, False, "may"), (False, False, "may"), (True, False, "may"), (True, True, "never"),
-        (True, False, "harmless")]
+        (True, False, "may"),
+        (False, False, "may"),
+        (True, False, "may"),
+        (True, True, "never"),
+        (True, False, "harmless"),
+    ]
     assert d.well_formed(found) and d.read(d.plain(found)) == found and not list(d.flaws(found))
     assert meaning_workflows.limits(fleet) == f.Limits(500, 50, 20, 600_000_000)
 
@@ -68,36 +89,48 @@
 
 
 # What stands in the example, what instead, and what must be said of that line; no words: it is taken.
-@pytest.mark.parametrize("old, new, words", [
-    ('timeout="1s" effect="false"', 'timeout="1s"', "step look has an effect but no undo"),
-    (FREE, 'undo route="hold"', "goes by route hold, which may not be repeated"),
-    (FREE, 'undo harmless="true" route="hold"', "goes by route hold, which may not be repeated"),
-    (KEYED, 'undo route="short"', "may run later than the 3249ms"),
-    (KEYED, 'undo harmless="true" route="short"', ""),
-    (KEYED, 'undo route="lasting"', ""),
-    (KEYED, 'undo route="longer"', "route longer knows repeats for over 1d"),
-    (COMMIT, COMMIT.replace("never", "may"), ""),
-    ('name="commit" route="keyed"', 'name="commit" route="short"', "can't be repeated until it is done"),
-    ('name="commit" route="keyed"', 'name="commit" route="hold"', "can't be repeated until it is done"),
-    ('timeout="1s" fails="harmless"', 'timeout="1s"', "step notice may fail for good behind the point"),
-    ('timeout="1s" fails="harmless"', 'timeout="1s" fails="never"', "can't be repeated until it is done"),
-    ('fails="harmless"', 'fails="harmless" no-return="true"', "second point of no return, after step commit"),
-    ('name="room" route="hold"', 'name="room" route="holds"', "no route holds: the platform has free, hold"),
-    (FREE, 'undo route="frees"', "no route frees"),
-    ('timeout="2s"', 'timeout="2.001s"', "a timeout of 2001ms, route hold has 2000ms"),
-    ("free.{room}'\" timeout=\"1s\"", "free.{room}'\" timeout=\"3s\"", "of 3000ms, route free has 2000ms"),
-    ('timeout="2s"', 'timeout="0s"', "a timeout of 0"),
-    ('timeout="20s"', 'timeout="9s"', ""),
-    ('timeout="20s"', 'timeout="8.999s"', "take up to 9000ms, its timeout is 8999ms"),
-    ('name="device" route', 'name="room" route', "step room stands twice"),
-    ('longest-back-off="150ms"', 'longest-back-off="99ms"', "no longer than longest-back-off"),
-    ('tries="3"', 'tries="1001"', "tries must be from 1 to 1000"),
-    ('by-tenant="50"', 'by-tenant="501"', "over in-flight, 500"),
-    ('behind="20"', 'behind="501"', "bounds nothing"),
-    ('keeps="10min"', 'keeps="0s"', "keeps must be above 0"),
-    (f'statement="{ASK % "look"}"', 'statement=""', "length"),
-    ('fails="harmless"', 'fails="often"', "'may', 'never', 'harmless'"),
-    ('name="look" route="look"', 'name="look"', "attribute 'route' is required")])
+@pytest.mark.parametrize(
+    "old, new, words",
+    [
+        ('timeout="1s" effect="false"', 'timeout="1s"', "step look has an effect but no undo"),
+        (FREE, 'undo route="hold"', "goes by route hold, which may not be repeated"),
+        (FREE, 'undo harmless="true" route="hold"', "goes by route hold, which may not be repeated"),
+        (KEYED, 'undo route="short"', "may run later than the 3249ms"),
+        (KEYED, 'undo harmless="true" route="short"', ""),
+        (KEYED, 'undo route="lasting"', ""),
+        (KEYED, 'undo route="longer"', "route longer knows repeats for over 1d"),
+        (COMMIT, COMMIT.replace("never", "may"), ""),
+        ('name="commit" route="keyed"', 'name="commit" route="short"', "can't be repeated until it is done"),
+        ('name="commit" route="keyed"', 'name="commit" route="hold"', "can't be repeated until it is done"),
+        ('timeout="1s" fails="harmless"', 'timeout="1s"', "step notice may fail for good behind the point"),
+        ('timeout="1s" fails="harmless"', 'timeout="1s" fails="never"', "can't be repeated until it is done"),
+        (
+            'fails="harmless"',
+            'fails="harmless" no-return="true"',
+            "second point of no return, after step commit",
+        ),
+        (
+            'name="room" route="hold"',
+            'name="room" route="holds"',
+            "no route holds: the platform has free, hold",
+        ),
+        (FREE, 'undo route="frees"', "no route frees"),
+        ('timeout="2s"', 'timeout="2.001s"', "a timeout of 2001ms, route hold has 2000ms"),
+        ('free.{room}\'" timeout="1s"', 'free.{room}\'" timeout="3s"', "of 3000ms, route free has 2000ms"),
+        ('timeout="2s"', 'timeout="0s"', "a timeout of 0"),
+        ('timeout="20s"', 'timeout="9s"', ""),
+        ('timeout="20s"', 'timeout="8.999s"', "take up to 9000ms, its timeout is 8999ms"),
+        ('name="device" route', 'name="room" route', "step room stands twice"),
+        ('longest-back-off="150ms"', 'longest-back-off="99ms"', "no longer than longest-back-off"),
+        ('tries="3"', 'tries="1001"', "tries must be from 1 to 1000"),
+        ('by-tenant="50"', 'by-tenant="501"', "over in-flight, 500"),
+        ('behind="20"', 'behind="501"', "bounds nothing"),
+        ('keeps="10min"', 'keeps="0s"', "keeps must be above 0"),
+        (f'statement="{ASK % "look"}"', 'statement=""', "length"),
+        ('fails="harmless"', 'fails="often"', "'may', 'never', 'harmless'"),
+        ('name="look" route="look"', 'name="look"', "attribute 'route' is required"),
+    ],
+)
 def test_a_fault_is_named_with_its_line(tmp_path: Path, old: str, new: str, words: str) -> None:
     assert old in EXAMPLE
     found = faults(tmp_path, EXAMPLE.replace(old, new, 1))
@@ -106,7 +139,7 @@
         return
     at = [one for one in found if words in one]
     assert at, found
-    assert int(at[0].split(":")[1]) == EXAMPLE[:EXAMPLE.index(old)].count("\n") + 1
+    assert int(at[0].split(":")[1]) == EXAMPLE[: EXAMPLE.index(old)].count("\n") + 1
 
 
 GIVEN = [(("room", "r"), ("device", "d"), ("a", one), ("b", two)) for one, two in (("0", "0"), ("0", "00"))]
@@ -134,8 +167,13 @@
     (f'{UNDO}" timeout="1s"', f'{UNDO}" timeout="999us"', "the undo of step room can't be sent: its timeout"),
     (f'{LOOK}" timeout="1s"', f'{LOOK}" timeout="3600.001s"', "timeout must be from 1ms to 60min"),
     (f'{LOOK}" timeout="1s"', f'{LOOK}" timeout="1ms"', ""),
-    (LOOK, PUT % "0{a}{b}", ""), (LOOK, PUT % "{a}0{b}{b}", ""), (LOOK, PUT % "", ""),
-    (LOOK, ASK % ("x" * 256), ""), (LOOK, ASK % ("x" * 255 + "{room}"), ""), (LOOK, ASK % "{a{room}", "")]
+    (LOOK, PUT % "0{a}{b}", ""),
+    (LOOK, PUT % "{a}0{b}{b}", ""),
+    (LOOK, PUT % "", ""),
+    (LOOK, ASK % ("x" * 256), ""),
+    (LOOK, ASK % ("x" * 255 + "{room}"), ""),
+    (LOOK, ASK % "{a{room}", ""),
+]
 
 
 def begun(found: d.Definition, values: tuple[tuple[str, str], ...]) -> str:
@@ -150,12 +188,13 @@
 
 @pytest.mark.parametrize("old, new, words", STATEMENTS, ids=lambda one: one[:60])
 def test_a_statement_that_no_start_would_take_is_named_with_its_line(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, old: str, new: str, words: str) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, old: str, new: str, words: str
+) -> None:
     assert old in EXAMPLE
     path = tmp_path / "fleet.xml"
     path.write_text(EXAMPLE.replace(old, new, 1))
     ran = CliRunner().invoke(cli.main, ["check", "-o", str(path)])
-    line = EXAMPLE[:EXAMPLE.index(old)].count("\n") + 1
+    line = EXAMPLE[: EXAMPLE.index(old)].count("\n") + 1
     said = [one for one in ran.output.splitlines() if one.startswith(f"{path}:{line}: workflow booking: ")]
     # What is begun with settings that nobody checked is refused then, and nothing else is.
     monkeypatch.setattr(reading.meaning, "faults", lambda *_: [])
@@ -166,6 +205,6 @@
 
 
 def test_a_second_of_one_name_is_named(tmp_path: Path) -> None:
-    again = EXAMPLE[EXAMPLE.index("<workflow name"):EXAMPLE.index("  </fleet>")]
+    again = EXAMPLE[EXAMPLE.index("<workflow name") : EXAMPLE.index("  </fleet>")]
     found = faults(tmp_path, EXAMPLE.replace("  </fleet>", again + "</fleet>"))
     assert any("workflow booking stands twice" in one for one in found)
--- a/tests/test_fleet_workflows.py
+++ b/tests/test_fleet_workflows.py
@@ -27,15 +27,23 @@
 NOTICE = d.Step("notice", d.Send("notice", "TELL {who}", 100 * MS, NON_RETRIABLE), None, fails=d.HARMLESS)
 COMMIT = d.Step("commit", d.Send("commit", "COMMIT", 100 * MS), None, no_return=True)
 LOOK = d.Step("look", d.Send("look", "LOOK", 100 * MS), None, effect=False)
-BOOKING = d.Definition("booking", 5_000 * MS, 3, 10 * MS, 100 * MS, (
-    hold("room"), hold("device"), hold("one"), hold("two"), NOTICE._replace(no_return=True)))
+BOOKING = d.Definition(
+    "booking",
+    5_000 * MS,
+    3,
+    10 * MS,
+    100 * MS,
+    (hold("room"), hold("device"), hold("one"), hold("two"), NOTICE._replace(no_return=True)),
+)
 # For the explorer: a req may outlast several leases.
-KINDS = [BOOKING._replace(steps=tuple(
-    one._replace(send=one.send._replace(timeout=300 * MS)) for one in steps))
-    for steps in (BOOKING.steps, (hold("room"), LOOK, hold("one"), COMMIT, NOTICE))]
+KINDS = [
+    BOOKING._replace(steps=tuple(one._replace(send=one.send._replace(timeout=300 * MS)) for one in steps))
+    for steps in (BOOKING.steps, (hold("room"), LOOK, hold("one"), COMMIT, NOTICE))
+]
 SHORT = BOOKING._replace(steps=(hold("room"), COMMIT, NOTICE))
-KEYED = SHORT._replace(steps=(hold("room"), COMMIT._replace(
-    send=COMMIT.send._replace(repeat=DEDUPED, memory=500 * MS)), NOTICE))
+KEYED = SHORT._replace(
+    steps=(hold("room"), COMMIT._replace(send=COMMIT.send._replace(repeat=DEDUPED, memory=500 * MS)), NOTICE)
+)
 LISTS = {"booking": BOOKING, "short": SHORT, "keyed": KEYED, "none": SHORT._replace(steps=())}
 OUTCOMES = {"ok": f.COMPLETED, "never": f.NEVER_RAN, "unknown": f.UNKNOWN, "failed": f.FAILED}
 
@@ -149,8 +157,9 @@
     assert it.say("do a 2 1")
 
 
-@pytest.mark.parametrize("template, out", [
-    ("A {a}", "A {b}"), ("{b}{c}", "2{c}"), ("{a", "{a"), ("a}", "a}")])
+@pytest.mark.parametrize(
+    "template, out", [("A {a}", "A {b}"), ("{b}{c}", "2{c}"), ("{a", "{a"), ("a}", "a}")]
+)
 def test_values_are_filled_in_once(template: str, out: str) -> None:
     assert r.filled(template, (("a", "{b}"), ("b", "2"))) == out
 
@@ -158,8 +167,15 @@
 # An explorer: three relays, one workflow, units that count what is done to them
 
 LEASE, TICK = 40 * MS, 10 * MS
-CHECKS = ("out_of_order", "effects_left_behind", "undone_though_done", "notices_twice", "two_owners_acted",
-          "undo_of_never_ran", "one_outcome_each")
+CHECKS = (
+    "out_of_order",
+    "effects_left_behind",
+    "undone_though_done",
+    "notices_twice",
+    "two_owners_acted",
+    "undo_of_never_ran",
+    "one_outcome_each",
+)
 
 
 class Relay:
@@ -176,7 +192,7 @@
     what: f.Intend
     relay: Relay
     run: r.Run
-    fate: str                    # told to the relay if the answer comes
+    fate: str  # told to the relay if the answer comes
     runs: bool
     answered: bool
 
@@ -190,12 +206,12 @@
         self.batches: list[f.Batch] = []
         self.reqs: list[Req] = []
         self.late: list[tuple[int, Callable[[], None]]] = []
-        self.sessions: list[int] = []        # in the order of what they sent
-        self.there: set[int] = set()         # steps whose effect is there
+        self.sessions: list[int] = []  # in the order of what they sent
+        self.there: set[int] = set()  # steps whose effect is there
         self.notices = self.undos = 0
         self.point_ran = False
         self.known_not: set[int] = set()
-        self.bad = 1 + self.c.below(40)      # faults in a hundred
+        self.bad = 1 + self.c.below(40)  # faults in a hundred
         self.calm = (500 + self.c.below(1500)) * MS
         self.definition = KINDS[self.c.below(2)]
         self.leaves = self.c.below(1500) * MS if self.c.below(2) else r.FAR
@@ -288,8 +304,14 @@
             if one not in relay.runs or relay.runs[one].state == r.OVER:
                 relay.runs[one] = r.Run(one, Chance(self.c.below(1 << 30)))
         for number, run in sorted(relay.runs.items()):
-            self.carry(relay, run, run.step(self.now, self.books.workflow(number), me, self.usable(relay),
-                                            lambda: not self.chance()), me)
+            self.carry(
+                relay,
+                run,
+                run.step(
+                    self.now, self.books.workflow(number), me, self.usable(relay), lambda: not self.chance()
+                ),
+                me,
+            )
         self.faults(relay)
 
     def carry(self, relay: Relay, run: r.Run, effects: tuple[r.Effect, ...], me: int) -> None:
@@ -349,8 +371,9 @@
             self.seen["out_of_order"] += any(one > what.step for one in self.there)
             self.there.discard(what.step)
         else:
-            self.seen["out_of_order"] += any(one not in self.there for one in range(what.step)
-                                             if steps[one].undo is not None)
+            self.seen["out_of_order"] += any(
+                one not in self.there for one in range(what.step) if steps[one].undo is not None
+            )
             self.there |= {what.step} if steps[what.step].effect else set()
             self.point_ran |= what.step == self.definition.point()
             self.notices += steps[what.step].name == "notice"
@@ -400,21 +423,44 @@
 
 def no_point(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(w, "passed", lambda flow: False)
-    patch.setattr(w, "to_undo", lambda flow: max((
-        at for at, one in enumerate(flow.steps)
-        if one.state in w.TO_UNDO and flow.definition.steps[at].undo), default=-1))
+    patch.setattr(
+        w,
+        "to_undo",
+        lambda flow: max(
+            (
+                at
+                for at, one in enumerate(flow.steps)
+                if one.state in w.TO_UNDO and flow.definition.steps[at].undo
+            ),
+            default=-1,
+        ),
+    )
 
 
 def any_order(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(w, "to_undo", lambda flow: min((
-        at for at, one in enumerate(flow.steps)
-        if one.state in w.TO_UNDO and flow.definition.steps[at].effect), default=-1))
+    patch.setattr(
+        w,
+        "to_undo",
+        lambda flow: min(
+            (
+                at
+                for at, one in enumerate(flow.steps)
+                if one.state in w.TO_UNDO and flow.definition.steps[at].effect
+            ),
+            default=-1,
+        ),
+    )
 
 
 def at_once(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(w, "ripe", lambda *_: True)
-    patch.setattr(r.Run, "_of_unknown_fate", lambda self, now, view, at, undo: f.Result(
-        self.number, at, undo, view.steps[at].undo_tries if undo else view.steps[at].tries, f.UNKNOWN))
+    patch.setattr(
+        r.Run,
+        "_of_unknown_fate",
+        lambda self, now, view, at, undo: f.Result(
+            self.number, at, undo, view.steps[at].undo_tries if undo else view.steps[at].tries, f.UNKNOWN
+        ),
+    )
 
 
 def notice_again(patch: pytest.MonkeyPatch) -> None:
@@ -423,26 +469,39 @@
 
 def undo_all(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(w, "TO_UNDO", (*w.TO_UNDO, w.NEVER_RAN, w.FAILED))
-    patch.setattr(w, "STEP_MOVES", w.STEP_MOVES | {
-        one: (*w.STEP_MOVES[one], w.UNDO_INTENDED) for one in (w.NEVER_RAN, w.FAILED)})
+    patch.setattr(
+        w,
+        "STEP_MOVES",
+        w.STEP_MOVES | {one: (*w.STEP_MOVES[one], w.UNDO_INTENDED) for one in (w.NEVER_RAN, w.FAILED)},
+    )
 
 
 def tell_again(patch: pytest.MonkeyPatch) -> None:
     old = r.Waiting.look
-    patch.setattr(r.Waiting, "look", lambda self, now, view: (
-        setattr(self, "_told", False), old(self, now, view))[1])
+    patch.setattr(
+        r.Waiting, "look", lambda self, now, view: (setattr(self, "_told", False), old(self, now, view))[1]
+    )
 
 
 def no_lease(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(World, "usable", lambda self, relay: True)
 
 
-@pytest.mark.parametrize("check, guard", [
-    ("out_of_order", any_order), ("effects_left_behind", at_once), ("undone_though_done", no_point),
-    ("notices_twice", notice_again), ("two_owners_acted", no_lease), ("undo_of_never_ran", undo_all),
-    ("one_outcome_each", tell_again)])
-def test_explorer_sees_a_guard_that_is_gone(check: str, guard: Callable[[pytest.MonkeyPatch], None],
-                                           monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    "check, guard",
+    [
+        ("out_of_order", any_order),
+        ("effects_left_behind", at_once),
+        ("undone_though_done", no_point),
+        ("notices_twice", notice_again),
+        ("two_owners_acted", no_lease),
+        ("undo_of_never_ran", undo_all),
+        ("one_outcome_each", tell_again),
+    ],
+)
+def test_explorer_sees_a_guard_that_is_gone(
+    check: str, guard: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
     guard(monkeypatch)
     seen, start = 0, 0
     while not seen and start < 1200:
@@ -515,7 +574,8 @@
     ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 ok; do a 2 1; do a 2 1 failed", [1, 0]),
     ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 ok; do a 2 1; do a 2 1 unknown", [2, 1, 0]),
     ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 ok; leave a", [1, 0]),
-    ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 never; leave a", [0])]
+    ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 never; leave a", [0]),
+]
 
 
 @pytest.mark.parametrize("orders, places", UNDONE_IN_ORDER)
@@ -564,10 +624,19 @@
 FAILS = "undo a 0 1; undo a 0 1 failed; undo a 0 2; undo a 0 2 unknown; undo a 0 3; undo a 0 3 failed"
 
 
-@pytest.mark.parametrize("orders, place, code, step", [
-    ("do a 0 1; do a 0 1 ok; leave a; " + FAILS, 0, "undo_stuck", "room"),
-    ("do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 unknown; do a 1 2; do a 1 2 failed; do a 1 3; do a 1 3 never",
-     1, "step_stuck", "commit")])
+@pytest.mark.parametrize(
+    "orders, place, code, step",
+    [
+        ("do a 0 1; do a 0 1 ok; leave a; " + FAILS, 0, "undo_stuck", "room"),
+        (
+            "do a 0 1; do a 0 1 ok; do a 1 1; do a 1 1 unknown; "
+            "do a 1 2; do a 1 2 failed; do a 1 3; do a 1 3 never",
+            1,
+            "step_stuck",
+            "commit",
+        ),
+    ],
+)
 def test_what_is_stuck_is_named_and_settled_there(orders: str, place: int, code: str, step: str) -> None:
     it = scripted("short", *orders.split("; "))
     at, error = r.stuck(it.books.workflow(1))
@@ -578,15 +647,29 @@
     assert it.say(f"settle b {at} by_hand") in (w.UNDONE, w.FORWARD)
 
 
-NOT_FIT = [f.Limits(0, 1, 1, 1), f.Limits(1 << 17, 1, 1, 1), f.Begin("", "m", SHORT), f.Begin("t", "", SHORT),
-           f.Begin("t", "m", None), f.Begin("t", "m", SHORT, (("a",),)),
-           f.Begin("t", "m", SHORT, (("a", "\n"),)),
-           f.Begin("t", "m", SHORT._replace(timeout=1.5)), f.Begin("t", "m", SHORT._replace(steps=[COMMIT])),
-           f.Begin("t", "m", SHORT._replace(steps=(COMMIT._replace(send=None),))),
-           f.Intend([], 0, False, 1), f.Intend(1, True, False, 1), f.Intend(1, 0, 0, 1),
-           f.Intend(1, -1, False, 1), f.Intend(1, 0, False, 0),
-           f.Result(1, 0, False, 1, []), f.Leave(1, None), f.Leave("1", f.LEFT), f.Settle(1, 0, 5),
-           f.Adopt(1, None), f.Adopt(None, 1)]
+NOT_FIT = [
+    f.Limits(0, 1, 1, 1),
+    f.Limits(1 << 17, 1, 1, 1),
+    f.Begin("", "m", SHORT),
+    f.Begin("t", "", SHORT),
+    f.Begin("t", "m", None),
+    f.Begin("t", "m", SHORT, (("a",),)),
+    f.Begin("t", "m", SHORT, (("a", "\n"),)),
+    f.Begin("t", "m", SHORT._replace(timeout=1.5)),
+    f.Begin("t", "m", SHORT._replace(steps=[COMMIT])),
+    f.Begin("t", "m", SHORT._replace(steps=(COMMIT._replace(send=None),))),
+    f.Intend([], 0, False, 1),
+    f.Intend(1, True, False, 1),
+    f.Intend(1, 0, 0, 1),
+    f.Intend(1, -1, False, 1),
+    f.Intend(1, 0, False, 0),
+    f.Result(1, 0, False, 1, []),
+    f.Leave(1, None),
+    f.Leave("1", f.LEFT),
+    f.Settle(1, 0, 5),
+    f.Adopt(1, None),
+    f.Adopt(None, 1),
+]
 
 
 @pytest.mark.parametrize("what", NOT_FIT)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,8 +19,12 @@
 
 
 def lab(name: str, *words: str) -> subprocess.Popen:
-    return subprocess.Popen([sys.executable, "-m", "laurelcourse", "lab", name, "--json", *words], cwd=ROOT,
-                            stdout=subprocess.PIPE, text=True)
+    return subprocess.Popen(
+        [sys.executable, "-m", "laurelcourse", "lab", name, "--json", *words],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        text=True,
+    )
 
 
 # The TUF lab's whole script with all its breaks takes the machine for itself: `python -m pytest -m alone`.
@@ -28,7 +32,7 @@
 def test_a_lab_holds_and_each_check_fails_without_its_guard(name: str) -> None:
     words = ("--seed", "5", "--seconds", SECONDS[name])
     guards = ["", *GUARDS[name]]
-    for some in (guards[at:at + AT_ONCE] for at in range(0, len(guards), AT_ONCE)):
+    for some in (guards[at : at + AT_ONCE] for at in range(0, len(guards), AT_ONCE)):
         ran = {broken: lab(name, *words, *(["--break", broken] if broken else [])) for broken in some}
         for broken, process in ran.items():
             told, _ = process.communicate(timeout=120)
@@ -67,8 +71,9 @@
 
 def test_a_lab_that_is_killed_leaves_no_relay_behind(tmp_path: Path) -> None:
     """One runs, one is stopped by a script of faults, as a lab is ended that can clean up nothing."""
-    with subprocess.Popen([sys.executable, "-c", KILLED, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE,
-                          text=True) as one:
+    with subprocess.Popen(
+        [sys.executable, "-c", KILLED, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE, text=True
+    ) as one:
         pids = [int(pid) for pid in one.stdout.readline().split()]
         one.kill()
     try:
