--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -26,17 +26,24 @@
 from laurelcourse.standins.settings import OUTSIDE
 
 TAGGED = ROW.replace(b"\x0dSELECT 1", b"\x0fINSERT 0 1")
-CHUNKED = (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-           b"5;x=1\r\nhello\r\nA\r\n0123456789\r\n0\r\nTrailer: x\r\n\r\n")
-
-
-@pytest.mark.parametrize("raw, status, body", [
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", 200, b"hello"), (CHUNKED, 200, b"hello0123456789"),
-    (b"HTTP/1.1 400 Bad Request\r\ncontent-length:0\r\n\r\n", 400, b""),
-    (b"HTTP/1.0 500 Broken\r\n\r\nrest", 500, b"rest")])
+CHUNKED = (
+    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+    b"5;x=1\r\nhello\r\nA\r\n0123456789\r\n0\r\nTrailer: x\r\n\r\n"
+)
+
+
+@pytest.mark.parametrize(
+    "raw, status, body",
+    [
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", 200, b"hello"),
+        (CHUNKED, 200, b"hello0123456789"),
+        (b"HTTP/1.1 400 Bad Request\r\ncontent-length:0\r\n\r\n", 400, b""),
+        (b"HTTP/1.0 500 Broken\r\n\r\nrest", 500, b"rest"),
+    ],
+)
 def test_an_answer_is_the_same_however_it_is_split(raw: bytes, status: int, body: bytes) -> None:
     for cut in range(len(raw) + 1):
-        for pieces in ((raw[:cut], raw[cut:]), [raw[at:at + 1] for at in range(len(raw))]):
+        for pieces in ((raw[:cut], raw[cut:]), [raw[at : at + 1] for at in range(len(raw))]):
             found = http.Response(100)
             for piece in pieces:
                 found.feed(piece)
@@ -44,22 +51,37 @@
             assert found.done and found.head.status == status and found.take() == body
 
 
-@pytest.mark.parametrize("raw", [
-    b"HELLO\r\n\r\n", b"HTTP/1.1 abc Odd\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nmore",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n" + bytes(200),
-    CHUNKED.replace(b"5;", b"g;"), CHUNKED.replace(b"hello\r\n", b"hello.."), CHUNKED.replace(b"5;", b"-5;"),
-    CHUNKED + b"more", b"x" * (1 << 15), CHUNKED.replace(b"5;", b"+5;"), CHUNKED.replace(b"5;", b"0x5;"),
-    b"HTTP/1.1 200 OK\r\nContent-Length: \xb2\r\n\r\n", b"HTTP/1.1 \xb2\xb2\xb2 OK\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent\x07Length: 1\r\n\r\n"])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"HELLO\r\n\r\n",
+        b"HTTP/1.1 abc Odd\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nmore",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n" + bytes(200),
+        CHUNKED.replace(b"5;", b"g;"),
+        CHUNKED.replace(b"hello\r\n", b"hello.."),
+        CHUNKED.replace(b"5;", b"-5;"),
+        CHUNKED + b"more",
+        b"x" * (1 << 15),
+        CHUNKED.replace(b"5;", b"+5;"),
+        CHUNKED.replace(b"5;", b"0x5;"),
+        b"HTTP/1.1 200 OK\r\nContent-Length: \xb2\r\n\r\n",
+        b"HTTP/1.1 \xb2\xb2\xb2 OK\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent\x07Length: 1\r\n\r\n",
+    ],
+)
 def test_a_bad_answer_is_refused(raw: bytes) -> None:
     with pytest.raises(http.HttpError):
         http.Response(100).feed(raw)
 
 
 def test_events_are_the_same_however_they_are_split() -> None:
-    raw = (b": life\n:\n\nevent: one\ndata: a=1&b=2\n\nevent: two\ndata: x\ndata: y\r\n\r\n"
-           b"event: none\n\nid: 3\nevent:three\ndata:z\n\n")
+    raw = (
+        b": life\n:\n\nevent: one\ndata: a=1&b=2\n\nevent: two\ndata: x\ndata: y\r\n\r\n"
+        b"event: none\n\nid: 3\nevent:three\ndata:z\n\n"
+    )
     whole = [("one", "a=1&b=2"), ("two", "x\ny"), ("three", "z")]
     for cut in range(len(raw) + 1):
         events = http.Events(100)
@@ -79,49 +101,106 @@
         postgres.frame(b"Q\0\0\0\3", 0, 5, 100)
 
 
-@pytest.mark.parametrize("raw, whole, code, ready", [
-    (ROW + IDLE, ROW, "", True), (failure("53300") + IDLE, None, "53300", True), (ROW, ROW, "", False),
-    (failure("XX000"), None, "XX000", False), (TAGGED + IDLE, TAGGED, "", True)])
+@pytest.mark.parametrize(
+    "raw, whole, code, ready",
+    [
+        (ROW + IDLE, ROW, "", True),
+        (failure("53300") + IDLE, None, "53300", True),
+        (ROW, ROW, "", False),
+        (failure("XX000"), None, "XX000", False),
+        (TAGGED + IDLE, TAGGED, "", True),
+    ],
+)
 def test_a_units_answer(raw: bytes, whole: bytes | None, code: str, ready: bool) -> None:
     answer, at = postgres.Answer(), 0
     while found := postgres.frame_of_unit(raw, at, len(raw), 1000):
-        answer.take(raw[at:found.end], "gauges")
+        answer.take(raw[at : found.end], "gauges")
         at = found.end
     assert (answer.whole(), answer.code, answer.ready) == (whole, code, ready)
 
 
-@pytest.mark.parametrize("raw", [
-    ROW.replace(b"blob\0", b"blobs"), ROW.replace(b"\0\1blob", b"\0\2blob"),
-    ROW.replace(b"SELECT 1", b"SELECT x"), ROW.replace(b"SELECT 1", b"SELECT 2"),
-    ROW.replace(b"SELECT 1\0", b"SELECT 10"),
-    ROW.replace(b"\0\0\0\2\x9f", b"\0\0\0\3\x9f"), ROW.replace(b"\0\0\0\2\x9f", b"\xff\xff\xff\xff\x9f"),
-    ROW + pg(b"Z", b"T"), ROW + pg(b"Z", b""), ROW + pg(b"Z", b"II"), ROW + failure("53300"),
-    failure("53300") + ROW, failure("53300") * 2, failure("533"),
-    failure("53300").replace(b"\0Mno\0\0", b"\0Mno!!"), failure("53300").replace(b"Mno", b"\xffno"),
-    pg(b"E", b"C53300\0\0"), pg(b"E", b""), pg(b"S", b"gauges\0x"), pg(b"S"), b"HTTP/1.1 400", pg(b"?"),
-    b"D\xb3\0\0\0", b"T\0\1\0\0", b"Z\0\0\0\6", b"C\0\0\0\3"])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        ROW.replace(b"blob\0", b"blobs"),
+        ROW.replace(b"\0\1blob", b"\0\2blob"),
+        ROW.replace(b"SELECT 1", b"SELECT x"),
+        ROW.replace(b"SELECT 1", b"SELECT 2"),
+        ROW.replace(b"SELECT 1\0", b"SELECT 10"),
+        ROW.replace(b"\0\0\0\2\x9f", b"\0\0\0\3\x9f"),
+        ROW.replace(b"\0\0\0\2\x9f", b"\xff\xff\xff\xff\x9f"),
+        ROW + pg(b"Z", b"T"),
+        ROW + pg(b"Z", b""),
+        ROW + pg(b"Z", b"II"),
+        ROW + failure("53300"),
+        failure("53300") + ROW,
+        failure("53300") * 2,
+        failure("533"),
+        failure("53300").replace(b"\0Mno\0\0", b"\0Mno!!"),
+        failure("53300").replace(b"Mno", b"\xffno"),
+        pg(b"E", b"C53300\0\0"),
+        pg(b"E", b""),
+        pg(b"S", b"gauges\0x"),
+        pg(b"S"),
+        b"HTTP/1.1 400",
+        pg(b"?"),
+        b"D\xb3\0\0\0",
+        b"T\0\1\0\0",
+        b"Z\0\0\0\6",
+        b"C\0\0\0\3",
+    ],
+)
 def test_a_spoilt_answer_is_refused_before_it_is_whole(raw: bytes) -> None:
     answer, at = postgres.Answer(), 0
     with pytest.raises(postgres.ProtocolError):
         while found := postgres.frame_of_unit(raw, at, len(raw), 1000):
-            answer.take(raw[at:found.end], "gauges")
+            answer.take(raw[at : found.end], "gauges")
             at = found.end
 
 
-@pytest.mark.parametrize("words, load", [
-    ("inflight=7,util=0.61", {"inflight": 7, "util": 0.61}), ("avg_ms=nan", {}), ("a=1,b=inf", {}),
-    ("a=-1", {}),
-    ("a=1,b", {}), ("a=1,", {}), ("", {}), ("a=1e999", {}), ("a=\u00b2", {})])
+@pytest.mark.parametrize(
+    "words, load",
+    [
+        ("inflight=7,util=0.61", {"inflight": 7, "util": 0.61}),
+        ("avg_ms=nan", {}),
+        ("a=1,b=inf", {}),
+        ("a=-1", {}),
+        ("a=1,b", {}),
+        ("a=1,", {}),
+        ("", {}),
+        ("a=1e999", {}),
+        ("a=\u00b2", {}),
+    ],
+)
 def test_a_load_report_is_taken_whole_or_not_at_all(words: str, load: dict) -> None:
     assert postgres.report(words) == load
 
 
-@pytest.mark.parametrize("change", [
-    {"revision": -1}, {"revision": 1e40}, {"revision": True}, {"complete": "yes"}, {"members": [None]},
-    {"id": 5}, {"id": ""}, {"locality": "\x07"}, {"phase": "act\u00efve"}, {"revision_no": 1 << 32},
-    {"revision_no": 1.5}, {"revision_no": "x"}, {"size": -1}, {"size": float("inf")}, {"cell": "\u00b2"},
-    {"up_since_ms": float("nan")}, {"up_since_ms": 1e300}, {"host_port": "127.0.0.1"},
-    {"host_port": "h:\u00b2"}, {"host_port": "h:" + "9" * 5000}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"revision": -1},
+        {"revision": 1e40},
+        {"revision": True},
+        {"complete": "yes"},
+        {"members": [None]},
+        {"id": 5},
+        {"id": ""},
+        {"locality": "\x07"},
+        {"phase": "act\u00efve"},
+        {"revision_no": 1 << 32},
+        {"revision_no": 1.5},
+        {"revision_no": "x"},
+        {"size": -1},
+        {"size": float("inf")},
+        {"cell": "\u00b2"},
+        {"up_since_ms": float("nan")},
+        {"up_since_ms": 1e300},
+        {"host_port": "127.0.0.1"},
+        {"host_port": "h:\u00b2"},
+        {"host_port": "h:" + "9" * 5000},
+    ],
+)
 def test_a_list_is_taken_whole_or_not_at_all(change: dict) -> None:
     one = {"id": "s", "host_port": "h:1", "locality": "a", "phase": "active", "revision_no": 1}
     root = {"revision": 1, "complete": True, "members": [one]}
@@ -132,10 +211,22 @@
         forms.members(forms.decoded(json.dumps(root).encode()))
 
 
-@pytest.mark.parametrize("name, value", [
-    ("cap", "nan"), ("cap", "1.5"), ("cap", "-0.1"), ("cap", "0x1"), ("build", "4294967296"),
-    ("build", "1_0"), ("age_ms", "inf"), ("age_ms", "1e99"), ("stage", " 1"), ("phase", "Gone"),
-    ("age_ms", None)])
+@pytest.mark.parametrize(
+    "name, value",
+    [
+        ("cap", "nan"),
+        ("cap", "1.5"),
+        ("cap", "-0.1"),
+        ("cap", "0x1"),
+        ("build", "4294967296"),
+        ("build", "1_0"),
+        ("age_ms", "inf"),
+        ("age_ms", "1e99"),
+        ("stage", " 1"),
+        ("phase", "Gone"),
+        ("age_ms", None),
+    ],
+)
 def test_no_number_out_of_range_is_told(name: str, value: str | None) -> None:
     fields = {"build": "42", "stage": "1", "phase": "Progressing", "cap": "0.28", "age_ms": "310"}
     assert forms.state(fields).since == 310_000
@@ -148,23 +239,36 @@
     for words in (text, text.replace("/* id", "/*d=480,id").replace(",d=480,r", ",r").replace(" */", "*/")):
         found = postgres.statement(words.encode())
         assert (found.route, found.left_ms, found.mark, found.repeated) == (
-            "mark", 480, "5c0f6e1a2b3d4c59", True)
+            "mark",
+            480,
+            "5c0f6e1a2b3d4c59",
+            True,
+        )
         assert found.waiting(17) == pg(b"Q", words.replace("d=480", "d=17").encode() + b"\0")
     for words in (text.replace(",r=1", ",d=1"), text.replace(",r=1", ",r"), text.replace(",r=1", ", d=1")):
         with pytest.raises(postgres.ProtocolError):
             postgres.statement(words.encode())
 
 
-@pytest.mark.parametrize("status, body, end", [
-    (200, "<Response><results><item><build>42</build><stage>1</stage><phase>Aborting</phase><cap>0.28</cap>"
-          "<age_ms>310</age_ms></item></results></Response>",
-     (face.COUNTED, (42, 1, face.GOING_BACK, 0.28, 310_000))),
-    (400, "<Error><Code>limit</Code></Error>", (face.REFUSED, forms.NOWHERE)),
-    (400, "<Error><Code>moot</Code></Error>", (face.VOID, forms.NOWHERE)),
-    (400, "<Said><Errors><Error><Code>moot</Code></Error></Errors></Said>", (face.VOID, forms.NOWHERE)),
-    (500, "<Error><Code>error</Code></Error>", (face.BROKE, forms.NOWHERE)),
-    (400, "<Error><Code>malformed</Code></Error>", (face.BROKE, forms.NOWHERE)),
-    (200, "<Response/>", None), (200, "<Resp", None), (503, "<Error><Code>novel</Code></Error>", None)])
+@pytest.mark.parametrize(
+    "status, body, end",
+    [
+        (
+            200,
+            "<Response><results><item><build>42</build><stage>1</stage><phase>Aborting</phase><cap>0.28</cap>"
+            "<age_ms>310</age_ms></item></results></Response>",
+            (face.COUNTED, (42, 1, face.GOING_BACK, 0.28, 310_000)),
+        ),
+        (400, "<Error><Code>limit</Code></Error>", (face.REFUSED, forms.NOWHERE)),
+        (400, "<Error><Code>moot</Code></Error>", (face.VOID, forms.NOWHERE)),
+        (400, "<Said><Errors><Error><Code>moot</Code></Error></Errors></Said>", (face.VOID, forms.NOWHERE)),
+        (500, "<Error><Code>error</Code></Error>", (face.BROKE, forms.NOWHERE)),
+        (400, "<Error><Code>malformed</Code></Error>", (face.BROKE, forms.NOWHERE)),
+        (200, "<Response/>", None),
+        (200, "<Resp", None),
+        (503, "<Error><Code>novel</Code></Error>", None),
+    ],
+)
 def test_the_ends_of_a_vote(status: int, body: str, end: tuple | None) -> None:
     if end is None:
         with pytest.raises(forms.FormError):
@@ -209,6 +313,7 @@
         box.put(1)
         found.append(scheduler.wait(near.fileno(), READ, until=scheduler.now() + 20_000))
         found.append(scheduler.wait(near.fileno(), READ, box, scheduler.now() + 20_000))
+
     task = scheduler.spawn(wait)
     scheduler.run(lambda: task.dead)
     assert found == [(LATE, True), (LATE, True), IO, MAIL] and not scheduler.waiting
@@ -219,6 +324,7 @@
         for _ in range(5000):
             scheduler.spawn(scheduler.wake, task, MAIL)
             scheduler.wait(until=scheduler.now() + 3_600_000_000)
+
     task = scheduler.spawn(work)
     scheduler.run(lambda: task.dead)
     assert len(scheduler.heap) <= 600 and not any(entry[2].what for entry in scheduler.heap)
@@ -242,6 +348,7 @@
         sender.send(b"x")
         found.append(scheduler.wait(number, READ, until=scheduler.now() + 1_000_000))
         os.close(number)
+
     scheduler.spawn(first)
     task = scheduler.spawn(second)
     scheduler.run(lambda: task.dead)
@@ -295,6 +402,7 @@
     def unsent(number: int, unit: int, box: Mailbox) -> None:
         out.append(number)
         box.put((OUTCOME, number, unit, face.UNSENT, 0, {}, None))
+
     lives = Lives(scheduler, decided, SimpleNamespace(begin=begin, unsent=unsent), Counters())
     asked = SimpleNamespace(req="r", route="read", key=None, left_ms=1000, repeated=False)
     lives.begin(asked, box, Mailbox(scheduler))
@@ -320,10 +428,13 @@
         self.held.remove(key)
 
 
-@pytest.mark.parametrize("waits, gives_back, status, connections", [
-    (False, False, face.UNSENT, 1), (True, False, face.UNSENT, 1), (True, True, face.OK, 1)])
+@pytest.mark.parametrize(
+    "waits, gives_back, status, connections",
+    [(False, False, face.UNSENT, 1), (True, False, face.UNSENT, 1), (True, True, face.OK, 1)],
+)
 def test_a_connection_beyond_the_fleets_budget_is_not_opened_and_blames_no_unit(
-        scheduler: Scheduler, waits: bool, gives_back: bool, status: str, connections: int) -> None:
+    scheduler: Scheduler, waits: bool, gives_back: bool, status: str, connections: int
+) -> None:
     stand = UnitStand()
     found = limits(Tree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))
     pool = Pool(scheduler, found, Exchange(scheduler, found, True, Counters()).greet, Counters())
@@ -339,6 +450,7 @@
         began = scheduler.now()
         ends.extend([first[2], pool.connection(place, until)[2], scheduler.now() - began])
         pool.close(first[0])
+
     task = scheduler.spawn(work)
     scheduler.run(lambda: task.dead)
     stand.close()
@@ -347,14 +459,26 @@
     assert pool.shares.held == []
 
 
-@pytest.mark.parametrize("idle, between, connections", [
-    (30_000, None, 1), (30_000, "at once", 2), (30_000, "build", 2), (30_000, "since", 2),
-    (30_000, "gone", 2), (30_000, "closed", 2), (5, "wait", 2)])
+@pytest.mark.parametrize(
+    "idle, between, connections",
+    [
+        (30_000, None, 1),
+        (30_000, "at once", 2),
+        (30_000, "build", 2),
+        (30_000, "since", 2),
+        (30_000, "gone", 2),
+        (30_000, "closed", 2),
+        (5, "wait", 2),
+    ],
+)
 def test_a_connection_is_used_again_only_if_it_is_clean(
-        scheduler: Scheduler, idle: int, between: str | None, connections: int) -> None:
+    scheduler: Scheduler, idle: int, between: str | None, connections: int
+) -> None:
     stand = UnitStand()
-    root = {"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE | {
-        "limits": OUTSIDE["limits"] | {"conn_idle": idle}}}
+    root = {
+        "limits": {"sockets": 64, "memory_mb": 64},
+        "settings": OUTSIDE | {"limits": OUTSIDE["limits"] | {"conn_idle": idle}},
+    }
     exchange = Exchange(scheduler, limits(Tree(root)), True, Counters())
     pool = Pool(scheduler, exchange.limits, exchange.greet, Counters())
     tries, box, found = Tries(scheduler, pool, exchange, Counters()), Mailbox(scheduler), []
@@ -373,6 +497,7 @@
         scheduler.sleep(0 if between == "at once" else 80_000)
         tries.begin(0, 7, 1_000_000, postgres.statement(sql().encode()), box)
         found.append(box.get()[3])
+
     task = scheduler.spawn(work)
     scheduler.run(lambda: task.dead)
     stand.close()
@@ -380,15 +505,25 @@
     assert stand.queries[0] == "SHOW gauges" and len(stand.queries) == 2
 
 
-@pytest.mark.parametrize("steps", [
-    [(0, 0, 3, SERVING)],
-    # Without new connections the door closes after the quiet; after the most, however many come.
-    [(100, None, 0, LEAVING), (399, 0, 3, LEAVING), (400, 0, 3, DRAINING)],
-    [(100, None, 0, LEAVING), (400, 350, 3, LEAVING), (649, 350, 3, LEAVING), (650, 350, 3, DRAINING)],
-    [(100, None, 0, LEAVING), (699, 690, 3, LEAVING), (700, 699, 3, DRAINING), (9000, 699, 1, DRAINING),
-     (9001, 699, 0, OVER), (9002, 699, 0, OVER)],
-    # An old connection does not shorten the leaving; a second signal begins nothing anew.
-    [(100, None, 0, LEAVING), (300, None, 0, LEAVING), (400, 0, 0, DRAINING), (401, 0, 0, OVER)]])
+@pytest.mark.parametrize(
+    "steps",
+    [
+        [(0, 0, 3, SERVING)],
+        # Without new connections the door closes after the quiet; after the most, however many come.
+        [(100, None, 0, LEAVING), (399, 0, 3, LEAVING), (400, 0, 3, DRAINING)],
+        [(100, None, 0, LEAVING), (400, 350, 3, LEAVING), (649, 350, 3, LEAVING), (650, 350, 3, DRAINING)],
+        [
+            (100, None, 0, LEAVING),
+            (699, 690, 3, LEAVING),
+            (700, 699, 3, DRAINING),
+            (9000, 699, 1, DRAINING),
+            (9001, 699, 0, OVER),
+            (9002, 699, 0, OVER),
+        ],
+        # An old connection does not shorten the leaving; a second signal begins nothing anew.
+        [(100, None, 0, LEAVING), (300, None, 0, LEAVING), (400, 0, 0, DRAINING), (401, 0, 0, OVER)],
+    ],
+)
 def test_a_stop_goes_through_its_states(steps: list[tuple[int, int | None, int, str]]) -> None:
     """Steps as (time, last connection or None for a signal, open clients, state); quiet 300, most 600."""
     stop, signals = Stop(300, 600), 0
@@ -409,18 +544,22 @@
 R, D, G = face.READY, face.DRAINING, face.GONE
 
 
-@pytest.mark.parametrize("lists, found", [
-    ([told(5, u1=D, u2=R)], {1: D, 2: R}),
-    ([told(5, u1=D), told(5, u1=D)], {1: D}),                            # repeats
-    ([told(5, u1=D, u2=R), told(6, u2=R)], {2: R}),                      # shrinks: handed on as it is
-    ([told(5, u1=D, u2=R), told(4, u1=R, u2=R)], {1: D, 2: R}),          # older: no drain is taken back
-    ([told(5, False, u1=G), told(4, u1=R, u2=R)], {1: G, 2: R}),
-    ([told(5, u1=D), told(4, since=9, u1=R)], {1: R}),                   # but a new start is a new life
-    ([told(5, u1=R), told(4, u1=D)], {1: D}),                            # and what is worse counts at once
-    ([told(5, u1=D), told(4, u1=R), told(6, u1=R)], {1: R}),             # caught up
-    ([told(5, u1=D), *[told(4, u1=R)] * 6], {1: D}),                     # behind for less than the patience
-    ([told(5, u1=D), *[told(4, u1=R)] * 7], {1: R}),                     # it numbers anew
-    ([told(5, u1=D), told(4, u1=R), told(5, u1=D), *[told(4, u1=R)] * 6], {1: D})])
+@pytest.mark.parametrize(
+    "lists, found",
+    [
+        ([told(5, u1=D, u2=R)], {1: D, 2: R}),
+        ([told(5, u1=D), told(5, u1=D)], {1: D}),  # repeats
+        ([told(5, u1=D, u2=R), told(6, u2=R)], {2: R}),  # shrinks: handed on as it is
+        ([told(5, u1=D, u2=R), told(4, u1=R, u2=R)], {1: D, 2: R}),  # older: no drain is taken back
+        ([told(5, False, u1=G), told(4, u1=R, u2=R)], {1: G, 2: R}),
+        ([told(5, u1=D), told(4, since=9, u1=R)], {1: R}),  # but a new start is a new life
+        ([told(5, u1=R), told(4, u1=D)], {1: D}),  # and what is worse counts at once
+        ([told(5, u1=D), told(4, u1=R), told(6, u1=R)], {1: R}),  # caught up
+        ([told(5, u1=D), *[told(4, u1=R)] * 6], {1: D}),  # behind for less than the patience
+        ([told(5, u1=D), *[told(4, u1=R)] * 7], {1: R}),  # it numbers anew
+        ([told(5, u1=D), told(4, u1=R), told(5, u1=D), *[told(4, u1=R)] * 6], {1: D}),
+    ],
+)
 def test_an_older_list_takes_back_no_drain(lists: list[forms.Members], found: dict[int, str]) -> None:
     """Lists come one a second; the patience is six."""
     one, now = Lists(told(1, u1=R, u2=R), 6_000_000), 0
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -22,8 +22,16 @@
 
 def test_processes_that_run_at_once_get_different_ports_that_the_kernel_never_picks() -> None:
     """Otherwise another test, or an outgoing connection, takes a port before its process has bound it."""
-    holders = [subprocess.Popen([sys.executable, "-c", RESERVE_AND_HOLD], cwd=ROOT, text=True,
-                                stdin=subprocess.PIPE, stdout=subprocess.PIPE) for _ in range(PROCESSES)]
+    holders = [
+        subprocess.Popen(
+            [sys.executable, "-c", RESERVE_AND_HOLD],
+            cwd=ROOT,
+            text=True,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
+        for _ in range(PROCESSES)
+    ]
     try:
         handed_out = [int(port) for process in holders for port in process.stdout.readline().split()]
     finally:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -38,7 +38,8 @@
 @pytest.mark.parametrize("route", ["read", "mark", "once"])
 @pytest.mark.parametrize("mode", ["ok", "noisy", "unready"])
 def test_a_completed_req_passes_on_statement_and_row_as_they_came(
-        shared: Served, route: str, mode: str) -> None:
+    shared: Served, route: str, mode: str
+) -> None:
     asked, before = sql(route, 1500, ",r=1"), len(shared.queries())
     for unit in shared.units:
         unit.mode = mode
@@ -50,17 +51,33 @@
     assert 1000 < int(re.search(r"\bd=(\d+)", found)[1]) <= 1500
 
 
-@pytest.mark.parametrize("mode, route, end, queries", [
-    ("busy", "once", SHED, 3), ("busy", "mark", SHED, 3), ("failed", "once", ERRORED, 1),
-    ("failed", "read", SHED, 3), ("syntax", "read", ERRORED, 1), ("reset", "once", ERRORED, 1),
-    ("reset", "read", SHED, 3),
-    ("silent", "once", ERRORED, 1), ("nonsense", "once", ERRORED, 1), ("twice", "once", ERRORED, 1),
-    ("torn", "once", ERRORED, 1), ("half", "once", ERRORED, 1), ("huge", "once", ERRORED, 1),
-    ("false", "once", ERRORED, 1), ("shape", "once", ERRORED, 1), ("early", "once", SHED, 0),
-    ("full", "once", SHED, 0),
-    ("mute", "once", SHED, 0), ("closed", "once", SHED, 0)])
+@pytest.mark.parametrize(
+    "mode, route, end, queries",
+    [
+        ("busy", "once", SHED, 3),
+        ("busy", "mark", SHED, 3),
+        ("failed", "once", ERRORED, 1),
+        ("failed", "read", SHED, 3),
+        ("syntax", "read", ERRORED, 1),
+        ("reset", "once", ERRORED, 1),
+        ("reset", "read", SHED, 3),
+        ("silent", "once", ERRORED, 1),
+        ("nonsense", "once", ERRORED, 1),
+        ("twice", "once", ERRORED, 1),
+        ("torn", "once", ERRORED, 1),
+        ("half", "once", ERRORED, 1),
+        ("huge", "once", ERRORED, 1),
+        ("false", "once", ERRORED, 1),
+        ("shape", "once", ERRORED, 1),
+        ("early", "once", SHED, 0),
+        ("full", "once", SHED, 0),
+        ("mute", "once", SHED, 0),
+        ("closed", "once", SHED, 0),
+    ],
+)
 def test_what_may_have_run_is_told_from_what_never_ran(
-        serve: Callable[..., Served], mode: str, route: str, end: tuple, queries: int) -> None:
+    serve: Callable[..., Served], mode: str, route: str, end: tuple, queries: int
+) -> None:
     served = serve(modes=mode)
     for unit in served.units:
         if mode == "closed":
@@ -82,7 +99,8 @@
 
 @pytest.mark.parametrize("mode, value", [("drip", b"\x9f\x03"), ("larger", LARGER)], ids=["drip", "larger"])
 def test_slow_and_large_answers_are_whole_answers(
-        serve: Callable[..., Served], mode: str, value: bytes) -> None:
+    serve: Callable[..., Served], mode: str, value: bytes
+) -> None:
     letters, code, row = serve(modes=mode, memory=32).client().ask(sql("once", 3000))
     assert (letters, code) == COMPLETED and row[6:] == value
 
@@ -156,22 +174,29 @@
             assert b"C08P01" in raw.recv(1000)
 
 
-@pytest.mark.parametrize("raw, letters, code, kept", [
-    (pg(b"Q", b"DROP TABLE rows\0"), "EZ", "42601", True),
-    (pg(b"Q", sql().replace(",c=read", "").encode() + b"\0"), "EZ", "22023", True),
-    (pg(b"Q", sql("unheard").encode() + b"\0"), "EZ", "22023", True),
-    (pg(b"Q", sql("mark").replace(",k=", ",x=").encode() + b"\0"), "EZ", "22023", True),
-    (pg(b"Q", sql(wait=0).encode() + b"\0"), "EZ", "22003", True),
-    (pg(b"Q", sql(wait=10 ** 9).encode() + b"\0"), "EZ", "22003", True),
-    (pg(b"Q", sql().replace("d=2000", "d=soon").encode() + b"\0"), "EZ", "22003", True),
-    (pg(b"Q", sql().encode()), "EZ", "08P01", True),
-    (pg(b"Q", sql("mark").replace("9f03", "9f0").encode() + b"\0"), "EZ", "42601", True),
-    (pg(b"P", b"\0SELECT\0\0\0") + pg(b"B") + pg(b"E") + pg(b"S"), "EZ", "0A000", True),
-    (pg(b"F"), "EZ", "0A000", True),
-    (b"Q\3\x93\x87\0INSERT", "E", "54000", False), (b"Q\xff\xff\xff\xff", "E", "54000", False),
-    (pg(b"~"), "E", "08P01", False), (b"Q\0\0\0\1", "E", "08P01", False)])
+@pytest.mark.parametrize(
+    "raw, letters, code, kept",
+    [
+        (pg(b"Q", b"DROP TABLE rows\0"), "EZ", "42601", True),
+        (pg(b"Q", sql().replace(",c=read", "").encode() + b"\0"), "EZ", "22023", True),
+        (pg(b"Q", sql("unheard").encode() + b"\0"), "EZ", "22023", True),
+        (pg(b"Q", sql("mark").replace(",k=", ",x=").encode() + b"\0"), "EZ", "22023", True),
+        (pg(b"Q", sql(wait=0).encode() + b"\0"), "EZ", "22003", True),
+        (pg(b"Q", sql(wait=10**9).encode() + b"\0"), "EZ", "22003", True),
+        (pg(b"Q", sql().replace("d=2000", "d=soon").encode() + b"\0"), "EZ", "22003", True),
+        (pg(b"Q", sql().encode()), "EZ", "08P01", True),
+        (pg(b"Q", sql("mark").replace("9f03", "9f0").encode() + b"\0"), "EZ", "42601", True),
+        (pg(b"P", b"\0SELECT\0\0\0") + pg(b"B") + pg(b"E") + pg(b"S"), "EZ", "0A000", True),
+        (pg(b"F"), "EZ", "0A000", True),
+        (b"Q\3\x93\x87\0INSERT", "E", "54000", False),
+        (b"Q\xff\xff\xff\xff", "E", "54000", False),
+        (pg(b"~"), "E", "08P01", False),
+        (b"Q\0\0\0\1", "E", "08P01", False),
+    ],
+)
 def test_bad_input_gets_its_error_and_reaches_no_unit(
-        shared: Served, raw: bytes, letters: str, code: str, kept: bool) -> None:
+    shared: Served, raw: bytes, letters: str, code: str, kept: bool
+) -> None:
     for unit in shared.units:
         unit.mode = "ok"
     before, client = len(shared.queries()), shared.client()
@@ -191,8 +216,10 @@
     assert served.client(first=pg(b"Q", b"\0")).answer()[0] == "IZ"
     assert served.client().ask(sql())[:2] == COMPLETED
     late = UnitStand()
-    directory, deployer = (stand(old.port) for stand, old in (
-        (DirectoryStand, served.directory), (DeployerStand, served.deployer)))
+    directory, deployer = (
+        stand(old.port)
+        for stand, old in ((DirectoryStand, served.directory), (DeployerStand, served.deployer))
+    )
     directory.revision = 9
     directory.put("s-9", late.at)
     until(lambda: served.client().ask(sql())[:2] == COMPLETED and late.queries)
@@ -220,11 +247,21 @@
 TRIAL = "build=2&stage=0&phase=Progressing&cap=1&age_ms=9000"
 
 
-@pytest.mark.parametrize("mode, end", [
-    ("ok", "counted"), ("limit", "refused"), ("moot", "void"), ("error", "broke"), ("silent", "unanswered"),
-    ("novel", "unanswered"), ("closed", "broke")])
+@pytest.mark.parametrize(
+    "mode, end",
+    [
+        ("ok", "counted"),
+        ("limit", "refused"),
+        ("moot", "void"),
+        ("error", "broke"),
+        ("silent", "unanswered"),
+        ("novel", "unanswered"),
+        ("closed", "broke"),
+    ],
+)
 def test_a_failing_build_is_voted_back_and_each_end_of_a_vote_is_told(
-        serve: Callable[..., Served], mode: str, end: str) -> None:
+    serve: Callable[..., Served], mode: str, end: str
+) -> None:
     served = serve(units=4, builds=(1, 1, 2, 2), news=TRIAL)
     served.deployer.mode = mode
     for unit in served.units[2:]:
@@ -237,14 +274,16 @@
     def voted() -> bool:
         assert client.ask(sql())[:2] in (COMPLETED, SHED)
         return served.count(f"votes.{end}") > 0
+
     until(voted)
     verdicts = {(vote["Action"], vote["build"], vote["verdict"]) for vote in served.deployer.votes}
     assert mode == "closed" or ("CastVote", "2", "stop") in verdicts
 
 
 def test_a_lost_or_unreadable_notices_stream_is_opened_anew(serve: Callable[..., Served]) -> None:
-    served = serve(units=4, builds=(1, 1, 2, 2), news=TRIAL.replace("cap=1", "cap=0").replace(
-        "Progressing", "Aborting"))
+    served = serve(
+        units=4, builds=(1, 1, 2, 2), news=TRIAL.replace("cap=1", "cap=0").replace("Progressing", "Aborting")
+    )
     until(lambda: served.deployer.streams)
     client = served.client()
     for _ in range(20):
@@ -258,8 +297,7 @@
     assert served.count("notices_unreadable") == 1
 
 
-def test_a_new_configuration_moves_directory_and_deployer_under_load(
-        serve: Callable[..., Served]) -> None:
+def test_a_new_configuration_moves_directory_and_deployer_under_load(serve: Callable[..., Served]) -> None:
     served = serve(modes="slow0.2")
     until(lambda: served.directory.calls and served.deployer.streams)
     open_before = served.client()
@@ -312,7 +350,8 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 def test_a_stop_answers_what_was_taken_and_leaves_with_zero(
-        serve: Callable[..., Served], number: signal.Signals) -> None:
+    serve: Callable[..., Served], number: signal.Signals
+) -> None:
     served = serve(modes="slow0.9")
     busy, idle = served.client(), served.client()
     busy.send(sql("once"))
@@ -337,6 +376,7 @@
         while told[-1][0]:
             told.append(client.ask(sql("once")))
         ends.append([one[:2] for one in told])
+
     threads = [threading.Thread(target=go_on, args=(served.client(),)) for _ in range(8)]
     for thread in threads:
         thread.start()
@@ -425,11 +465,19 @@
     assert silent[0].recv(1) == b""
 
 
-@pytest.mark.parametrize("first, letters", [
-    (b"", ""), (HELLO[:10], ""), (HELLO, "ready"), (HELLO + b"Q", "late"),
-    (HELLO + b"Q\0\0\1\0SELECT", "late")])
+@pytest.mark.parametrize(
+    "first, letters",
+    [
+        (b"", ""),
+        (HELLO[:10], ""),
+        (HELLO, "ready"),
+        (HELLO + b"Q", "late"),
+        (HELLO + b"Q\0\0\1\0SELECT", "late"),
+    ],
+)
 def test_a_client_that_does_not_go_on_is_left_within_3_s_of_its_connecting(
-        shared: Served, first: bytes, letters: str) -> None:
+    shared: Served, first: bytes, letters: str
+) -> None:
     began = time.monotonic()
     with socket.create_connection((RELAY, shared.port)) as raw:
         raw.settimeout(4)
@@ -437,12 +485,16 @@
             raw.sendall(bytes((byte,)))  # a bound on each read would never fall due
         heard = b"".join(iter(lambda: raw.recv(1000), b""))
     assert 1.9 < time.monotonic() - began < 3
-    assert (heard.endswith(IDLE) if letters == "ready" else (
-        b"C08P01" in heard if letters == "late" else heard == b""))
+    assert (
+        heard.endswith(IDLE)
+        if letters == "ready"
+        else (b"C08P01" in heard if letters == "late" else heard == b"")
+    )
 
 
 def test_values_pass_both_ways_beside_unfinished_ones_at_the_smallest_memory(
-        serve: Callable[..., Served]) -> None:
+    serve: Callable[..., Served],
+) -> None:
     served = serve(modes="large", memory=32, sockets=256)
     half = [served.client() for _ in range(60)]
     for one in half:
@@ -465,28 +517,42 @@
 
 
 def program(*words: str) -> subprocess.CompletedProcess:
-    return subprocess.run([sys.executable, "-B", "-m", "laurelcourse", *words], cwd=ROOT,
-                          capture_output=True, check=False, timeout=10)
-
-
-@pytest.mark.parametrize("change, said", [
-    (lambda config: config.pop("listen"), "lacks the field 'listen'"),
-    (lambda config: config["settings"].pop("tick"), "lacks the field 'settings.tick'"),
-    (lambda config: config.update(discovery="nowhere"), "unreadable 'discovery'"),
-    (lambda config: config["pipeline"]["news"].update(phase="Gone"), "'pipeline.news'"),
-    (lambda config: config["known"].pop("members"), "'known'"),
-    (lambda config: config["settings"]["classes"][1].update(effect="odd"), "'settings.classes.1.effect'"),
-    (lambda config: config["settings"].update(classes=[]), "no route in 'settings.classes'"),
-    (lambda config: config["settings"]["classes"][0].update(aim=0), "'settings.classes.0.aim' under 1,"),
-    (lambda config: config["settings"].update(balancers=0), "'settings.balancers' under 1,"),
-    (lambda config: config["settings"].update(tick=0), "'settings.tick' under 0.001,"),
-    (lambda config: config["settings"]["obligations"].update(tip_after=0), "obligations.tip_after' under"),
-    (lambda config: config["limits"].update(sockets=20), "'limits.sockets' under 32,"),
-    (lambda config: config.update(peers=["here"]), "unreadable 'peers'"),
-    (lambda config: config.update(seed="xyz"), "unreadable 'seed'"), (None, "is not JSON")])
+    return subprocess.run(
+        [sys.executable, "-B", "-m", "laurelcourse", *words],
+        cwd=ROOT,
+        capture_output=True,
+        check=False,
+        timeout=10,
+    )
+
+
+@pytest.mark.parametrize(
+    "change, said",
+    [
+        (lambda config: config.pop("listen"), "lacks the field 'listen'"),
+        (lambda config: config["settings"].pop("tick"), "lacks the field 'settings.tick'"),
+        (lambda config: config.update(discovery="nowhere"), "unreadable 'discovery'"),
+        (lambda config: config["pipeline"]["news"].update(phase="Gone"), "'pipeline.news'"),
+        (lambda config: config["known"].pop("members"), "'known'"),
+        (lambda config: config["settings"]["classes"][1].update(effect="odd"), "'settings.classes.1.effect'"),
+        (lambda config: config["settings"].update(classes=[]), "no route in 'settings.classes'"),
+        (lambda config: config["settings"]["classes"][0].update(aim=0), "'settings.classes.0.aim' under 1,"),
+        (lambda config: config["settings"].update(balancers=0), "'settings.balancers' under 1,"),
+        (lambda config: config["settings"].update(tick=0), "'settings.tick' under 0.001,"),
+        (
+            lambda config: config["settings"]["obligations"].update(tip_after=0),
+            "obligations.tip_after' under",
+        ),
+        (lambda config: config["limits"].update(sockets=20), "'limits.sockets' under 32,"),
+        (lambda config: config.update(peers=["here"]), "unreadable 'peers'"),
+        (lambda config: config.update(seed="xyz"), "unreadable 'seed'"),
+        (None, "is not JSON"),
+    ],
+)
 @pytest.mark.parametrize("command", ["serve", "check"])
 def test_a_bad_configuration_is_one_plain_line_and_exit_2(
-        shared: Served, tmp_path: Path, change: Callable | None, said: str, command: str) -> None:
+    shared: Served, tmp_path: Path, change: Callable | None, said: str, command: str
+) -> None:
     config = json.loads(json.dumps(shared.config))
     if change:
         change(config)
@@ -499,8 +565,11 @@
 
 def test_check_and_version_say_what_is_there(shared: Served) -> None:
     routes = len(OUTSIDE["classes"])
-    for words, said in ((["check", "--config", str(shared.path)], f"{routes} routes, 2 units"),
-                        (["version"], VERSION), (["--help"], "serve")):
+    for words, said in (
+        (["check", "--config", str(shared.path)], f"{routes} routes, 2 units"),
+        (["version"], VERSION),
+        (["--help"], "serve"),
+    ):
         done = program(*words)
         assert done.returncode == 0 and said in done.stdout.decode()
 
@@ -536,10 +605,12 @@
 """
 
 
-@pytest.mark.parametrize("also, found", [
-    ("", "[]"), ("import h11; os.system('true')", "['h11', 'os.system']")])
+@pytest.mark.parametrize(
+    "also, found", [("", "[]"), ("import h11; os.system('true')", "['h11', 'os.system']")]
+)
 def test_run_starts_nothing_and_brings_none_of_the_other_fronts_libraries(
-        serve: Callable[..., Served], also: str, found: str) -> None:
+    serve: Callable[..., Served], also: str, found: str
+) -> None:
     served = serve(watched=WATCHED.replace("runpy.run", f"{also}\nrunpy.run"))
     assert served.client().ask(sql())[:2] == COMPLETED
     served.process.send_signal(signal.SIGHUP)
@@ -550,27 +621,43 @@
     assert f"watched True {found}" in served.log.read_text()
 
 
-@pytest.mark.parametrize("change", [
-    lambda config: config["settings"].update(locality="elsewhere"),
-    lambda config: config.update(peers=[]),
-    lambda config: config.update(peers=[f"127.9.{one // 250}.{one % 250 + 1}:7946" for one in range(600)]),
-    lambda config: config["settings"].update(balancers=600, me=599),
-    lambda config: config["known"].update(members=config["known"]["members"] * 3),
-    lambda config: config["known"]["members"][1].update(host_port=config["known"]["members"][0]["host_port"]),
-    lambda config: config["known"].update(members=[]),
-    lambda config: config["limits"].update(sockets=32, memory_mb=24)])
+@pytest.mark.parametrize(
+    "change",
+    [
+        lambda config: config["settings"].update(locality="elsewhere"),
+        lambda config: config.update(peers=[]),
+        lambda config: config.update(
+            peers=[f"127.9.{one // 250}.{one % 250 + 1}:7946" for one in range(600)]
+        ),
+        lambda config: config["settings"].update(balancers=600, me=599),
+        lambda config: config["known"].update(members=config["known"]["members"] * 3),
+        lambda config: config["known"]["members"][1].update(
+            host_port=config["known"]["members"][0]["host_port"]
+        ),
+        lambda config: config["known"].update(members=[]),
+        lambda config: config["limits"].update(sockets=32, memory_mb=24),
+    ],
+)
 def test_an_odd_but_readable_configuration_is_served_with(
-        shared: Served, tmp_path: Path, change: Callable) -> None:
+    shared: Served, tmp_path: Path, change: Callable
+) -> None:
     config = json.loads(json.dumps(shared.config)) | {
-        "listen": f"{RELAY}:{reserve_port()}", "peer_listen": f"{RELAY}:{reserve_port(socket.SOCK_DGRAM)}"}
+        "listen": f"{RELAY}:{reserve_port()}",
+        "peer_listen": f"{RELAY}:{reserve_port(socket.SOCK_DGRAM)}",
+    }
     change(config)
     path, log = tmp_path / "config.json", tmp_path / "log"
     path.write_text(json.dumps(config))
     for unit in shared.units:
         unit.mode = "ok"
-    with log.open("wb") as told, subprocess.Popen(
-            [sys.executable, "-B", "-m", "laurelcourse", "serve", "--config", str(path)], cwd=ROOT,
-            stderr=told) as process:
+    with (
+        log.open("wb") as told,
+        subprocess.Popen(
+            [sys.executable, "-B", "-m", "laurelcourse", "serve", "--config", str(path)],
+            cwd=ROOT,
+            stderr=told,
+        ) as process,
+    ):
         try:
             until(lambda: "msg=serving" in log.read_text() or process.poll() is not None)
             port = int(config["listen"].split(":")[1])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,15 +16,20 @@
     return [one[0] for one in results]
 
 
-@pytest.mark.parametrize("route, statuses, last", [
-    ("read", [face.FAILED, face.TIMEOUT, face.FAILED], face.SHED),
-    ("mark", [face.UNREACHED, face.BUSY, face.UNREACHED], face.SHED),
-    ("mark", [face.BUSY, face.FAILED, face.FAILED], face.ERROR),
-    ("once", [face.FAILED], face.ERROR),
-    ("once", [face.BUSY, face.UNREACHED, face.TIMEOUT], face.ERROR),
-    ("once", [face.BUSY, face.BUSY, face.BUSY], face.SHED)])
+@pytest.mark.parametrize(
+    "route, statuses, last",
+    [
+        ("read", [face.FAILED, face.TIMEOUT, face.FAILED], face.SHED),
+        ("mark", [face.UNREACHED, face.BUSY, face.UNREACHED], face.SHED),
+        ("mark", [face.BUSY, face.FAILED, face.FAILED], face.ERROR),
+        ("once", [face.FAILED], face.ERROR),
+        ("once", [face.BUSY, face.UNREACHED, face.TIMEOUT], face.ERROR),
+        ("once", [face.BUSY, face.BUSY, face.BUSY], face.SHED),
+    ],
+)
 def test_each_req_ends_once_and_as_its_route_allows(
-        relay: type, route: str, statuses: list, last: str) -> None:
+    relay: type, route: str, statuses: list, last: str
+) -> None:
     one = relay()
     one.list(*WARM)
     results = one.req(route)
@@ -35,11 +40,19 @@
     assert verbs(results) == [last] and not one.one.i.reqs
 
 
-@pytest.mark.parametrize("route, may_duplicate, after, units", [
-    ("read", True, 0, [1, 2, 3, 4]), ("read", False, 0, []), ("mark", True, 0, [1, 2]),
-    ("mark", True, 2 * SECOND, []), ("once", True, 0, [])])
+@pytest.mark.parametrize(
+    "route, may_duplicate, after, units",
+    [
+        ("read", True, 0, [1, 2, 3, 4]),
+        ("read", False, 0, []),
+        ("mark", True, 0, [1, 2]),
+        ("mark", True, 2 * SECOND, []),
+        ("once", True, 0, []),
+    ],
+)
 def test_a_second_try_beside_one_that_may_have_run(
-        relay: type, route: str, may_duplicate: bool, after: int, units: list) -> None:
+    relay: type, route: str, may_duplicate: bool, after: int, units: list
+) -> None:
     one = relay(may_duplicate=may_duplicate)
     one.list(*WARM[:2])
     one.req(route, 9 * SECOND)
@@ -60,8 +73,9 @@
     assert verbs(one.req()) == [face.SHED]
 
 
-@pytest.mark.parametrize("relays, busy, left", [
-    (3, 1, 1), (300, 1, 1), (200, 6, 1), (200, 1, 2), (200, 6, 2), (200, 40, 10)])
+@pytest.mark.parametrize(
+    "relays, busy, left", [(3, 1, 1), (300, 1, 1), (200, 6, 1), (200, 1, 2), (200, 6, 2), (200, 40, 10)]
+)
 def test_all_relays_together_keep_a_cold_units_budget(relay: type, relays: int, busy: int, left: int) -> None:
     """A tenth of the relays have `busy` times the others' traffic; one in `left` is there, and has it all. In
     each second they stay within N + 3 root N + 3, N being what the unit may get as it is then."""
@@ -87,11 +101,21 @@
     assert all(one <= there for one, there in zip(sent, most, strict=True)) and sum(sent) >= budget / 4
 
 
-@pytest.mark.parametrize("relays, busy, late, quiet, back, most", [
-    (1, 1, 0, 0, 4, 0.6), (5, 1, 0, 0, 4, 0.6), (5, 1, 4, 0, 4, 0.6), (5, 1, 0, 0, 1, 0.6),
-    (30, 6, 0, 0, 4, 0.8), (30, 1, 0, 4, 4, 1.0), (200, 6, 4, 0, 4, 1.0)])
+@pytest.mark.parametrize(
+    "relays, busy, late, quiet, back, most",
+    [
+        (1, 1, 0, 0, 4, 0.6),
+        (5, 1, 0, 0, 4, 0.6),
+        (5, 1, 4, 0, 4, 0.6),
+        (5, 1, 0, 0, 1, 0.6),
+        (30, 6, 0, 0, 4, 0.8),
+        (30, 1, 0, 4, 4, 1.0),
+        (200, 6, 4, 0, 4, 1.0),
+    ],
+)
 def test_units_that_are_all_cold_at_once_get_what_their_budget_allows(
-        relay: type, relays: int, busy: int, late: int, quiet: int, back: int, most: float) -> None:
+    relay: type, relays: int, busy: int, late: int, quiet: int, back: int, most: float
+) -> None:
     """All four restart, `back` of them are told of `late` seconds after it, and reqs wait at all relays but
     for some `quiet` seconds; a tenth of the relays have `busy` times the others' traffic. N is what a unit
     may get in the settings' time: each gets a third of it at least, no window over `most` of N + root N."""
@@ -121,10 +145,17 @@
         assert len(times) >= there / 3 and max(got) <= most
 
 
-@pytest.mark.parametrize("news, route, most", [
-    (None, "read", 2 + 0.1 * 100), (None, "mark", 0), ({"stage": 1, "cap": 1.0}, "mark", 102),
-    ({"cap": 0.1}, "read", 2 + 0.1 * 100), ({"cap": 0.0, "standing": 1}, "read", 0),
-    ({"cap": 0.0, "standing": 3}, "read", 0)])
+@pytest.mark.parametrize(
+    "news, route, most",
+    [
+        (None, "read", 2 + 0.1 * 100),
+        (None, "mark", 0),
+        ({"stage": 1, "cap": 1.0}, "mark", 102),
+        ({"cap": 0.1}, "read", 2 + 0.1 * 100),
+        ({"cap": 0.0, "standing": 1}, "read", 0),
+        ({"cap": 0.0, "standing": 3}, "read", 0),
+    ],
+)
 def test_exposure_stays_within_the_cap(relay: type, news: dict | None, route: str, most: float) -> None:
     one = relay()
     one.list(*WARM, *((unit, "a", 6, 90) for unit in (7, 8)))
@@ -165,13 +196,20 @@
     found = [(1 - p0) * (1 - p) ** n]
     for place, (*_, prior) in enumerate(members):
         gains = [math.exp(step[place]) for step in steps]
-        found.append(p0 * prior * math.prod(gains) + (1 - p0) * p * prior * sum(
-            (1 - p) ** (k - 1) * math.prod(gains[k - 1:]) for k in range(1, n + 1)))
+        found.append(
+            p0 * prior * math.prod(gains)
+            + (1 - p0)
+            * p
+            * prior
+            * sum((1 - p) ** (k - 1) * math.prod(gains[k - 1 :]) for k in range(1, n + 1))
+        )
     return [one / sum(found) for one in found]
 
 
-@pytest.mark.parametrize("outcomes", [
-    [(0, 0, 0.0)] * 4, [(0, 1, 0.0), (1, 0, 2.0), (2, 1, 0.5)], [(0, 0, 3.0)] * 6 + [(1, 1, 0.0)]])
+@pytest.mark.parametrize(
+    "outcomes",
+    [[(0, 0, 0.0)] * 4, [(0, 1, 0.0), (1, 0, 2.0), (2, 1, 0.5)], [(0, 0, 3.0)] * 6 + [(1, 1, 0.0)]],
+)
 def test_the_recursion_gives_the_papers_sums(relay: type, outcomes: list) -> None:
     one = relay().one
     one._open_case(6)
@@ -182,14 +220,22 @@
         steps.append(one._steps(place, 1, failed, 1, 11.0 + away, 0))
         one._weigh(place, 1, failed, 1, 11.0 + away)
     assert [math.exp(weight) for weight in one.i.case.weights] == pytest.approx(
-        direct(outcomes, one.members, steps), rel=1e-6)
-
-
-@pytest.mark.parametrize("many, failed, away, kind", [
-    (5000, 0, 0.0, None), (6000, 3000, 0.0, rules.FAILING), (4000, 0, 2.5, rules.SLOW),
-    (8, 6, 0.0, rules.FAILING)])
+        direct(outcomes, one.members, steps), rel=1e-6
+    )
+
+
+@pytest.mark.parametrize(
+    "many, failed, away, kind",
+    [
+        (5000, 0, 0.0, None),
+        (6000, 3000, 0.0, rules.FAILING),
+        (4000, 0, 2.5, rules.SLOW),
+        (8, 6, 0.0, rules.FAILING),
+    ],
+)
 def test_the_judge_names_the_kind_and_never_underflows(
-        relay: type, many: int, failed: int, away: float, kind: str | None) -> None:
+    relay: type, many: int, failed: int, away: float, kind: str | None
+) -> None:
     one = relay().one
     one._open_case(6)
     for base in one.i.base:
@@ -203,8 +249,9 @@
     assert sum(map(math.exp, one.i.case.weights)) == pytest.approx(1)
 
 
-@pytest.mark.parametrize("status, verdict, waits", [
-    (face.OK, face.VOTE_ON, 4), (face.FAILED, face.VOTE_BACK, 1)])
+@pytest.mark.parametrize(
+    "status, verdict, waits", [(face.OK, face.VOTE_ON, 4), (face.FAILED, face.VOTE_BACK, 1)]
+)
 def test_votes_follow_the_posteriors(relay: type, status: str, verdict: int, waits: float) -> None:
     one = relay(relays=1, cap_free=1000)
     one.list(*WARM, (7, "a", 6, 0))
@@ -232,8 +279,10 @@
 
 def test_each_outcome_of_a_peer_counts_once(relay: type) -> None:
     nothing = (0, 0, 0, 0.0, 0, 0, 0, 0.0, 0.0)
-    sums = [messages.pack_sums(epoch, number, 6, 0, [(0, count, 0, count, count * 11.0, *nothing[4:])])[0]
-            for epoch, number, count in ((1, 1, 10), (1, 2, 30), (2, 1, 5))]
+    sums = [
+        messages.pack_sums(epoch, number, 6, 0, [(0, count, 0, count, count * 11.0, *nothing[4:])])[0]
+        for epoch, number, count in ((1, 1, 10), (1, 2, 30), (2, 1, 5))
+    ]
     for order, counted in (([0, 1], 30), ([1, 0], 30), ([0, 0, 1, 1], 30), ([1, 2], 35), ([1, 2, 0, 1], 35)):
         one = relay()
         one.list(*WARM, (7, "a", 6, 9))
@@ -277,10 +326,12 @@
     assert one.one.i.case.counted == counted
 
 
-@pytest.mark.parametrize("usual, voters, most", [
-    ((3.0, 0.5, 0.5), 2, 60), ((3.0, 0.5, 0.5), 1, 200), ((0.9, 0.5, 0.5), 2, 200)])
+@pytest.mark.parametrize(
+    "usual, voters, most", [((3.0, 0.5, 0.5), 2, 60), ((3.0, 0.5, 0.5), 1, 200), ((0.9, 0.5, 0.5), 2, 200)]
+)
 def test_a_route_late_at_all_units_leaves_places_to_the_others(
-        relay: type, usual: tuple, voters: int, most: int) -> None:
+    relay: type, usual: tuple, voters: int, most: int
+) -> None:
     one = relay(relays=300)
     one.list(*WARM)
     one.news(5, standing=2)
@@ -288,9 +339,19 @@
     for voter in case.voters[:voters]:
         word = messages.Word(1, 1, 5, 9, (0.1,) * len(one.one.kinds), usual)
         one.one.peer(one.now, voter, messages.pack_word(word))
-    ends = {name: sum(verbs(one.req(name))[-1:] == [face.SEND] and not one.end(
-        one.one.i.reqs[f"r{one.made}"].tries[0].unit and (face.SEND, f"r{one.made}", 0), 0, face.OK, 1000)
-        for _ in range(200)) for name in ("read", "once")}
+    ends = {
+        name: sum(
+            verbs(one.req(name))[-1:] == [face.SEND]
+            and not one.end(
+                one.one.i.reqs[f"r{one.made}"].tries[0].unit and (face.SEND, f"r{one.made}", 0),
+                0,
+                face.OK,
+                1000,
+            )
+            for _ in range(200)
+        )
+        for name in ("read", "once")
+    }
     assert ends["once"] == 200 and ends["read"] <= most and ends["read"] > most // 20
 
 
@@ -339,10 +400,13 @@
     assert (one._posteriors()[rules.SLOW] > 1 / (1 + rules.ODDS)) == alarms
 
 
-@pytest.mark.parametrize("sender, build, parts, kept", [
-    (0, 6, 3, True), (0, 7, 3, False), (0, 6, 2, False), (None, 6, 3, False), (300, 6, 3, False)])
+@pytest.mark.parametrize(
+    "sender, build, parts, kept",
+    [(0, 6, 3, True), (0, 7, 3, False), (0, 6, 2, False), (None, 6, 3, False), (300, 6, 3, False)],
+)
 def test_a_word_is_taken_from_voters_alone_and_whole(
-        relay: type, sender: int | None, build: int, parts: int, kept: bool) -> None:
+    relay: type, sender: int | None, build: int, parts: int, kept: bool
+) -> None:
     one = relay(relays=300)
     one.list(*WARM, (7, "a", 6, 9))
     one.news(6)
@@ -384,10 +448,13 @@
     assert not i.answered.times and not i.tried and not any(window.times for window in i.took)
 
 
-@pytest.mark.parametrize("opened, lag, over", [
-    (20, 100, 0.5), (30, 250, 1.0), (60, 100, 1.5), (60, 250, 2.0), (60, 500, 3.0), (120, 250, 3.0)])
+@pytest.mark.parametrize(
+    "opened, lag, over",
+    [(20, 100, 0.5), (30, 250, 1.0), (60, 100, 1.5), (60, 250, 2.0), (60, 500, 3.0), (120, 250, 3.0)],
+)
 def test_a_relay_that_starts_under_its_usual_load_sheds_for_a_moment(
-        relay: type, opened: int, lag: int, over: float) -> None:
+    relay: type, opened: int, lag: int, over: float
+) -> None:
     """So many reqs are open at a time, answered in good time; nothing is shed after `over` seconds."""
     one, due, shed = relay(), [], []
     one.list(*((unit, "a", 5, 99) for unit in range(40)))
@@ -429,11 +496,21 @@
     assert told and all(loads[40][0] == loads[59][0] == 1 for loads in told)
 
 
-@pytest.mark.parametrize("tellers, site, age, standing, aside", [
-    ((5,), "a", 0, 2, True), ((), "a", 0, 2, False), ((5,), "b", 0, 2, False), ((5,), "a", 2, 2, False),
-    ((0,), "a", 0, 2, False), ((999,), "a", 0, 2, False), ((5, 6), "a", 0, 0, False)])
+@pytest.mark.parametrize(
+    "tellers, site, age, standing, aside",
+    [
+        ((5,), "a", 0, 2, True),
+        ((), "a", 0, 2, False),
+        ((5,), "b", 0, 2, False),
+        ((5,), "a", 2, 2, False),
+        ((0,), "a", 0, 2, False),
+        ((999,), "a", 0, 2, False),
+        ((5, 6), "a", 0, 0, False),
+    ],
+)
 def test_a_unit_is_left_on_the_doubts_of_two_relays_of_a_site(
-        relay: type, tellers: tuple, site: str, age: int, standing: int, aside: bool) -> None:
+    relay: type, tellers: tuple, site: str, age: int, standing: int, aside: bool
+) -> None:
     one = relay(relays=300)
     one.one.i.typical = [SECOND // 10] * 3
     one.list(*WARM[:3], (4, "a", 5, 90))
@@ -457,7 +534,8 @@
 
 @pytest.mark.parametrize("relays, told", [(3, 0), (300, 1)])
 def test_doubts_are_told_where_open_tries_are_not_and_rest_a_third_at_most(
-        relay: type, relays: int, told: int) -> None:
+    relay: type, relays: int, told: int
+) -> None:
     one = relay(relays=relays)
     one.one.i.typical = [SECOND // 10] * 3
     one.list(*[(unit, "a", 5, 90) for unit in range(9)])
@@ -472,13 +550,20 @@
     assert resting == 3 * told
 
 
-@pytest.mark.parametrize("standing, second, ends, counted", [
-    (2, None, face.ERROR, 0), (0, face.AT_FAULT, face.ERROR, 0), (0, face.OK, None, 1),
-    (0, face.FAILED, None, 0)])
+@pytest.mark.parametrize(
+    "standing, second, ends, counted",
+    [
+        (2, None, face.ERROR, 0),
+        (0, face.AT_FAULT, face.ERROR, 0),
+        (0, face.OK, None, 1),
+        (0, face.FAILED, None, 0),
+    ],
+)
 def test_a_req_that_units_call_at_fault_tells_of_its_client(
-        relay: type, standing: int, second: str | None, ends: str | None, counted: int) -> None:
+    relay: type, standing: int, second: str | None, ends: str | None, counted: int
+) -> None:
     one = relay(cap_free=1000)
-    one.list(*WARM[:2 if second else 0], *((unit, "a", 6, 90) for unit in (7, 8, 9)))
+    one.list(*WARM[: 2 if second else 0], *((unit, "a", 6, 90) for unit in (7, 8, 9)))
     one.news(6, standing=standing, cap=1.0)
     sent = (None, None, 0)
     while sent[2] < 7:
@@ -488,14 +573,13 @@
     if second:
         assert verbs(results) == [face.SEND] and results[-1][2] < 7
         results = one.end(results[-1], 1, second)
-    assert ([found[0] for found in results if found[0] == face.ERROR] == ([ends] if ends else []))
+    assert [found[0] for found in results if found[0] == face.ERROR] == ([ends] if ends else [])
     assert (one.one.i.case.counted, one.one.i.units[sent[2]].failing) == (failed[0] + counted, failed[1])
     assert one.one.i.units[sent[2]].aside_until <= one.now
 
 
 @pytest.mark.parametrize("sick, counted", [(2, 0), (0, 2)])
-def test_a_machines_fault_is_known_after_the_earlier_ones_drain(
-        relay: type, sick: int, counted: int) -> None:
+def test_a_machines_fault_is_known_after_the_earlier_ones_drain(relay: type, sick: int, counted: int) -> None:
     one = relay(relays=300)
     one.list(*WARM, (7, "a", 6, 90))
     one.news(6, standing=2, cap=1.0)
@@ -508,10 +592,12 @@
     assert one.one.i.case.counted - before == counted
 
 
-@pytest.mark.parametrize("relays, status, aside", [
-    (300, face.FAILED, True), (300, face.RESET, False), (3, face.FAILED, False)])
+@pytest.mark.parametrize(
+    "relays, status, aside", [(300, face.FAILED, True), (300, face.RESET, False), (3, face.FAILED, False)]
+)
 def test_errors_seen_by_two_relays_set_a_unit_aside(
-        relay: type, relays: int, status: str, aside: bool) -> None:
+    relay: type, relays: int, status: str, aside: bool
+) -> None:
     one = relay(relays=relays)
     one.list(*WARM)
     one.news(5, standing=2, cap=1.0)
@@ -522,10 +608,13 @@
     assert (one.one.i.units[sent[2]].aside_until > one.now) == aside
 
 
-@pytest.mark.parametrize("doubted, erred, age, counted", [
-    (3, 1, 0, 0), (4, 1, 0, 1), (0, 1, 0, 1), (3, 0, 0, 1), (3, 1, 3, 0), (3, 1, 5, 1)])
+@pytest.mark.parametrize(
+    "doubted, erred, age, counted",
+    [(3, 1, 0, 0), (4, 1, 0, 1), (0, 1, 0, 1), (3, 0, 0, 1), (3, 1, 3, 0), (3, 1, 5, 1)],
+)
 def test_errors_of_a_machine_that_others_doubt_count_once_while_most_are_sound(
-        relay: type, doubted: int, erred: int, age: int, counted: int) -> None:
+    relay: type, doubted: int, erred: int, age: int, counted: int
+) -> None:
     one = relay(relays=300, cap_free=1000)
     others = ((unit, "b", 6, 90) for unit in range(30, 50))
     one.list(*WARM, *((unit, "a", 6, 90) for unit in range(10, 19)), *others)
@@ -543,7 +632,8 @@
 
 @pytest.mark.parametrize("tellers, erred, aside", [(3, 0, False), (6, 0, True), (2, 1, True)])
 def test_a_unit_that_most_relays_hear_from_is_slow_and_not_silent(
-        relay: type, tellers: int, erred: int, aside: bool) -> None:
+    relay: type, tellers: int, erred: int, aside: bool
+) -> None:
     one = relay(relays=40)
     one.list(*[(unit, "a", 5, 90) for unit in range(10)])
     one.news(5, standing=2, cap=1.0)
@@ -554,10 +644,13 @@
     assert (one.one.i.units[4].aside_until > one.now) == aside
 
 
-@pytest.mark.parametrize("relays, usual, wait, falls", [
-    (300, 0.6, 0.8, True), (300, 0.2, 0.8, False), (300, 0.6, 0.4, False), (3, 0.6, 0.8, False)])
+@pytest.mark.parametrize(
+    "relays, usual, wait, falls",
+    [(300, 0.6, 0.8, True), (300, 0.2, 0.8, False), (300, 0.6, 0.4, False), (3, 0.6, 0.8, False)],
+)
 def test_a_jam_of_the_fleet_holds_open_tries_to_what_they_are(
-        relay: type, relays: int, usual: float, wait: float, falls: bool) -> None:
+    relay: type, relays: int, usual: float, wait: float, falls: bool
+) -> None:
     one = relay(relays=relays)
     one.list(*WARM)
     one.news(5, standing=2)
@@ -583,7 +676,7 @@
             one.one.peer(one.now, teller, messages.pack_sums(1, second, 6, 0, [row], 8)[0])
         told = [messages.unpack(found[2], 3) for found in one.wait(1) if found[0] == face.TELL]
         words += [word.wait for what, word in told if what == messages.WORD]
-    assert max(words[len(words) // 2:]) == pytest.approx(16 / 20, rel=0.3)
+    assert max(words[len(words) // 2 :]) == pytest.approx(16 / 20, rel=0.3)
     one.wait(3)
     assert not one.one.i.flow.opened
 
--- a/tests/test_tuf.py
+++ b/tests/test_tuf.py
@@ -41,18 +41,25 @@
 @pytest.fixture
 def serve(tmp_path: Path) -> Iterator[Callable[..., Rig]]:
     with contextlib.ExitStack() as stack:
+
         def start(repository: TufRepository, mirrors: int = 3, rate: float = 0.0, **kinds: object) -> Rig:
             stands = [MirrorStand({"/image/": repository}, rate) for _ in range(mirrors)]
             rig = Rig(tmp_path, {"/image/": repository}, stands, **kinds)
             return stack.enter_context(contextlib.closing(rig)).start()
+
         yield start
 
 
 @pytest.fixture(scope="module")
 def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Rig]:
     one = published()
-    with contextlib.closing(Rig(tmp_path_factory.mktemp("shared"), {"/image/": one}, [
-            MirrorStand({"/image/": one}) for _ in range(3)])) as rig:
+    with contextlib.closing(
+        Rig(
+            tmp_path_factory.mktemp("shared"),
+            {"/image/": one},
+            [MirrorStand({"/image/": one}) for _ in range(3)],
+        )
+    ) as rig:
         yield rig.start()
 
 
@@ -69,7 +76,8 @@
 
 @pytest.mark.parametrize("consistent", [True, False])
 def test_an_unmodified_client_works_over_rotations_and_delegations(
-        serve: Callable[..., Rig], tmp_path: Path, consistent: bool) -> None:
+    serve: Callable[..., Rig], tmp_path: Path, consistent: bool
+) -> None:
     one = published(consistent)
     one.delegate("targets", "dev", ["dev/*"])
     one.add("dev/a.bin", b"dev" * 999, "dev")
@@ -91,8 +99,9 @@
     assert rig.count("module_faults") == 0
 
 
-@pytest.mark.parametrize("fault", [
-    "mixed", "forged", "flipped", "endless", "failing", "busy", "silent", "reset"])
+@pytest.mark.parametrize(
+    "fault", ["mixed", "forged", "flipped", "endless", "failing", "busy", "silent", "reset"]
+)
 def test_metadata_of_a_mirror_at_fault_is_never_passed_on(serve: Callable[..., Rig], fault: str) -> None:
     one = published()
     rig = serve(one, mirrors=2)
@@ -136,7 +145,8 @@
 
 
 def test_while_all_mirrors_fail_what_is_proven_is_given_with_its_age_as_long_as_it_may(
-        serve: Callable[..., Rig]) -> None:
+    serve: Callable[..., Rig],
+) -> None:
     rig = serve(published(), changed={"freshness": {"serve-proven": "3s"}})
     assert rig.ask(META + "timestamp.json")[0] == 200
     for mirror in rig.mirrors:
@@ -159,6 +169,7 @@
 
     def ask() -> None:
         found.append(rig.ask(META + "timestamp.json")[0])
+
     for status, tries in ((200, 1), (503, 5)):
         before = rig.asked("timestamp")
         threads = [threading.Thread(target=ask) for _ in range(60)]
@@ -173,11 +184,14 @@
         rig.relays[0].start()
 
 
-@pytest.mark.parametrize("fault", [
-    "flipped", "longer", "shorter", "stall", "drip", "torn", "elsewhere", "failing", "busy", "reset"])
+@pytest.mark.parametrize(
+    "fault",
+    ["flipped", "longer", "shorter", "stall", "drip", "torn", "elsewhere", "failing", "busy", "reset"],
+)
 @pytest.mark.parametrize("path, data", [("small.bin", SMALL), ("large.bin", LARGE)], ids=["small", "large"])
 def test_a_file_is_whole_or_cut_and_cut_only_where_a_bad_end_could_not_be_known(
-        serve: Callable[..., Rig], fault: str, path: str, data: bytes) -> None:
+    serve: Callable[..., Rig], fault: str, path: str, data: bytes
+) -> None:
     rig = serve(published(), mirrors=2, changed={"limits": {"floor-over": "300ms"}})
     rig.mirrors[0].modes["target"] = fault
     whole = cut = 0
@@ -215,27 +229,45 @@
 
 def test_ranges_and_heads_are_answered_from_what_is_proven(shared: Rig) -> None:
     etag = f'"sha256:{hashlib.sha256(LARGE).hexdigest()}:{len(LARGE)}"'
-    for span, first, last in (("bytes=0-0", 0, 0), ("bytes=1000000-1100000", 1_000_000, 1_100_000),
-                              ("bytes=-5", len(LARGE) - 5, len(LARGE) - 1)):
+    for span, first, last in (
+        ("bytes=0-0", 0, 0),
+        ("bytes=1000000-1100000", 1_000_000, 1_100_000),
+        ("bytes=-5", len(LARGE) - 5, len(LARGE) - 1),
+    ):
         status, fields, raw = shared.ask(FILES + "large.bin", Range=span)
-        assert status == 206 and raw == LARGE[first:last + 1] and fields["etag"] == etag
+        assert status == 206 and raw == LARGE[first : last + 1] and fields["etag"] == etag
         assert fields["content-range"] == f"bytes {first}-{last}/{len(LARGE)}"
     assert shared.ask(FILES + "large.bin", Range="bytes=2097152-")[0] == 416
     status, fields, raw = shared.ask(FILES + "large.bin", "HEAD")
     assert (status, int(fields["content-length"]), raw) == (200, len(LARGE), b"")
     assert shared.ask(META + "timestamp.json", "HEAD")[2] == b""
-    for path in (FILES + "none.bin", META + "none.json", META + "9.root.json", "/other", FILES + "../x",
-                 FILES + "%ff"):
+    for path in (
+        FILES + "none.bin",
+        META + "none.json",
+        META + "9.root.json",
+        "/other",
+        FILES + "../x",
+        FILES + "%ff",
+    ):
         assert shared.ask(path)[0] == 404
     assert shared.ask(META + "timestamp.json", "DELETE")[0] == 405
     assert shared.ask(META + "timestamp.json", "POST", b"{}")[0] == 405
 
 
-@pytest.mark.parametrize("raw, status", [
-    (b"GET / HTTP/1.1\nHost: a\n\n", 400), (b"GET / HTTP/1.1\r\nHost: a\r\nA: b\r\n c\r\n\r\n", 400),
-    (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nHost: a\r\n" + b"A: b\r\n" * 5000, 431), (b"GET / HTTP/1.1\r\nHost: a", 408)],
-    ids=["bare", "folded", "both", "endless", "unfinished"])
+@pytest.mark.parametrize(
+    "raw, status",
+    [
+        (b"GET / HTTP/1.1\nHost: a\n\n", 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nA: b\r\n c\r\n\r\n", 400),
+        (
+            b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            400,
+        ),
+        (b"GET / HTTP/1.1\r\nHost: a\r\n" + b"A: b\r\n" * 5000, 431),
+        (b"GET / HTTP/1.1\r\nHost: a", 408),
+    ],
+    ids=["bare", "folded", "both", "endless", "unfinished"],
+)
 def test_who_speaks_badly_gets_one_answer_and_a_close(shared: Rig, raw: bytes, status: int) -> None:
     with socket.create_connection((RELAY, shared.ports[0])) as sock:
         sock.settimeout(10)
@@ -246,8 +278,10 @@
 
 
 def test_a_connection_is_kept_and_requests_are_answered_in_order(shared: Rig) -> None:
-    asked = b"".join(f"GET {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode() for path in (
-        META + "timestamp.json", FILES + "small.bin", META + "none.json", FILES + "small.bin"))
+    asked = b"".join(
+        f"GET {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode()
+        for path in (META + "timestamp.json", FILES + "small.bin", META + "none.json", FILES + "small.bin")
+    )
     with socket.create_connection((RELAY, shared.ports[0])) as sock:
         sock.settimeout(10)
         for byte in asked:
@@ -303,7 +337,8 @@
 
 
 def test_files_beyond_the_limit_are_turned_away_at_once_and_metadata_is_not(
-        serve: Callable[..., Rig]) -> None:
+    serve: Callable[..., Rig],
+) -> None:
     rig = serve(published(), rate=200_000, changed={"limits": {"files-per-client": "2"}})
     done = [threading.Thread(target=fetch, args=(rig,), daemon=True) for _ in range(2)]
     for thread in done:
@@ -326,7 +361,8 @@
 
 @pytest.mark.parametrize("depth, loop, status", [(4, False, 200), (4, True, 200), (50, False, 404)])
 def test_delegations_that_loop_or_go_deep_end_in_one_answer(
-        serve: Callable[..., Rig], depth: int, loop: bool, status: int) -> None:
+    serve: Callable[..., Rig], depth: int, loop: bool, status: int
+) -> None:
     one = published()
     for place in range(depth):
         one.delegate(f"r{place - 1}" if place else "targets", f"r{place}", ["deep.*"])
@@ -340,7 +376,8 @@
 
 
 def test_what_was_proven_lasts_over_a_kill_and_nothing_older_is_believed_after(
-        serve: Callable[..., Rig]) -> None:
+    serve: Callable[..., Rig],
+) -> None:
     one = published()
     one.rotate("root")
     one.publish(ahead=5)
@@ -369,6 +406,7 @@
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Callable[..., Rig]]:
     with contextlib.ExitStack() as stack:
+
         def start(changed: dict, director: str = "") -> Rig:
             image, chief = published(), TufRepository()
             image.add("fw.bin", b"fw" * 50, custom={"hardwareIds": ["ecu-a"]})
@@ -381,6 +419,7 @@
             mirrors = [MirrorStand(both, director=director) for _ in range(2)]
             rig = Rig(tmp_path, both, mirrors, changed=changed)
             return stack.enter_context(contextlib.closing(rig)).start()
+
         yield start
 
 
@@ -397,7 +436,8 @@
 
 @pytest.mark.parametrize("changed, director, effects", [(UPTANE, "", 1), (COUNTED, "deduped", 1)])
 def test_a_manifest_whose_answer_is_lost_never_has_its_effect_twice(
-        fleet: Callable[..., Rig], changed: dict, director: str, effects: int) -> None:
+    fleet: Callable[..., Rig], changed: dict, director: str, effects: int
+) -> None:
     rig = fleet(changed, director)
     path = "/director/manifest"
     assert rig.ask(path, "POST", manifest("v1", 1))[::2] == (200, b'{"taken": true}')
@@ -416,11 +456,14 @@
     assert taken.count(("v1", 2)) == effects and taken.count(("v1", 1)) == 1
 
 
-@pytest.mark.parametrize("body, fields, status", [
-    (b"{}", {}, 400), (b"x" * 300_000, {}, 413), (manifest("v", 1), {"Transfer-Encoding": "chunked"}, 411)],
-    ids=["empty", "long", "chunked"])
+@pytest.mark.parametrize(
+    "body, fields, status",
+    [(b"{}", {}, 400), (b"x" * 300_000, {}, 413), (manifest("v", 1), {"Transfer-Encoding": "chunked"}, 411)],
+    ids=["empty", "long", "chunked"],
+)
 def test_what_is_no_manifest_never_goes_up(
-        fleet: Callable[..., Rig], body: bytes, fields: dict, status: int) -> None:
+    fleet: Callable[..., Rig], body: bytes, fields: dict, status: int
+) -> None:
     rig = fleet(UPTANE)
     assert rig.ask("/director/manifest", "POST", body, **fields)[0] == status
     assert rig.asked("/director/manifest") == 0
--- a/tests/test_tuf_decisions.py
+++ b/tests/test_tuf_decisions.py
@@ -34,9 +34,9 @@
     status = 206 if span else 200
     told = (first, last, one.length) if span else None
     assert one.begin(unit, status, last - first + 1, told, None) == FINE
-    out, given = b"", data[first:last + 1][:most]
+    out, given = b"", data[first : last + 1][:most]
     for at in range(0, len(given), size):
-        out += b"".join(one.take(given[at:at + size]))
+        out += b"".join(one.take(given[at : at + size]))
         if one.state != transfer.READING:
             break
     assert len(one.held) <= 2 * CHUNK
@@ -47,13 +47,14 @@
 @pytest.mark.parametrize("first, last", [(0, len(DATA) - 1), (0, 99), (5000, 5999), (20_000, 20_299), (7, 7)])
 @pytest.mark.parametrize("known", [False, True])
 def test_a_file_passes_whole_or_in_part_and_its_end_waits_for_the_proof(
-        first: int, last: int, known: bool) -> None:
+    first: int, last: int, known: bool
+) -> None:
     blocks = Blocks(CHUNK, 1000)
     if known:
         feed(moved(blocks=blocks), DATA)
     one = moved(first, last, blocks)
     out = feed(one, DATA)
-    assert one.state == PROVEN and out == DATA[first:last + 1] and one.given == len(out)
+    assert one.state == PROVEN and out == DATA[first : last + 1] and one.given == len(out)
     assert one.fetched <= (last - first + 1 + 2 * CHUNK if known else len(DATA))
 
 
@@ -66,7 +67,7 @@
     out = feed(one, bytes(spoilt))
     assert one.state in (CUT, MOVING) and len(out) < last - first + 1 and one.culprits() in ({1}, set())
     if one.state == MOVING:
-        assert not out and feed(one, DATA, 2) == DATA[first:last + 1] and one.state == PROVEN
+        assert not out and feed(one, DATA, 2) == DATA[first : last + 1] and one.state == PROVEN
 
 
 def test_a_small_file_that_was_wrong_is_read_anew_elsewhere() -> None:
@@ -98,17 +99,26 @@
     assert out + feed(one, DATA, 3) == DATA
 
 
-@pytest.mark.parametrize("reached, status, length, span, older, fit", [
-    (0, 200, len(DATA), None, None, FINE), (0, 200, None, None, None, FINE), (0, 200, 5, None, None, OTHER),
-    (0, 200, 5, None, 5, OLD), (0, 301, None, None, None, OTHER),
-    (7000, 206, len(DATA) - 7000, (7000, len(DATA) - 1, len(DATA)), None, FINE),
-    (7000, 206, None, (7001, len(DATA) - 1, len(DATA)), None, OTHER), (7000, 206, None, None, None, OTHER),
-    (7000, 206, 3, (7000, len(DATA) - 1, len(DATA)), None, OTHER),
-    (7000, 206, None, (7000, 8000, 8001), 8001, OLD), (7000, 200, len(DATA), None, None, FINE),
-    (18_000, 200, len(DATA), None, None, UNFIT)])
+@pytest.mark.parametrize(
+    "reached, status, length, span, older, fit",
+    [
+        (0, 200, len(DATA), None, None, FINE),
+        (0, 200, None, None, None, FINE),
+        (0, 200, 5, None, None, OTHER),
+        (0, 200, 5, None, 5, OLD),
+        (0, 301, None, None, None, OTHER),
+        (7000, 206, len(DATA) - 7000, (7000, len(DATA) - 1, len(DATA)), None, FINE),
+        (7000, 206, None, (7001, len(DATA) - 1, len(DATA)), None, OTHER),
+        (7000, 206, None, None, None, OTHER),
+        (7000, 206, 3, (7000, len(DATA) - 1, len(DATA)), None, OTHER),
+        (7000, 206, None, (7000, 8000, 8001), 8001, OLD),
+        (7000, 200, len(DATA), None, None, FINE),
+        (18_000, 200, len(DATA), None, None, UNFIT),
+    ],
+)
 def test_a_mirrors_head_is_held_against_what_was_asked(
-        reached: int, status: int, length: int | None, span: tuple | None, older: int | None,
-        fit: str) -> None:
+    reached: int, status: int, length: int | None, span: tuple | None, older: int | None, fit: str
+) -> None:
     one = moved()
     feed(one, DATA, 1, reached, 100) if reached else None
     assert one.begin(2, status, length, span, older) == fit
@@ -126,9 +136,16 @@
     assert set(blocks.files) == {"a", "c"} and blocks.held == 8
 
 
-@pytest.mark.parametrize("reads, stalled", [
-    ([(100_000, 0)] * 12, True), ([(200_000, 1)] * 6, True), ([(100_000, 5000)] * 30, False),
-    ([(900_000, 0), (50_000, 90_000)], False), ([(0, 1 << 20)] * 50, False)])
+@pytest.mark.parametrize(
+    "reads, stalled",
+    [
+        ([(100_000, 0)] * 12, True),
+        ([(200_000, 1)] * 6, True),
+        ([(100_000, 5000)] * 30, False),
+        ([(900_000, 0), (50_000, 90_000)], False),
+        ([(0, 1 << 20)] * 50, False),
+    ],
+)
 def test_a_mirror_stalls_by_its_pace_not_by_silence_alone(reads: list, stalled: bool) -> None:
     pace = Pace(10_000, SECOND)
     assert all(pace.add(waited, count) for waited, count in reads) is not stalled
@@ -176,7 +193,8 @@
         one.ended(now, False)
         pauses.append(one.not_before - now)
         assert one.ask(now, True) == (
-            decide_fresh.GIVE if one.age(now) <= 60 * SECOND else decide_fresh.REFUSE)
+            decide_fresh.GIVE if one.age(now) <= 60 * SECOND else decide_fresh.REFUSE
+        )
         assert one.ask(now, False) == decide_fresh.REFUSE
     assert pauses[5] > pauses[0] and max(pauses) <= 32 * SECOND and one.age(now) > 60 * SECOND
 
@@ -232,7 +250,13 @@
         one.leave(client, 10)
     assert (one.files, one.bytes, dict(one.by_client)) == (0, 0, {})
     assert [one.begin(7), one.begin(7), one.full(7), one.end(7), one.end(7), one.full(7)] == [
-        False, True, True, True, False, False]
+        False,
+        True,
+        True,
+        True,
+        False,
+        False,
+    ]
 
 
 def target(data: bytes, **custom: object) -> TargetFile:
@@ -244,12 +268,18 @@
 IMAGE = target(b"fw", hardwareIds=["ecu-a", "ecu-b"])
 
 
-@pytest.mark.parametrize("directed, verdict", [
-    ([], uptane.UNDIRECTED), ([target(b"fw")], uptane.AGREED), ([target(b"fx")], uptane.DISAGREE),
-    ([target(b"fw", ecuIdentifiers={"1": {"hardwareId": "ecu-a"}})], uptane.AGREED),
-    ([target(b"fw", ecuIdentifiers={"1": {"hardwareId": "ecu-z"}})], uptane.DISAGREE),
-    ([target(b"fx"), target(b"fw")], uptane.AGREED),
-    ([TargetFile.from_data("fw.bin", b"fw", ["sha512"])], uptane.DISAGREE)])
+@pytest.mark.parametrize(
+    "directed, verdict",
+    [
+        ([], uptane.UNDIRECTED),
+        ([target(b"fw")], uptane.AGREED),
+        ([target(b"fx")], uptane.DISAGREE),
+        ([target(b"fw", ecuIdentifiers={"1": {"hardwareId": "ecu-a"}})], uptane.AGREED),
+        ([target(b"fw", ecuIdentifiers={"1": {"hardwareId": "ecu-z"}})], uptane.DISAGREE),
+        ([target(b"fx"), target(b"fw")], uptane.AGREED),
+        ([TargetFile.from_data("fw.bin", b"fw", ["sha512"])], uptane.DISAGREE),
+    ],
+)
 def test_an_image_is_held_against_what_the_director_says(directed: list, verdict: str) -> None:
     assert uptane.judge(IMAGE, directed) == verdict
 
@@ -258,9 +288,22 @@
     return json.dumps({"signed": {"vin": vin, "n": count} | more, "signatures": []}).encode()
 
 
-@pytest.mark.parametrize("raw", [
-    b"", b"[]", b"{", b"[" * 50_000, b'{"signed": 1, "signatures": []}', b'{"signed": {"vin": "x", "n": 1}}',
-    body(vin=""), body(vin=3), body(count="1"), body(count=True), body(count=1.5)])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"",
+        b"[]",
+        b"{",
+        b"[" * 50_000,
+        b'{"signed": 1, "signatures": []}',
+        b'{"signed": {"vin": "x", "n": 1}}',
+        body(vin=""),
+        body(vin=3),
+        body(count="1"),
+        body(count=True),
+        body(count=1.5),
+    ],
+)
 def test_what_is_no_manifest_is_refused(raw: bytes) -> None:
     with pytest.raises(uptane.ManifestError):
         uptane.manifest(raw, "n")
@@ -273,8 +316,7 @@
 
 
 @pytest.mark.parametrize("deduped", [False, True])
-def test_a_manifest_that_may_have_been_taken_goes_again_only_where_repeats_are_dropped(
-        deduped: bool) -> None:
+def test_a_manifest_that_may_have_been_taken_goes_again_only_where_repeats_are_dropped(deduped: bool) -> None:
     one, key, now = uptane.Reports(deduped, 10 * SECOND, 3, 100), b"k", 100 * SECOND
     given = uptane.Given(200, b"taken")
     assert one.take(now, key) == (uptane.SEND, None) and one.take(now, key) == (uptane.WAIT, None)
@@ -286,23 +328,40 @@
     assert one.take(now + 10 * SECOND, key) == (uptane.GIVE, given)
     assert one.take(now + 11 * SECOND, key) == (uptane.SEND, None)  # forgotten
     assert [one.take(now + 11 * SECOND, name)[0] for name in (b"l", b"m", b"n")] == [
-        uptane.SEND, uptane.SEND, uptane.WAIT]  # bounded
+        uptane.SEND,
+        uptane.SEND,
+        uptane.WAIT,
+    ]  # bounded
 
 
 GET = b"GET /image/metadata/timestamp.json HTTP/1.1\r\nHost: a\r\n"
 
 
-@pytest.mark.parametrize("raw, status", [
-    (b"GET / HTTP/1.1\nHost: a\n\n", 400), (GET + b"X: a\n\r\n", 400), (GET + b"X: a\r\n b\r\n\r\n", 400),
-    (GET + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400), (GET + b"Host: b\r\n\r\n", 400),
-    (GET + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-    (GET + b"Transfer-Encoding: chunked\r\n\r\n", 411), (GET + b"Content-Length : 1\r\n\r\n", 400),
-    (GET + b"Content-Length: +1\r\n\r\n", 400), (GET + b"Content-Length: 1, 1\r\n\r\n", 400),
-    (GET + b"X: a\0b\r\n\r\n", 400), (GET + b"X\r\n\r\n", 400), (b"GET / HTTP/1.1\r\n\r\n", 400),
-    (b"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", 400), (GET + b"X: a\rb\r\n\r\n", 400),
-    (GET + b"A: b\r\n" * 70 + b"\r\n", 431), (GET + b"A: " + b"b" * 20_000, 431),
-    (b"GET /" + b"a" * 9000, 414), (b"GET /" + b"a" * 9000 + b" HTTP/1.1\r\nHost: a\r\n\r\n", 414),
-    (b"\x16\x03\x01" + bytes(20) + b"\r\n\r\n", 400)])
+@pytest.mark.parametrize(
+    "raw, status",
+    [
+        (b"GET / HTTP/1.1\nHost: a\n\n", 400),
+        (GET + b"X: a\n\r\n", 400),
+        (GET + b"X: a\r\n b\r\n\r\n", 400),
+        (GET + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
+        (GET + b"Host: b\r\n\r\n", 400),
+        (GET + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (GET + b"Transfer-Encoding: chunked\r\n\r\n", 411),
+        (GET + b"Content-Length : 1\r\n\r\n", 400),
+        (GET + b"Content-Length: +1\r\n\r\n", 400),
+        (GET + b"Content-Length: 1, 1\r\n\r\n", 400),
+        (GET + b"X: a\0b\r\n\r\n", 400),
+        (GET + b"X\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\n\r\n", 400),
+        (b"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", 400),
+        (GET + b"X: a\rb\r\n\r\n", 400),
+        (GET + b"A: b\r\n" * 70 + b"\r\n", 431),
+        (GET + b"A: " + b"b" * 20_000, 431),
+        (b"GET /" + b"a" * 9000, 414),
+        (b"GET /" + b"a" * 9000 + b" HTTP/1.1\r\nHost: a\r\n\r\n", 414),
+        (b"\x16\x03\x01" + bytes(20) + b"\r\n\r\n", 400),
+    ],
+)
 def test_a_head_that_two_parsers_might_read_in_two_ways_is_refused(raw: bytes, status: int) -> None:
     with pytest.raises(BadRequestError) as fault:
         end = http.end_of_head(raw, 0, len(raw))
@@ -314,18 +373,33 @@
 def test_a_head_is_found_however_it_is_split() -> None:
     raw = GET + b"Range: bytes=1-2\r\nConnection: close\r\n\r\n"
     assert all(http.end_of_head(raw, 0, cut) is None for cut in range(len(raw)))
-    found = http.head(raw[:http.end_of_head(raw + b"more", 0, len(raw) + 4)])
+    found = http.head(raw[: http.end_of_head(raw + b"more", 0, len(raw) + 4)])
     assert (found.method, found.path, found.fields["range"], found.stays) == (
-        "GET", "/image/metadata/timestamp.json", "bytes=1-2", False)
-
-
-@pytest.mark.parametrize("fields, span", [
-    ({}, None), ({"range": "bytes=0-0"}, (0, 0)), ({"range": "bytes=5-"}, (5, 99)),
-    ({"range": "bytes=-7"}, (93, 99)), ({"range": "bytes=-700"}, (0, 99)),
-    ({"range": "bytes=9-700"}, (9, 99)),
-    ({"range": "bytes=9-3"}, None), ({"range": "bytes=1-2,5-6"}, None), ({"range": "lines=1-2"}, None),
-    ({"range": "bytes=1-2", "if-range": '"e"'}, (1, 2)), ({"range": "bytes=1-2", "if-range": '"f"'}, None),
-    ({"range": "bytes=100-"}, 416), ({"range": "bytes=-0"}, 416)])
+        "GET",
+        "/image/metadata/timestamp.json",
+        "bytes=1-2",
+        False,
+    )
+
+
+@pytest.mark.parametrize(
+    "fields, span",
+    [
+        ({}, None),
+        ({"range": "bytes=0-0"}, (0, 0)),
+        ({"range": "bytes=5-"}, (5, 99)),
+        ({"range": "bytes=-7"}, (93, 99)),
+        ({"range": "bytes=-700"}, (0, 99)),
+        ({"range": "bytes=9-700"}, (9, 99)),
+        ({"range": "bytes=9-3"}, None),
+        ({"range": "bytes=1-2,5-6"}, None),
+        ({"range": "lines=1-2"}, None),
+        ({"range": "bytes=1-2", "if-range": '"e"'}, (1, 2)),
+        ({"range": "bytes=1-2", "if-range": '"f"'}, None),
+        ({"range": "bytes=100-"}, 416),
+        ({"range": "bytes=-0"}, 416),
+    ],
+)
 def test_ranges_by_rfc_9110(fields: dict, span: object) -> None:
     try:
         assert http.wanted(fields, 100, '"e"') == span
@@ -341,6 +415,7 @@
 
 # What was proven lasts.
 
+
 @pytest.fixture
 def published() -> TufRepository:
     made = TufRepository()
@@ -375,18 +450,28 @@
     stranger = Trust(TufRepository().pinned, 1 << 20)
     with pytest.raises(kept.StateError):
         kept.restore(stranger, state, now)
-    forged = state._replace(files=state.files | published.forged() | {
-        "timestamp": published.forged()["timestamp.json"]})
+    forged = state._replace(
+        files=state.files | published.forged() | {"timestamp": published.forged()["timestamp.json"]}
+    )
     with pytest.raises(kept.StateError):
         kept.restore(Trust(published.pinned, 1 << 20), forged, now)
 
 
-@pytest.mark.parametrize("spoil", [
-    lambda raw: raw[:-1], lambda raw: b"", lambda raw: raw.replace(b"proven_at", b"proven_by"),
-    lambda raw: raw.replace(b'"format": 1', b'"format": 2'), lambda raw: raw[:300] + b"x" + raw[301:],
-    lambda raw: b"[" * 100_000, lambda raw: b"null"])
+@pytest.mark.parametrize(
+    "spoil",
+    [
+        lambda raw: raw[:-1],
+        lambda raw: b"",
+        lambda raw: raw.replace(b"proven_at", b"proven_by"),
+        lambda raw: raw.replace(b'"format": 1', b'"format": 2'),
+        lambda raw: raw[:300] + b"x" + raw[301:],
+        lambda raw: b"[" * 100_000,
+        lambda raw: b"null",
+    ],
+)
 def test_a_damaged_file_is_as_good_as_none(
-        published: TufRepository, tmp_path: Path, spoil: Callable[[bytes], bytes]) -> None:
+    published: TufRepository, tmp_path: Path, spoil: Callable[[bytes], bytes]
+) -> None:
     raw = kept.packed(kept.state_of(proven(published), 5))
     keeper = kept.Keeper(tmp_path)
     keeper.path("image").write_bytes(raw)
@@ -400,10 +485,12 @@
     kept.write_whole(path, raw, lambda step: os._exit(9) if step == at else None)
 
 
-@pytest.mark.parametrize("at, new", [
-    ("half", False), ("written", False), ("synced", False), ("renamed", True)])
+@pytest.mark.parametrize(
+    "at, new", [("half", False), ("written", False), ("synced", False), ("renamed", True)]
+)
 def test_a_process_killed_while_writing_leaves_the_old_file_or_the_new(
-        tmp_path: Path, at: str, new: bool) -> None:
+    tmp_path: Path, at: str, new: bool
+) -> None:
     old, newer = (kept.packed(kept.State([], {"timestamp": word}, 1)) for word in (b"old", b"new" * 9))
     path = tmp_path / "image.proven"
     for _ in range(5):
--- a/tests/test_tuf_trust.py
+++ b/tests/test_tuf_trust.py
@@ -64,18 +64,29 @@
 
 
 def test_a_pinned_root_must_sign_itself(repository: TufRepository) -> None:
-    for raw in (b"", b"{}", repository.newest.metadata["timestamp.json"],
-                repository.pinned.replace(b'"version":1', b'"version":2')):
+    for raw in (
+        b"",
+        b"{}",
+        repository.newest.metadata["timestamp.json"],
+        repository.pinned.replace(b'"version":1', b'"version":2'),
+    ):
         with pytest.raises(TrustError):
             Trust(raw, MOST)
 
 
 @pytest.mark.parametrize("role", ["timestamp", "snapshot", "targets"])
-@pytest.mark.parametrize("spoil, verdict", [
-    (lambda raw: b"", WRONG), (lambda raw: b"[" * 100_000, WRONG), (lambda raw: raw[:-10], WRONG),
-    (lambda raw: raw.replace(b'"version":2', b'"version":3'), WRONG)])
+@pytest.mark.parametrize(
+    "spoil, verdict",
+    [
+        (lambda raw: b"", WRONG),
+        (lambda raw: b"[" * 100_000, WRONG),
+        (lambda raw: raw[:-10], WRONG),
+        (lambda raw: raw.replace(b'"version":2', b'"version":3'), WRONG),
+    ],
+)
 def test_a_spoilt_file_is_wrong_and_changes_nothing(
-        repository: TufRepository, role: str, spoil: object, verdict: str) -> None:
+    repository: TufRepository, role: str, spoil: object, verdict: str
+) -> None:
     trust = Trust(repository.pinned, MOST)
     walk(trust, repository.newest)
     held = trust.view
@@ -184,12 +195,17 @@
 
 @pytest.mark.parametrize("role", ["timestamp", "snapshot", "targets", "root"])
 def test_a_rotation_counts_together_with_the_view_that_is_proven_under_it(
-        repository: TufRepository, role: str) -> None:
+    repository: TufRepository, role: str
+) -> None:
     trust = Trust(repository.pinned, MOST)
     walk(trust, repository.newest)
     repository.rotate(role)
-    given = Published(repository.publish().metadata | {
-        "timestamp.json": repository.revisions[0].metadata["timestamp.json"]}, {}, 2)
+    given = Published(
+        repository.publish().metadata
+        | {"timestamp.json": repository.revisions[0].metadata["timestamp.json"]},
+        {},
+        2,
+    )
     found = walk(trust, given)  # a mirror that has the root, and not yet the rest
     revoked = role == "timestamp"
     assert found[-1].verdict == (BEHIND if revoked else SAME)
@@ -211,7 +227,8 @@
 
 
 def test_a_mirror_ahead_of_a_rotation_is_strange_and_makes_the_next_root_wanted(
-        repository: TufRepository) -> None:
+    repository: TufRepository,
+) -> None:
     trust = Trust(repository.pinned, MOST)
     repository.rotate("timestamp")
     repository.publish()
@@ -249,10 +266,12 @@
     return sought.target, asked
 
 
-@pytest.mark.parametrize("deep, loop, found, roles", [
-    (3, False, True, 3), (3, True, True, 3), (60, False, False, 32)])
+@pytest.mark.parametrize(
+    "deep, loop, found, roles", [(3, False, True, 3), (3, True, True, 3), (60, False, False, 32)]
+)
 def test_delegations_are_followed_once_each_and_not_endlessly(
-        deep: int, loop: bool, found: bool, roles: int) -> None:
+    deep: int, loop: bool, found: bool, roles: int
+) -> None:
     one = chain(deep, loop)
     trust = Trust(one.pinned, MOST)
     walk(trust, one.newest)
@@ -296,11 +315,19 @@
     assert set(trust.view.roles) == {"targets"}
 
 
-@pytest.mark.parametrize("name, consistent, found", [
-    ("timestamp.json", True, ("timestamp", None)), ("7.snapshot.json", True, ("snapshot", 7)),
-    ("7.snapshot.json", False, ("7.snapshot", None)), ("2.root.json", False, ("root", 2)),
-    ("3.a%2Fb.json", True, ("a/b", 3)), ("timestamp.xml", True, ("", None)), ("../x.json", True, ("", None)),
-    ("0.root.json", True, ("0.root", None))])
+@pytest.mark.parametrize(
+    "name, consistent, found",
+    [
+        ("timestamp.json", True, ("timestamp", None)),
+        ("7.snapshot.json", True, ("snapshot", 7)),
+        ("7.snapshot.json", False, ("7.snapshot", None)),
+        ("2.root.json", False, ("root", 2)),
+        ("3.a%2Fb.json", True, ("a/b", 3)),
+        ("timestamp.xml", True, ("", None)),
+        ("../x.json", True, ("", None)),
+        ("0.root.json", True, ("0.root", None)),
+    ],
+)
 def test_a_files_name_tells_role_and_version(name: str, consistent: bool, found: tuple) -> None:
     one = TufRepository(consistent)
     assert Trust(one.pinned, MOST).named(name) == found
