--- a/laurelcourse/benchlink/decode.py
+++ b/laurelcourse/benchlink/decode.py
@@ -6,14 +6,14 @@
 
 from laurelcourse import interface as face
 from laurelcourse.benchlink.framing import Message, WireError
-from laurelcourse.settings import Settings, SettingsError, Tree, decode
+from laurelcourse.settings import Settings, SettingsError, SettingsTree, decode
 
 STATUSES = {
     "done": face.OK,
     "err": face.FAILED,
     "busy": face.BUSY,
     "etimedout": face.TIMEOUT,
-    "econnrefused": face.UNREACHED,
+    "econnrefused": face.UNREACHABLE,
     "econnreset": face.RESET,
     "ecanceled": face.CANCELLED,
     "skipped": face.UNSENT,
@@ -22,10 +22,10 @@
     "done": face.COUNTED,
     "skipped": face.VOID,
     "busy": face.REFUSED,
-    "err": face.BROKE,
+    "err": face.CALL_FAILED,
     "etimedout": face.UNANSWERED,
 }
-NEWS = {"D": face.CHANGES, "F": face.WHOLE, "C": face.CACHED, "X": face.BROKEN}
+NEWS = {"D": face.CHANGES, "F": face.FULL_LIST, "C": face.CACHED, "X": face.WATCH_BROKEN}
 HEALTH = {"Ready": face.READY, "Terminating": face.DRAINING, "Gone": face.GONE}
 REPEATED = 2
 
@@ -61,7 +61,7 @@
 
 def settings(message: Message) -> Settings:
     try:
-        return decode(Tree(nested(message.fields)))
+        return decode(SettingsTree(nested(message.fields)))
     except SettingsError as error:
         raise WireError(f"line {message.line}: {message.name} {error}") from None
     except ValueError as error:
@@ -96,7 +96,7 @@
             build=round(entry.number("image", 0)),
             health=one_of(entry, "health", HEALTH),
             size=entry.number("nominal", 1),
-            since=entry.micros("since", 0) or face.LONG_AGO,
+            started_at=entry.micros("since", 0) or face.START_UNKNOWN_US,
         )
         for entry in message.entries
     ]
@@ -123,9 +123,9 @@
         return lambda one, now: one.streaming(now, req, number)
     if name == "DIRECTORY_UPDATE":
         how = one_of(get, "how", NEWS)
-        if how != face.BROKEN and get.whole("ref") not in lists:
+        if how != face.WATCH_BROKEN and get.whole("ref") not in lists:
             raise WireError(f"line {get.line}: no list has the number {get.whole('ref')}")
-        entries = lists[get.whole("ref")] if how != face.BROKEN else []
+        entries = lists[get.whole("ref")] if how != face.WATCH_BROKEN else []
         return lambda one, now: one.directory(now, how, entries)
     if name == "TICK_DUE":
         token = get.text("nonce")
--- a/laurelcourse/cli.py
+++ b/laurelcourse/cli.py
@@ -9,7 +9,7 @@
 from laurelcourse import VERSION
 from laurelcourse.net import config as configuration
 from laurelcourse.net import log
-from laurelcourse.net.assembly import Assembly, Host
+from laurelcourse.net.assembly import Assembly, ProcessContext
 from laurelcourse.net.relay import Relay
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         sys.exit(2)
 
 
-def more(operator: "Operator | None", host: Host) -> list[Assembly]:
+def more(operator: "Operator | None", host: ProcessContext) -> list[Assembly]:
     """What the operators' settings name beside the platform's own front: further fronts, a fleet's books. The
     plain relay has none of the libraries that these need."""
     folder = Path(operator.path).parent if operator else Path()
--- a/laurelcourse/fleet/budgets/holder.py
+++ b/laurelcourse/fleet/budgets/holder.py
@@ -29,13 +29,13 @@
         self.uses: dict[str, Use] = {}
         self.asked_at: dict[str, int] = {}
 
-    def could(self, now: int, name: str, key: str = "", amount: int = 1) -> bool | None:
+    def allows(self, now: int, name: str, key: str = "", amount: int = 1) -> bool | None:
         """Whether `take` would say yes."""
         if self._unbound(now, name):
             return None
         return self._use(now, name, key).could(now, amount, usable=self.session.usable(now))
 
-    def take(self, now: int, name: str, key: str = "", amount: int = 1) -> bool | None:
+    def consume(self, now: int, name: str, key: str = "", amount: int = 1) -> bool | None:
         """Whether so much of the budget may be used now; if so it counts as used. The lease is looked at in
         this very call. None: no budget has this name, or it has neither a floor nor, without a lease, a
         share: whoever asks is left to its own bound."""
@@ -47,7 +47,7 @@
         budget = self.budgets.get(name)
         return budget is None or (budget.floor == 0 and budget.kind != LEVEL and not self.session.usable(now))
 
-    def back(self, now: int, name: str, key: str = "", amount: int = 1) -> None:
+    def release(self, now: int, name: str, key: str = "", amount: int = 1) -> None:
         """Of a LEVEL: so much is held no longer."""
         if name in self.budgets:
             self._use(now, name, key).back(now, amount)
--- a/laurelcourse/fleet/calls/client.py
+++ b/laurelcourse/fleet/calls/client.py
@@ -14,7 +14,6 @@
 
 from google.protobuf.message import Message
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.forms import Done
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
@@ -31,6 +30,7 @@
 from laurelcourse.fleet.handing import Routes, Try
 from laurelcourse.fleet.keeper.forms import Keepers
 from laurelcourse.fleet.orders import Answer, Beat, Question, Submit
+from laurelcourse.prng import Prng
 
 log = logging.getLogger(__name__)
 
@@ -110,7 +110,7 @@
         keepers: dict[str, str],
         limits: Limits,
         clock: Callable[[], int],
-        chance: Chance,
+        rng: Prng,
     ) -> None:
         """`keepers`: addresses by name. `clock`: monotonic, whole microseconds, any thread."""
         self.fleet, self.me, self.limits, self.clock = fleet, me, limits, clock
@@ -118,7 +118,7 @@
         names = tuple(self.ways)
         # Relays don't all turn to the same keeper first. A leader that was not heard is tried itself again
         # once in an order's time, which is no shorter than a lease.
-        self.routes = Routes(names, chance.below(len(names)), limits.answer)
+        self.routes = Routes(names, rng.below(len(names)), limits.answer)
         self.closed, self.said = False, ""  # who hands orders on, as logged: a change is told once
         self.lanes = {name: Lane(self, name) for name in ("submit", "renew", "ask")}
 
--- a/laurelcourse/fleet/calls/peers.py
+++ b/laurelcourse/fleet/calls/peers.py
@@ -10,13 +10,13 @@
 
 from google.protobuf.message import Message
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.forms import Done
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
 from laurelcourse.fleet.calls.ways import SECOND, Limits, UnheardError, Way
 from laurelcourse.fleet.errors import FleetError, made
 from laurelcourse.fleet.keeper import forms as keeper
+from laurelcourse.prng import Prng
 
 log = logging.getLogger(__name__)
 
@@ -28,8 +28,8 @@
 class Peer:
     """One other keeper. `lost` counts what was never brought there."""
 
-    def __init__(self, fleet: str, me: str, name: str, address: str, limits: Limits, chance: Chance) -> None:
-        self.fleet, self.me, self.name, self.limits, self.chance = fleet, me, name, limits, chance
+    def __init__(self, fleet: str, me: str, name: str, address: str, limits: Limits, rng: Prng) -> None:
+        self.fleet, self.me, self.name, self.limits, self.rng = fleet, me, name, limits, rng
         self.address = address
         self.way = Way(address, limits, fleet_pb2_grpc.KeepersStub)
         self.queue: deque[keeper.Message] = deque()
@@ -113,7 +113,7 @@
             self.lost += len(envelope.messages)
             # Grows from a beat to a call's time, scattered so that keepers don't knock in step.
             self.pause = min(max(2 * self.pause, self.limits.pause), self.limits.call)
-            self.pause -= self.chance.below(self.pause // 4 + 1)
+            self.pause -= self.rng.below(self.pause // 4 + 1)
             return error.status
         except FleetError as error:
             self.pause = self.limits.pause
@@ -123,11 +123,9 @@
 
 
 class Peers:
-    def __init__(
-        self, fleet: str, me: str, addresses: dict[str, str], limits: Limits, chance: Chance
-    ) -> None:
+    def __init__(self, fleet: str, me: str, addresses: dict[str, str], limits: Limits, rng: Prng) -> None:
         """`addresses` by keepers' names; this keeper's own is passed over."""
-        self.fleet, self.me, self.limits, self.chance = fleet, me, limits, chance
+        self.fleet, self.me, self.limits, self.rng = fleet, me, limits, rng
         self.lock = threading.Lock()
         self.peers: dict[str, Peer] = {}
         self.know(addresses)
@@ -140,8 +138,8 @@
                 del self.peers[one.name]
             for name in sorted(addresses):
                 if name != self.me and name not in self.peers:
-                    chance = Chance(self.chance.below(1 << 30))
-                    self.peers[name] = Peer(self.fleet, self.me, name, addresses[name], self.limits, chance)
+                    rng = Prng(self.rng.below(1 << 30))
+                    self.peers[name] = Peer(self.fleet, self.me, name, addresses[name], self.limits, rng)
         for one in gone:
             one.close()
 
--- a/laurelcourse/fleet/keeper/core.py
+++ b/laurelcourse/fleet/keeper/core.py
@@ -14,7 +14,6 @@
 `proving.py` older disks.
 """
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.keeper import changes, proving, snapshot
 from laurelcourse.fleet.keeper.forms import (
     CANDIDATE,
@@ -46,16 +45,15 @@
 from laurelcourse.fleet.keeper.progress import PIECES, STREAM, Progress
 from laurelcourse.fleet.keeper.proving import Marks, older
 from laurelcourse.fleet.keeper.reads import Reads
+from laurelcourse.prng import Prng
 
 NEVER = 1 << 62  # microseconds
 
 
 class Core:
-    def __init__(
-        self, me: str, bounds: Bounds, chance: Chance, kept: Kept, keepers: Keepers, now: int
-    ) -> None:
+    def __init__(self, me: str, bounds: Bounds, rng: Prng, kept: Kept, keepers: Keepers, now: int) -> None:
         """`keepers`: as the settings have them; they count only while the log and snapshot name none."""
-        self.me, self.bounds, self.chance = me, bounds, chance
+        self.me, self.bounds, self.rng = me, bounds, rng
         self.role, self.term, self.leader, self.vote = PROVING, kept.term, "", kept.vote
         self.log = Log(kept.snapshot, kept.entries, keepers)
         self.commit = self.applied = self.log.first
@@ -237,11 +235,11 @@
         self.role, self.leader = role, leader
 
     def _rearm(self, now: int) -> None:
-        self._deadline = now + self.bounds.patience + self.chance.below(self.bounds.patience)
+        self._deadline = now + self.bounds.patience + self.rng.below(self.bounds.patience)
 
     def _rearm_trial(self, now: int) -> None:
         """A trial changes nothing and may be refused only because others heard the leader a little later."""
-        self._deadline = now + (self.bounds.patience + self.chance.below(self.bounds.patience)) // 2
+        self._deadline = now + (self.bounds.patience + self.rng.below(self.bounds.patience)) // 2
 
     # Proving
 
--- a/laurelcourse/fleet/keeper/desk.py
+++ b/laurelcourse/fleet/keeper/desk.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import (
     Adopt,
@@ -36,6 +35,7 @@
 from laurelcourse.fleet.orders import Acts, Beat, Note, Question, Renewed, Share, Submit, Terms
 from laurelcourse.fleet.transfers import views as views_of_moves
 from laurelcourse.fleet.workflows import views
+from laurelcourse.prng import Prng
 
 # The leader's alone. Shrink, by whoever bears no fence, is the operators' word on a link or site.
 OWN = (Lapse, Define, Grant, Limits, Places, Recall)
@@ -109,7 +109,7 @@
         name: str,
         site: str,
         terms: Terms,
-        chance: Chance,
+        rng: Prng,
         kept: Kept,
         now: int,
         *,
@@ -122,7 +122,7 @@
         self.books, self.applied, self.since = Books(), 0, 0  # since: entries applied after a snapshot
         if kept.snapshot is not None:
             self.books, self.applied = Books.restored(kept.snapshot.data), kept.snapshot.index
-        self.core = Core(name, terms.bounds, chance, kept, terms.keepers, now)
+        self.core = Core(name, terms.bounds, rng, kept, terms.keepers, now)
         self.lead: Lead | None = None
         self.led = 0  # the term in which this keeper leads
         self.stopping = False
--- a/laurelcourse/fleet/member.py
+++ b/laurelcourse/fleet/member.py
@@ -28,16 +28,16 @@
     def __init__(self, holder: Holder, clock: Callable[[], int]) -> None:
         self.holder, self.clock = holder, clock
 
-    def could(self, _: int, name: str, key: str = "") -> bool | None:
-        return self.holder.could(self.clock(), name, key)
+    def allows(self, _: int, name: str, key: str = "") -> bool | None:
+        return self.holder.allows(self.clock(), name, key)
 
-    def take(self, _: int, name: str, key: str = "") -> bool | None:
-        return self.holder.take(self.clock(), name, key)
+    def consume(self, _: int, name: str, key: str = "") -> bool | None:
+        return self.holder.consume(self.clock(), name, key)
 
-    def back(self, _: int, name: str, key: str = "") -> None:
-        self.holder.back(self.clock(), name, key)
+    def release(self, _: int, name: str, key: str = "") -> None:
+        self.holder.release(self.clock(), name, key)
 
-    def waits(self, name: str) -> bool:
+    def waits_when_exhausted(self, name: str) -> bool:
         return name in self.holder.waiting
 
 
--- a/laurelcourse/fleet/session.py
+++ b/laurelcourse/fleet/session.py
@@ -7,10 +7,10 @@
 
 from typing import NamedTuple
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.forms import Close, Command, Done, Fence, GiveBack, Open, What
 from laurelcourse.fleet.errors import LapsedLeaseError, OverloadedError
 from laurelcourse.fleet.orders import Answer, Beat, Renewed, Share, Submit, Terms
+from laurelcourse.prng import Prng
 
 AWAY, OPENING, HELD, LAPSED = "away", "opening", "held", "lapsed"
 CLOSING, ENDED = "closing", "ended"
@@ -40,10 +40,10 @@
 
 
 class Session:
-    def __init__(self, name: str, site: str, terms: Terms, chance: Chance, now: int) -> None:
+    def __init__(self, name: str, site: str, terms: Terms, rng: Prng, now: int) -> None:
         """`chance`: seeded otherwise at each start of the process, for its `Open` must not bear the mark of
         the one before."""
-        self.name, self.site, self.terms, self.chance = name, site, terms, chance
+        self.name, self.site, self.terms, self.rng = name, site, terms, rng
         self.state = AWAY
         self.fence: Fence | None = None
         self.demands: tuple[tuple[str, int], ...] = ()  # told with each Beat, as in `orders.Beat`;
@@ -76,7 +76,7 @@
             self.found.append((self.unknown[mark], Done(code="unknown_fate", to=self.name)))
         self.unknown, self.out, self.held, self.given_back = {}, {}, {}, {}
         self.fence, self.granted_at, self.mark = None, None, 0
-        self.open_mark = 1 + self.chance.below(MARK_BOUND)
+        self.open_mark = 1 + self.rng.below(MARK_BOUND)
 
     def _look(self, now: int) -> None:
         """A pause is found out here, whoever asks first after it."""
@@ -203,7 +203,7 @@
         """Growing, and scattered, so that a fleet that lost its keepers does not come back at one instant."""
         longest = min(self.terms.beat << min(self.failures, DOUBLINGS), self.terms.lease)
         self.failures += 1
-        self.next_at = now + longest // 2 + self.chance.below(max(longest // 2, 1))
+        self.next_at = now + longest // 2 + self.rng.below(max(longest // 2, 1))
 
     def _reopen(self, now: int) -> None:
         self._turn(OPENING)
--- a/laurelcourse/fleet/transfers/plan.py
+++ b/laurelcourse/fleet/transfers/plan.py
@@ -10,8 +10,8 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.forms import Job, Stretch
+from laurelcourse.prng import Prng
 
 MILLION = 1_000_000
 BETTER = 1_100_000  # of a million: a new plan must earn so much more than the one that stands
@@ -177,14 +177,14 @@
             if best is None or earned(wants, plan) > best[0]:
                 best = earned(wants, plan), plan, free, fullest, queue
     most, plan, free, fullest, queue = best
-    chance, without = Chance(len(wants)), 0
+    rng, without = Prng(len(wants)), 0
     for _ in range(min(ROUNDS, FILLS // max(1, len(wants)))):
         out = [place for place, want in enumerate(queue) if want.job.name not in plan]
         if not out or without == IN_VAIN:
             break
         # Who was left out comes nearer to the front (squeaky wheels: Joslin, Clements 1999).
-        tried, place = list(queue), out[chance.below(len(out))]
-        tried.insert(chance.below(place + 1), tried.pop(place))
+        tried, place = list(queue), out[rng.below(len(out))]
+        tried.insert(rng.below(place + 1), tried.pop(place))
         other, left = _filled(room, tried, fullest)
         without += 1
         if earned(wants, other) >= most:
--- a/laurelcourse/fleet/wiring.py
+++ b/laurelcourse/fleet/wiring.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet import terms as settings
 from laurelcourse.fleet.budgets.holder import Holder
 from laurelcourse.fleet.calls import codec
@@ -30,9 +29,10 @@
 from laurelcourse.fleet.transfers.work import Moves
 from laurelcourse.fleet.workflows.steps import Steps
 from laurelcourse.fleet.workflows.work import Flows
-from laurelcourse.net.assembly import Host
+from laurelcourse.net.assembly import ProcessContext
 from laurelcourse.operator import meaning_workflows as meaning
 from laurelcourse.operator.form import Fleet
+from laurelcourse.prng import Prng
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +61,7 @@
                 name,
                 settings.site_of(fleet, name),
                 terms,
-                Chance(seed),
+                Prng(seed),
                 kept,
                 clock(),
                 encode=codec.packed,
@@ -70,7 +70,7 @@
 
         self.bounds = bounds
         addresses = {one.name: shown(one.address) for one in fleet.keepers}
-        self.peers = Peers(fleet.name, name, addresses, bounds, Chance(seed + 1))
+        self.peers = Peers(fleet.name, name, addresses, bounds, Prng(seed + 1))
         self.keeping = kept_in(
             folder / fleet.folder, fleet.name, name, seed, desk, self.peers.send, clock, log
         )
@@ -88,7 +88,7 @@
         self.peers.close(self.bounds.talk)
 
 
-def join(host: Host, fleet: Fleet, folder: Path, zone: str) -> None:
+def join(host: ProcessContext, fleet: Fleet, folder: Path, zone: str) -> None:
     """`folder`: where relative names start from; `zone`: this relay's site if it is a member alone."""
     terms, name, seed = settings.terms(fleet), host.config.name, host.config.seed
     bounds, ends = limits(terms), []
@@ -100,25 +100,25 @@
         {one.name: shown(one.address) for one in fleet.keepers},
         bounds,
         clock,
-        Chance(seed + 2),
+        Prng(seed + 2),
     )
     # Another chance at each start of the process, for its session must not bear the mark of the one before.
-    session = Session(name, settings.site_of(fleet, name, zone), terms, Chance(seed ^ clock()), clock())
+    session = Session(name, settings.site_of(fleet, name, zone), terms, Prng(seed ^ clock()), clock())
     letters = Letters(host.scheduler, bounds.queue)
     waiting = [one.name for one in fleet.budgets if one.when_used_up == "wait"]
     holder = Holder(session, terms.budgets, clock(), waiting)
     member = Member(host.scheduler, session, holder, client, letters, clock, host.counters)
     host.main.heed(Shares(holder, clock))
-    host.works.append(member.work)
+    host.loops.append(member.work)
     if fleet.workflows:
-        host.closing.extend(workflows(host, fleet, member, bounds))
+        host.on_close.extend(workflows(host, fleet, member, bounds))
     if fleet.sites:
-        host.closing.extend(transfers(host, fleet, member, bounds, folder))
-    host.closing.extend([lambda: member.close(bounds.talk), *ends])
+        host.on_close.extend(transfers(host, fleet, member, bounds, folder))
+    host.on_close.extend([lambda: member.close(bounds.talk), *ends])
 
 
 def transfers(
-    host: Host, fleet: Fleet, member: Member, bounds: Limits, folder: Path
+    host: ProcessContext, fleet: Fleet, member: Member, bounds: Limits, folder: Path
 ) -> list[Callable[[], None]]:
     """Transfers from this relay's site, and into it; gives what is to be called at the end."""
     name, books = host.config.name, Books(member.client, clock)
@@ -139,24 +139,28 @@
     door.start()
     doors = {one.name: tuple((each.relay, shown(each.address)) for each in one.doors) for one in fleet.sites}
     moves = Moves(member, Letters(host.scheduler, LETTERS), site.name, place, doors, books, Sending)
-    host.works.append(moves.work)
+    host.loops.append(moves.work)
     return [lambda: moves.close(bounds.talk), lambda: door.stop(bounds.talk)]
 
 
-def workflows(host: Host, fleet: Fleet, member: Member, bounds: Limits) -> list[Callable[[], None]]:
+def workflows(host: ProcessContext, fleet: Fleet, member: Member, bounds: Limits) -> list[Callable[[], None]]:
     """Workflows at this relay, and the service for their clients; gives what is to be called at the end."""
     main, routes = host.main, host.config.settings.routes
     steps = Steps(
-        host.scheduler, main.choices, main.tries, host.counters, {one.name: one.repeat for one in routes}
+        host.scheduler,
+        main.dispatcher,
+        main.tries,
+        host.counters,
+        {one.name: one.repeat_policy for one in routes},
     )
     flows = Flows(
         member,
         Letters(host.scheduler, LETTERS),
         steps,
         meaning.definitions(fleet, routes),
-        Chance(host.config.seed + 3),
+        Prng(host.config.seed + 3),
     )
-    host.works.append(flows.work)
+    host.loops.append(flows.work)
     ends = [flows.letters.close]
     if fleet.flows_port:
         service = FlowsService(flows, shown((host.config.listen[0], fleet.flows_port)), bounds)
--- a/laurelcourse/fleet/workflows/run.py
+++ b/laurelcourse/fleet/workflows/run.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books import forms as f
 from laurelcourse.fleet.books import workflows as books
 from laurelcourse.fleet.books.workflows import View
 from laurelcourse.fleet.errors import CODES, FleetError, StepStuckError, UndoStuckError
+from laurelcourse.prng import Prng
 
 FAR = 1 << 62
 
@@ -65,9 +65,9 @@
 class Run:
     __slots__ = ("_chance", "_known", "_left", "_sent", "_since", "_until", "_what", "number", "state")
 
-    def __init__(self, number: int, chance: Chance, left_at: int = FAR) -> None:
+    def __init__(self, number: int, rng: Prng, left_at: int = FAR) -> None:
         """`left_at`: by the own clock, when the client must have its answer, if before the definition's."""
-        self.number, self._chance, self._left = number, chance, left_at
+        self.number, self._chance, self._left = number, rng, left_at
         self.state = READY
         self._what: Order | None = None
         self._sent: tuple[f.Intend, int] | None = None  # the try that this run sent, and until when
--- a/laurelcourse/fleet/workflows/statements.py
+++ b/laurelcourse/fleet/workflows/statements.py
@@ -21,7 +21,7 @@
     """In the users' form; `left` in microseconds. Raises ProtocolError for what no unit would take."""
     mark = ",r=1" if again else ""
     told = f"{send.statement} /* id={send.id},c={send.route},d={left // 1000},k={send.key}{mark} */"
-    return wire.statement(told.encode())
+    return wire.parse_statement(told.encode())
 
 
 def unfit(definition: d.Definition, values: Values) -> FleetError | None:
@@ -61,6 +61,6 @@
         statement(run.Send("w1.0.do.1", "w1.0.do", send.route, text, 0), send.timeout, False)
     except (ProtocolError, UnicodeEncodeError) as error:
         if getattr(error, "code", "") == wire.OUT_OF_RANGE:
-            return f"its timeout must be from 1ms to {wire.LONGEST_WAIT_MS // 60_000}min"
+            return f"its timeout must be from 1ms to {wire.MAX_WAIT_MS // 60_000}min"
         return str(error)
     return ""
--- a/laurelcourse/fleet/workflows/steps.py
+++ b/laurelcourse/fleet/workflows/steps.py
@@ -12,11 +12,11 @@
 from laurelcourse.fleet.workflows.statements import statement
 from laurelcourse.fronts.postgres.wire import ProtocolError, Statement
 from laurelcourse.net import req
-from laurelcourse.net.choices import Choices
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.req import Lives
+from laurelcourse.net.dispatcher import Dispatcher
+from laurelcourse.net.req import ReqLifecycle
 from laurelcourse.net.scheduler import Mailbox, Scheduler
-from laurelcourse.net.tries import OUTCOME, Tries, Try
+from laurelcourse.net.tries import OUTCOME, TryRunner, UpstreamTry
 from laurelcourse.settings import NON_RETRIABLE
 
 
@@ -35,19 +35,19 @@
 class Owned:
     """Tries of reqs whose sender must have a lease at that moment."""
 
-    def __init__(self, tries: Tries) -> None:
+    def __init__(self, tries: TryRunner) -> None:
         self.tries = tries
         self.usable: dict[str, Callable[[], bool]] = {}  # by the req's name
         self.statuses: dict[str, list[str]] = {}
 
-    def begin(self, number: int, unit: int, limit: int, asked: Statement, box: Mailbox) -> Try:
+    def begin(self, number: int, unit: int, limit: int, asked: Statement, box: Mailbox) -> UpstreamTry:
         heard = Heard(box, self.statuses[asked.req])
         if not self.usable[asked.req]():
-            return self.tries.unsent(number, unit, heard)
+            return self.tries.report_unsent(number, unit, heard)
         return self.tries.begin(number, unit, limit, asked, heard)
 
-    def unsent(self, number: int, unit: int, box: Mailbox) -> Try:
-        return self.tries.unsent(number, unit, box)
+    def report_unsent(self, number: int, unit: int, box: Mailbox) -> UpstreamTry:
+        return self.tries.report_unsent(number, unit, box)
 
 
 def outcome(end: str, statuses: list[str], once: bool) -> str:
@@ -58,7 +58,7 @@
     may_have_run = [one for one in statuses if one not in face.NEVER_RAN]
     if end == req.SHED and (once or not may_have_run):
         return NEVER_RAN
-    if end == req.ERRORED and may_have_run and set(may_have_run) == {face.AT_FAULT}:
+    if end == req.ERRORED and may_have_run and set(may_have_run) == {face.CLIENT_FAULT}:
         return FAILED
     return UNKNOWN
 
@@ -67,15 +67,15 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        choices: Choices,
-        tries: Tries,
+        choices: Dispatcher,
+        tries: TryRunner,
         counters: Counters,
         repeats: dict[str, str],
     ) -> None:
         """`repeats`: of each route."""
         self.scheduler, self.counters, self.repeats = scheduler, counters, repeats
         self.tries = Owned(tries)
-        self.lives = Lives(scheduler, choices, self.tries, counters)
+        self.lifecycle = ReqLifecycle(scheduler, choices, self.tries, counters)
 
     def send(
         self, send: Send, left: int, again: bool, usable: Callable[[], bool], came: Callable[[str], None]
@@ -101,7 +101,7 @@
         box, answers = Mailbox(self.scheduler), Mailbox(self.scheduler)
         statuses = self.tries.statuses[asked.req] = []
         self.tries.usable[asked.req] = usable
-        if not self.lives.begin(asked, box, answers):
+        if not self.lifecycle.begin(asked, box, answers):
             return UNKNOWN
         try:
             _, end, _ = answers.get()
--- a/laurelcourse/fleet/workflows/takeover.py
+++ b/laurelcourse/fleet/workflows/takeover.py
@@ -9,8 +9,8 @@
 from itertools import islice
 from typing import NamedTuple
 
-from laurelcourse.chance import hashed
 from laurelcourse.fleet.books.forms import Adopt
+from laurelcourse.prng import hash_pair
 
 
 class Pace(NamedTuple):
@@ -24,9 +24,9 @@
 def weight(workflow: int, session: int) -> int:
     """Of a session for a workflow. `hashed` is linear, which would give neighbours in number one order: its
     bits are folded between two rounds."""
-    one = hashed(workflow, session)
-    two = hashed(one ^ one >> 15, session)
-    return hashed(two ^ two >> 13, workflow)
+    one = hash_pair(workflow, session)
+    two = hash_pair(one ^ one >> 15, session)
+    return hash_pair(two ^ two >> 13, workflow)
 
 
 def rank(workflow: int, live: Iterable[int], me: int) -> int:
--- a/laurelcourse/fleet/workflows/work.py
+++ b/laurelcourse/fleet/workflows/work.py
@@ -9,7 +9,6 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books import workflows as books
 from laurelcourse.fleet.books.forms import (
     COMPLETED,
@@ -37,6 +36,7 @@
 from laurelcourse.fleet.workflows import run, statements, steps, views
 from laurelcourse.fleet.workflows.definition import Definition
 from laurelcourse.fleet.workflows.takeover import Pace, Takeover
+from laurelcourse.prng import Prng
 
 if TYPE_CHECKING:
     from laurelcourse.fleet.member import Member
@@ -69,11 +69,11 @@
         letters: Letters,
         sender: steps.Steps,
         definitions: dict[str, Definition],
-        chance: Chance,
+        rng: Prng,
     ) -> None:
         """`letters`: what comes from other threads and tasks: a function and its arguments."""
         self.member, self.letters, self.sender = member, letters, sender
-        self.definitions, self.chance = definitions, chance
+        self.definitions, self.rng = definitions, rng
         self.session, self.clock, self.counters = member.session, member.clock, member.counters
         terms = member.session.terms
         self.beat, self.patience = terms.beat, 2 * terms.lease + 2 * member.client.limits.answer
@@ -428,7 +428,7 @@
         self.seen[number] = view
         if view.owner == self.me and view.state not in books.ENDED and number not in self.runs:
             self.owned_at[number] = self.clock()
-            self.runs[number] = run.Run(number, self.chance, self.by_client.get(number, run.FAR))
+            self.runs[number] = run.Run(number, self.rng, self.by_client.get(number, run.FAR))
         if view.owner == self.me and view.state == books.STUCK and number not in self.stuck:
             self.stuck.add(number)
             self.counters.add("flows.stuck")
--- a/laurelcourse/fronts/postgres/front.py
+++ b/laurelcourse/fronts/postgres/front.py
@@ -1,175 +1,184 @@
-"""The PostgreSQL front: what clients send is read, taken as reqs, and answered in order."""
+"""The PostgreSQL front: reads what clients send, takes it as reqs, and answers in order."""
 
 from laurelcourse.fronts.postgres import wire
 from laurelcourse.fronts.postgres.wire import FramingError, ProtocolError, Statement
-from laurelcourse.net.choices import Choices
+from laurelcourse.net.admission import Client, ClientAdmission
 from laurelcourse.net.config import Config
 from laurelcourse.net.connection import GOT
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.doors import Client, Doors
-from laurelcourse.net.req import COMPLETED, GONE, SHED, WITHDRAWN, Lives
+from laurelcourse.net.dispatcher import Dispatcher
+from laurelcourse.net.req import COMPLETED, GONE, SHED, WITHDRAWN, ReqLifecycle
 from laurelcourse.net.scheduler import MAIL, Mailbox, Scheduler
 from laurelcourse.settings import DEDUPED
 
-TURN = 16  # messages that one client may have answered before the others go first
+MESSAGES_PER_TURN = 16  # of one client, before others run
 
 
 class Front:
+    """Serves clients of the PostgreSQL protocol."""
+
     def __init__(
         self,
         scheduler: Scheduler,
         config: Config,
-        choices: Choices,
-        lives: Lives,
-        doors: Doors,
+        dispatcher: Dispatcher,
+        lifecycle: ReqLifecycle,
+        admission: ClientAdmission,
         counters: Counters,
     ) -> None:
-        self.scheduler, self.limits, self.choices = scheduler, config.limits, choices
-        self.lives, self.doors, self.counters = lives, doors, counters
-        self.repeats = {route.name: route.repeat for route in config.settings.routes}
+        self.scheduler, self.limits, self.dispatcher = scheduler, config.limits, dispatcher
+        self.lifecycle, self.admission, self.counters = lifecycle, admission, counters
+        self.repeat_policies = {route.name: route.repeat_policy for route in config.settings.routes}
 
     def serve(self, client: Client) -> None:
-        if not self._startup(client):
-            self.doors.silent.pop(client, None)
-        elif self.doors.begin(client):
-            self._talk(client)
+        """Serves one client until it leaves; runs in the client's own task."""
+        if not self._start_session(client):
+            self.admission.silent.pop(client, None)
+        elif self.admission.admit(client):
+            self._run_session(client)
         else:
-            # Beyond the limit a client is told so at once: one left waiting unaccepted would be lost.
-            self._hang_up(client, ProtocolError(wire.TURNED_AWAY, "too many connections"))
+            # A client beyond the limit is told so at once: one left waiting in the backlog would be lost.
+            self._close_with_error(client, ProtocolError(wire.TOO_MANY_CONNECTIONS, "too many connections"))
 
-    def _startup(self, client: Client) -> bool:
+    def _start_session(self, client: Client) -> bool:
         conn, buffer = client.conn, client.conn.buffer
-        until, refused = client.accepted + self.limits.begin, set()
+        deadline, refused = client.accepted_at + self.limits.message_time, set()
         while True:
             try:
-                found = wire.frame(buffer.data, buffer.start, buffer.end, buffer.usual, startup=True)
+                found = wire.parse_frame(
+                    buffer.data, buffer.start, buffer.end, buffer.usual_size, startup=True
+                )
                 if not found:
-                    if (reason := conn.read(until, client.box)) == MAIL:
-                        until = self.doors.told_to_stop(client)
+                    if (reason := conn.read(deadline, client.mailbox)) == MAIL:
+                        deadline = self.admission.take_stop(client)
                     elif reason != GOT:
                         return False
                     continue
                 payload = bytes(buffer.data[found.begin : found.end])
                 buffer.start = found.end
-                code = wire.code_of_startup(payload)
-                if code in (wire.SSL, wire.GSS) and code not in refused:
-                    # Each once, as at PostgreSQL's own server: thousands in a row kept the others waiting.
+                code = wire.startup_code(payload)
+                if code in (wire.SSL_REQUEST, wire.GSS_REQUEST) and code not in refused:
+                    # Each once, as PostgreSQL's own server does: thousands in a row kept the others waiting.
                     refused.add(code)
-                    if not conn.write(b"N", until):
+                    if not conn.write(b"N", deadline):
                         return False
                 elif code == wire.VERSION_3:
-                    return conn.write(wire.welcome(wire.minor_version(payload)), until)
-                elif code == wire.CANCEL:
+                    return conn.write(wire.welcome(wire.minor_version(payload)), deadline)
+                elif code == wire.CANCEL_REQUEST:
                     return False
                 else:
-                    raise ProtocolError(wire.VIOLATION, "not version 3 of the protocol")
+                    raise ProtocolError(wire.PROTOCOL_VIOLATION, "not version 3 of the protocol")
             except ProtocolError as error:
-                self._fault(client, error)
+                self._reject(client, error)
                 return False
 
-    def _talk(self, client: Client) -> None:
-        conn, buffer, skipping, turn = client.conn, client.conn.buffer, False, 0
+    def _run_session(self, client: Client) -> None:
+        conn, buffer, skipping, message_count = client.conn, client.conn.buffer, False, 0
         while True:
             try:
-                found = wire.frame(buffer.data, buffer.start, buffer.end, self.limits.message)
+                found = wire.parse_frame(buffer.data, buffer.start, buffer.end, self.limits.max_message)
                 if found is None:
-                    if not self.doors.more(client, self._unfinished):
+                    if not self.admission.wait_for_bytes(client, self._unfinished_reply):
                         return
                     continue
-                self.doors.partial.pop(client, None)
-                turn += 1
-                if turn % TURN == 0:
-                    self.scheduler.breathe()
+                self.admission.partial.pop(client, None)
+                message_count += 1
+                if message_count % MESSAGES_PER_TURN == 0:
+                    self.scheduler.yield_to_others()
                 letter = chr(found.kind)
                 if found.end > buffer.end:
-                    # Told from its head: whoever says 60 MB is not waited for.
-                    raise FramingError(wire.TOO_LONG, "a message over the limit")
+                    # Its head says that it is too long: its body is not waited for.
+                    raise FramingError(wire.LIMIT_EXCEEDED, "a message over the limit")
                 begin, buffer.start = found.begin, found.end
                 if letter == "X":
                     return
                 if letter == "S":
                     skipping = False
-                    answer = wire.READY
+                    reply = wire.READY
                 elif skipping:
                     continue
                 elif letter == "Q":
-                    answer = self._query(client, wire.text(bytes(buffer.data[begin : found.end])))
-                elif found.kind in wire.EXTENDED:
+                    sql = wire.query_text(bytes(buffer.data[begin : found.end]))
+                    reply = self._query(client, sql)
+                elif found.kind in wire.EXTENDED_QUERY_TYPES:
                     skipping = True
-                    raise ProtocolError(wire.UNSUPPORTED, "simple queries only")
+                    raise ProtocolError(wire.NOT_SUPPORTED, "simple queries only")
                 elif letter == "F":
-                    raise ProtocolError(wire.UNSUPPORTED, "no function calls")
+                    raise ProtocolError(wire.NOT_SUPPORTED, "no function calls")
                 else:
-                    raise FramingError(wire.VIOLATION, "an unknown message")
+                    raise FramingError(wire.PROTOCOL_VIOLATION, "an unknown message")
             except ProtocolError as error:
-                client.faults += 1
-                if isinstance(error, FramingError) or client.faults >= self.limits.faults:
-                    return self._fault(client, error)
-                if client.faults > 1:
-                    # One that repeats its fault at once would take the CPU from the others.
-                    self._penance(client)
-                    self.doors.faulty.pop(client, None)
-                answer = self._refuse(error) + (b"" if skipping else wire.READY)
-            if answer is None or not conn.write(answer):
+                client.faults_in_a_row += 1
+                if isinstance(error, FramingError) or client.faults_in_a_row >= self.limits.max_faults:
+                    return self._reject(client, error)
+                if client.faults_in_a_row > 1:
+                    # A client that repeats its fault at once would take the CPU from the others.
+                    self._delay_fault(client)
+                    self.admission.faulty.pop(client, None)
+                reply = self._error_reply(error) + (b"" if skipping else wire.READY)
+            if reply is None or not conn.write(reply):
                 return
 
-    def _unfinished(self) -> bytes:
-        return self._refuse(ProtocolError(wire.VIOLATION, "a message not finished in time"), fatal=True)
+    def _unfinished_reply(self) -> bytes:
+        error = ProtocolError(wire.PROTOCOL_VIOLATION, "a message not finished in time")
+        return self._error_reply(error, fatal=True)
 
-    def _refuse(self, error: ProtocolError, fatal: bool = False) -> bytes:
+    def _error_reply(self, error: ProtocolError, fatal: bool = False) -> bytes:
         self.counters.add(f"clients_faults.{error.code}")
         return wire.error(error.code, str(error), fatal=fatal)
 
-    def _fault(self, client: Client, error: ProtocolError) -> None:
-        """Hangs up on one that speaks badly, a little late: it may be back at once with the same."""
-        self._penance(client)
-        self._hang_up(client, error)
+    def _reject(self, client: Client, error: ProtocolError) -> None:
+        """Closes a client that broke the protocol, after a delay: it may reconnect at once and repeat it."""
+        self._delay_fault(client)
+        self._close_with_error(client, error)
 
-    def _penance(self, client: Client) -> None:
-        """A wait, in which its place is the first to go to another."""
-        self.doors.faulty[client] = self.scheduler.now()
-        self.scheduler.sleep(self.limits.penance)
+    def _delay_fault(self, client: Client) -> None:
+        """Waits; meanwhile this client is the first to be closed if room is needed."""
+        self.admission.faulty[client] = self.scheduler.now()
+        self.scheduler.sleep(self.limits.fault_delay)
 
-    def _hang_up(self, client: Client, error: ProtocolError) -> None:
-        self.doors.hang_up(client, self._refuse(error, fatal=True))
+    def _close_with_error(self, client: Client, error: ProtocolError) -> None:
+        self.admission.close_with_reply(client, self._error_reply(error, fatal=True))
 
     def _query(self, client: Client, sql: bytes) -> bytes | None:
         if not sql.strip(b" ;\n\r\t"):
-            if not self.choices.holds_list:
-                raise ProtocolError(wire.STARTING, "no list of units yet")
-            client.heard = True
+            if not self.dispatcher.has_unit_list:
+                raise ProtocolError(wire.CANNOT_CONNECT_NOW, "no list of units yet")
+            client.has_spoken = True
             return wire.EMPTY + wire.READY
-        statement = wire.statement(sql)
+        statement = wire.parse_statement(sql)
         del sql  # as large as the statement, which is kept until the req has ended
-        if statement.route not in self.repeats:
-            raise ProtocolError(wire.BAD_VALUE, "c names no class that is served here")
-        if self.repeats[statement.route] == DEDUPED and not statement.mark:
-            raise ProtocolError(wire.BAD_VALUE, "the comment lacks k")
-        if self.doors.cut_off(statement.left_ms * 1000):
-            # Asked ahead, or first on a new connection: shed while that can still be told.
+        if statement.route not in self.repeat_policies:
+            raise ProtocolError(wire.INVALID_VALUE, "c names no class that is served here")
+        if self.repeat_policies[statement.route] == DEDUPED and not statement.mark:
+            raise ProtocolError(wire.INVALID_VALUE, "the comment lacks k")
+        if self.admission.may_be_killed_before(statement.left_ms * 1000):
+            # Pipelined, or first on a new connection: shed while the client can still be told.
             self.counters.add(f"reqs.{statement.route}.{SHED}")
-            return self._words(SHED, 0) + wire.READY
-        return self._await(client, statement)
+            return self._final_reply(SHED, 0) + wire.READY
+        return self._wait_for_answer(client, statement)
 
-    def _await(self, client: Client, statement: Statement) -> bytes | None:
-        """The answer to a req, with an eye on the client meanwhile; None if it went away."""
-        if client.conn.left():
-            # Read late, or from behind others: nothing is sent on for one that had gone before its first try.
+    def _wait_for_answer(self, client: Client, statement: Statement) -> bytes | None:
+        """Returns the reply to a req, or None if the client left meanwhile."""
+        if client.conn.peer_has_closed():
+            # The req was read late: nothing is sent for a client that left before the first try.
             self.counters.add(f"reqs.{statement.route}.{WITHDRAWN}")
             return None
-        box = Mailbox(self.scheduler)
-        if not self.lives.begin(statement, box, client.box, client.conn.left):
-            raise ProtocolError(wire.BAD_VALUE, "id is that of a req under way")
-        client.heard, client.faults = True, 0
-        if word := self.doors.word(client):
-            _, end, told = word
-            return self._words(end, told) + wire.READY
-        box.put((GONE,))
+        mailbox = Mailbox(self.scheduler)
+        if not self.lifecycle.begin(statement, mailbox, client.mailbox, client.conn.peer_has_closed):
+            raise ProtocolError(wire.INVALID_VALUE, "id is that of a req under way")
+        client.has_spoken, client.faults_in_a_row = True, 0
+        if message := self.admission.next_message(client):
+            _, end, value = message
+            return self._final_reply(end, value) + wire.READY
+        mailbox.put((GONE,))
         return None
 
-    def _words(self, end: str, told: bytes | int | None) -> bytes:
-        """A req's final answer: the row as it came, or an error with the time to come back."""
+    def _final_reply(self, end: str, value: bytes | int | None) -> bytes:
+        """Returns a req's final answer: the row as it came, or an error with the time to retry after."""
         if end == COMPLETED:
-            return told
-        code, back = (wire.TURNED_AWAY, told // 1000) if end == SHED else (wire.SYSTEM, 0)
-        return wire.error(code, end, back)
+            return value
+        code, retry_after_ms = (
+            (wire.TOO_MANY_CONNECTIONS, value // 1000) if end == SHED else (wire.SYSTEM_ERROR, 0)
+        )
+        return wire.error(code, end, retry_after_ms)
--- a/laurelcourse/fronts/tuf/decide_fresh.py
+++ b/laurelcourse/fronts/tuf/decide_fresh.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from laurelcourse.chance import Chance
+from laurelcourse.prng import Prng
 
 # What to do with one who asks for the newest metadata.
 GIVE, BEGIN, JOIN, REFUSE = "give", "begin", "join", "refuse"
@@ -25,8 +25,8 @@
     Ten thousand who ask at once share one refresh, and its failure too: until the pause is over nobody's
     asking makes another."""
 
-    def __init__(self, bounds: Bounds, chance: Chance) -> None:
-        self.bounds, self.chance = bounds, chance
+    def __init__(self, bounds: Bounds, rng: Prng) -> None:
+        self.bounds, self.rng = bounds, rng
         self.proven_at: int | None = None  # when a mirror last bore out what is held
         self.began: int | None = None
         self.pause = self.not_before = 0
@@ -76,7 +76,7 @@
         many = MOST_PAUSES if usable else MOST_EMPTY
         least, most = self.bounds.ask_again * FEWEST_PAUSES, self.bounds.ask_again * many
         self.pause = min(max(2 * self.pause, least), most)
-        self.not_before = now + self.pause // 2 + self.chance.below(max(self.pause // 2, 1))
+        self.not_before = now + self.pause // 2 + self.rng.below(max(self.pause // 2, 1))
 
     def come_back(self, now: int) -> int:
         """When one who was refused may ask again with some hope."""
--- a/laurelcourse/fronts/tuf/exchange.py
+++ b/laurelcourse/fronts/tuf/exchange.py
@@ -15,7 +15,7 @@
 from laurelcourse.net.connection import GOT, Connection
 from laurelcourse.net.counters import Counters
 from laurelcourse.net.scheduler import LATE, MAIL, Mailbox, Scheduler
-from laurelcourse.net.tries import NONSENSE
+from laurelcourse.net.tries import MALFORMED
 from laurelcourse.operator.form import MANIFEST, METADATA, TARGET, Limits
 
 PART = "part"
@@ -155,7 +155,7 @@
         except h11.RemoteProtocolError as error:
             self.counters.add("mirrors_nonsense")
             log.debug("a mirror speaks nonsense: %s", error)
-            return NONSENSE
+            return MALFORMED
 
     # -- one kind of question each
 
@@ -200,7 +200,7 @@
                 return event
             found += event.data
             if len(found) > MOST_ANSWER:
-                return NONSENSE
+                return MALFORMED
         self._over(answer)
         if status >= 500 or status < 200:
             answer.ended = face.FAILED
--- a/laurelcourse/fronts/tuf/front.py
+++ b/laurelcourse/fronts/tuf/front.py
@@ -15,11 +15,11 @@
 from laurelcourse.fronts.tuf.transfer import Blocks, Transfer
 from laurelcourse.fronts.tuf.trust import MOST_ROLES, View
 from laurelcourse.fronts.tuf.uptane import ManifestError, Reports
+from laurelcourse.net.admission import Client, ClientAdmission
 from laurelcourse.net.connection import GOT
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.doors import Client, Doors
 from laurelcourse.net.limits import Limits
-from laurelcourse.net.req import ANSWER, COMPLETED, GONE, SHED, WITHDRAWN, Lives
+from laurelcourse.net.req import ANSWER, COMPLETED, GONE, SHED, WITHDRAWN, ReqLifecycle
 from laurelcourse.net.scheduler import Mailbox, Scheduler
 from laurelcourse.operator.form import MANIFEST, TARGET, Tuf
 
@@ -46,8 +46,8 @@
         scheduler: Scheduler,
         limits: Limits,
         settings: Tuf,
-        lives: Lives,
-        doors: Doors,
+        lives: ReqLifecycle,
+        doors: ClientAdmission,
         repositories: dict[str, Repository],
         room: Room,
         blocks: Blocks,
@@ -55,8 +55,8 @@
         counters: Counters,
     ) -> None:
         """`name` gives a req's name."""
-        self.scheduler, self.limits, self.settings, self.lives = scheduler, limits, settings, lives
-        self.doors, self.repositories, self.room, self.blocks = doors, repositories, room, blocks
+        self.scheduler, self.limits, self.settings, self.lifecycle = scheduler, limits, settings, lives
+        self.admission, self.repositories, self.room, self.blocks = doors, repositories, room, blocks
         self.name, self.counters = name, counters
         self.timeouts = {route.name: route.timeout for route in settings.routes}
         two = settings.uptane
@@ -69,10 +69,10 @@
         pins: dict[str, View | None] = {}
         began = False
         while (head := self._head(client)) is not None:
-            if not began and not self.doors.begin(client):
+            if not began and not self.admission.admit(client):
                 self._say(client, head._replace(stays=False), 503, "too many connections", LATER)
                 return
-            began = client.heard = True
+            began = client.has_spoken = True
             self.counters.add("asked")
             try:
                 stays = self._answer(client, head, pins)
@@ -84,7 +84,7 @@
                 self.counters.add("refused")
                 stays = self._say(client, head, 503, str(error), error.back)
             if not stays:
-                client.conn.close_gently(self.scheduler.now() + self.limits.stop_drain)
+                client.conn.close_gracefully(self.scheduler.now() + self.limits.stop_drain)
                 return
 
     def _head(self, client: Client) -> Head | None:
@@ -93,10 +93,10 @@
             try:
                 end = http.end_of_head(buffer.data, buffer.start, buffer.end)
                 if end is None:
-                    if not self.doors.more(client, self._unfinished, self.limits.idle):
+                    if not self.admission.wait_for_bytes(client, self._unfinished, self.limits.max_idle):
                         return None
                     continue
-                self.doors.partial.pop(client, None)
+                self.admission.partial.pop(client, None)
                 raw = bytes(buffer.data[buffer.start : end])
                 buffer.start = end
                 head = http.head(raw)
@@ -108,8 +108,10 @@
                 # What follows can't be told apart any more.
                 self.counters.add(f"clients_faults.{error.status}")
                 words = str(error).encode() + b"\n"
-                self.doors.faulty[client] = self.scheduler.now()
-                self.doors.hang_up(client, http.answer(None, error.status, {}, len(words), False) + words)
+                self.admission.faulty[client] = self.scheduler.now()
+                self.admission.close_with_reply(
+                    client, http.answer(None, error.status, {}, len(words), False) + words
+                )
                 return None
 
     def _unfinished(self) -> bytes:
@@ -260,11 +262,11 @@
         timeout = self.timeouts[TARGET]
         due = self.scheduler.now() + timeout
         acks, box = Mailbox(self.scheduler), Mailbox(self.scheduler)
-        asked = Download(self.name(), head.path, timeout // 1000, moving, older, client.box, acks, doubt)
-        self.lives.begin(asked, box, client.box)
+        asked = Download(self.name(), head.path, timeout // 1000, moving, older, client.mailbox, acks, doubt)
+        self.lifecycle.begin(asked, box, client.mailbox)
         reader = Pace(self.settings.limits.floor, READER_PATIENCE * self.settings.limits.floor_over)
         begun, stays = False, head.stays
-        while word := self.doors.word(client):
+        while word := self.admission.next_message(client):
             what, *rest = word
             if what == PART:
                 raw = b""
@@ -298,7 +300,7 @@
     def _left(self, client: Client, route: str) -> bool:
         """Whether a client had gone before its req was begun, asked right before that: what it asked ahead
         is read late, and is sent on for nobody."""
-        if not client.conn.left():
+        if not client.conn.peer_has_closed():
             return False
         self.counters.add("clients_left")
         self.counters.add(f"reqs.{route}.{WITHDRAWN}")
@@ -348,7 +350,7 @@
     def _body(self, client: Client, head: Head) -> bytes | None:
         """A manifest's bytes within the time that an unfinished message has; None if they stay out."""
         conn, found = client.conn, bytearray()
-        until = self.scheduler.now() + self.limits.begin
+        until = self.scheduler.now() + self.limits.message_time
         if head.fields.get("expect", "").lower() == "100-continue":
             conn.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         while True:
@@ -359,7 +361,7 @@
                 return bytes(found)
             if conn.read(until) != GOT:
                 self.counters.add("clients_faults.408")
-                self.doors.hang_up(client, self._unfinished())
+                self.admission.close_with_reply(client, self._unfinished())
                 return None
 
     def _report(self, client: Client, head: Head, key: bytes, body: bytes) -> bool:
@@ -367,9 +369,9 @@
         kind = head.fields.get("content-type", "application/json")
         asked = Report(self.name(), head.path, self.timeouts[MANIFEST] // 1000, body, kind)
         ended = uptane.LOST  # unless an answer says more
-        self.lives.begin(asked, box, client.box)
+        self.lifecycle.begin(asked, box, client.mailbox)
         try:
-            while word := self.doors.word(client):
+            while word := self.admission.next_message(client):
                 what, *rest = word
                 if what != ANSWER:
                     continue
--- a/laurelcourse/fronts/tuf/listing.py
+++ b/laurelcourse/fronts/tuf/listing.py
@@ -7,9 +7,9 @@
 from laurelcourse.fronts.tuf.decide_mirrors import Mirrors
 from laurelcourse.fronts.tuf.decide_room import Room
 from laurelcourse.fronts.tuf.trust import PROVEN, SAME, STRANGE, WRONG, Offer
-from laurelcourse.net.choices import Choices
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.forms import State, Tally
+from laurelcourse.net.dispatcher import Dispatcher
+from laurelcourse.net.payloads import BuildState, Tally
 from laurelcourse.net.scheduler import Scheduler
 from laurelcourse.operator.form import METADATA
 
@@ -20,14 +20,14 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        choices: Choices,
+        choices: Dispatcher,
         mirrors: Mirrors,
         room: Room,
         counters: Counters,
         left: Callable[[int], None],
     ) -> None:
         """`left` hears of a mirror that drains or is withdrawn."""
-        self.scheduler, self.choices, self.mirrors, self.room = scheduler, choices, mirrors, room
+        self.scheduler, self.dispatcher, self.mirrors, self.room = scheduler, choices, mirrors, room
         self.counters, self.left = counters, left
         self.entries: dict[int, face.Listed] = {}
         self.trial = -1  # the build on trial, as last told
@@ -35,27 +35,27 @@
     def directory(self, how: str, entries: Iterable[face.Listed]) -> None:
         """The directory's news, as `Choices.directory` hears it."""
         entries = list(entries)
-        if how == face.BROKEN:
-            self.choices.directory(how, entries)
+        if how == face.WATCH_BROKEN:
+            self.dispatcher.directory(how, entries)
             return
         before = {unit for unit, one in self.entries.items() if one.health == face.READY}
         told = {one.unit: one for one in entries}
         self.entries = told if how != face.CHANGES else self.entries | told
         ready = {unit: one.build for unit, one in self.entries.items() if one.health == face.READY}
         self.mirrors.listed(ready)
-        self.choices.directory(how, [self._masked(one) for one in entries])
+        self.dispatcher.directory(how, [self._masked(one) for one in entries])
         for unit in before - ready.keys():
             self.left(unit)
         self.entries = {unit: one for unit, one in self.entries.items() if one.health != face.GONE}
 
-    def stage(self, news: State, vote_ended: str | None = None) -> None:
+    def stage(self, news: BuildState, vote_status: str | None = None) -> None:
         """The deployer's news, as `Choices.stage` hears it."""
-        if vote_ended in (None, face.COUNTED):
+        if vote_status in (None, face.COUNTED):
             self.trial = news.build if news.standing == face.ON_TRIAL else -1
-        self.choices.stage(news, vote_ended)
+        self.dispatcher.stage(news, vote_status)
 
     def tally(self, found: Tally) -> None:
-        self.choices.tally(found)
+        self.dispatcher.tally(found)
 
     def _masked(self, one: face.Listed) -> face.Listed:
         masked = self.mirrors.rests(self.scheduler.now(), one.unit) or self.room.full(one.unit)
@@ -63,7 +63,7 @@
 
     def _tell(self, unit: int) -> None:
         if unit in self.entries:
-            self.choices.directory(face.CHANGES, [self._masked(self.entries[unit])])
+            self.dispatcher.directory(face.CHANGES, [self._masked(self.entries[unit])])
 
     def full(self, unit: int, begins: bool) -> None:
         """A part of a file begins or ends at a mirror."""
@@ -98,4 +98,4 @@
         else:
             log.debug("a mirror is not believed: %s", offer.why)
         if lies and mirrors.tells_against_build(now, unit):
-            self.choices.complaint(unit, 0, route)
+            self.dispatcher.complaint(unit, 0, route)
--- a/laurelcourse/fronts/tuf/repository.py
+++ b/laurelcourse/fronts/tuf/repository.py
@@ -4,7 +4,6 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from laurelcourse.chance import Chance
 from laurelcourse.fronts.tuf import decide_fresh
 from laurelcourse.fronts.tuf.decide_fresh import Freshness
 from laurelcourse.fronts.tuf.exchange import Fetch
@@ -23,8 +22,9 @@
     Want,
 )
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.req import ANSWER, COMPLETED, SHED, Lives
+from laurelcourse.net.req import ANSWER, COMPLETED, SHED, ReqLifecycle
 from laurelcourse.net.scheduler import Mailbox, Scheduler
+from laurelcourse.prng import Prng
 
 log = logging.getLogger(__name__)
 
@@ -64,17 +64,17 @@
         bounds: decide_fresh.Bounds,
         timeout: int,
         scheduler: Scheduler,
-        lives: Lives,
+        lives: ReqLifecycle,
         names: Callable[[], str],
-        chance: Chance,
+        rng: Prng,
         counters: Counters,
         adopted: Callable[["Repository"], None],
     ) -> None:
         """`names` gives a req's name; `adopted` hears of each newer view."""
         self.name, self.prefix, self.trust, self.timeout = name, prefix, trust, timeout
-        self.scheduler, self.lives, self.names, self.counters = scheduler, lives, names, counters
+        self.scheduler, self.lifecycle, self.names, self.counters = scheduler, lives, names, counters
         self.adopted = adopted
-        self.fresh = Freshness(bounds, chance)
+        self.fresh = Freshness(bounds, rng)
         self.refreshing: Shared | None = None
         self.ahead_since = 0  # when later roots came that no whole view is proven under
         self.roles: dict[str, Shared] = {}
@@ -242,7 +242,7 @@
         box, answers = Mailbox(self.scheduler), Mailbox(self.scheduler)
         self.counters.add(f"asked.{want.role if want.role in (ROOT, TIMESTAMP) else 'other'}")
         fetch = Fetch(self.names(), self.prefix + want.name, left, want.most, judge)
-        self.lives.begin(fetch, box, answers)
+        self.lifecycle.begin(fetch, box, answers)
         what, end, told = answers.get()
         self.back = told if what == ANSWER and end == SHED and told else decide_fresh.COME_BACK_LEAST
         return end == COMPLETED
--- a/laurelcourse/fronts/tuf/wiring.py
+++ b/laurelcourse/fronts/tuf/wiring.py
@@ -6,7 +6,6 @@
 
 from laurelcourse import interface as face
 from laurelcourse import settings as known
-from laurelcourse.chance import Chance
 from laurelcourse.fronts.tuf import decide_fresh, decide_mirrors, decide_room, kept
 from laurelcourse.fronts.tuf.exchange import Exchange
 from laurelcourse.fronts.tuf.front import Front
@@ -14,14 +13,15 @@
 from laurelcourse.fronts.tuf.repository import Repository
 from laurelcourse.fronts.tuf.transfer import Blocks
 from laurelcourse.fronts.tuf.trust import Trust, TrustError
-from laurelcourse.net import forms
-from laurelcourse.net.assembly import Assembly, Host
-from laurelcourse.net.choices import Choices
+from laurelcourse.net import payloads
+from laurelcourse.net.assembly import Assembly, ProcessContext
 from laurelcourse.net.config import Config, ConfigError
 from laurelcourse.net.deployer import Deployer
 from laurelcourse.net.directory import Directory
-from laurelcourse.net.forms import Members, State
+from laurelcourse.net.dispatcher import Dispatcher
+from laurelcourse.net.payloads import BuildState, UnitList
 from laurelcourse.operator.form import MANIFEST, METADATA, TARGET, Tuf
+from laurelcourse.prng import Prng
 
 MEMORY_SHARE = 64  # of the relay's memory: hashes of blocks
 HASH_BYTES = 80  # about what one takes, its place in a tuple included
@@ -61,24 +61,24 @@
         max_tries=front.tries,
         may_duplicate=False,
         may_probe=False,
-        may_tell=False,
-        must_ask=False,
-        keys_stay=False,
-        shielded=0,
+        may_message_peers=False,
+        must_poll=False,
+        sticky_keys=False,
+        protected_stages=0,
         complaint_share=1.0,
     )
     if front.release is None:
         return found
     release = front.release
     return found._replace(
-        cap_free=release.free,
+        cap_free_tries=release.free,
         cap_window=release.window,
         stage_caps=release.caps,
         stage_shares=release.shares,
-        bake=release.bake,
-        control=known.ANY,
-        votes_on=1,
-        votes_back=1,
+        min_stage_time=release.bake,
+        release_control=known.ANY,
+        votes_to_advance=1,
+        votes_to_roll_back=1,
     )
 
 
@@ -87,7 +87,9 @@
     share, limits, release = fronts + 1, base.limits, front.release
     entries = [
         (
-            face.Listed(forms.number(one.name), one.zone, 0, one.build, face.READY, 1.0, face.LONG_AGO),
+            face.Listed(
+                payloads.unit_number(one.name), one.zone, 0, one.build, face.READY, 1.0, face.START_UNKNOWN_US
+            ),
             one.address,
         )
         for one in front.mirrors.listed
@@ -98,16 +100,16 @@
         listen=front.listen,
         directory=front.mirrors.directory or base.directory,
         deployer=release.deployer if release else base.deployer,
-        news=State(newest, len(decided.stage_caps) - 1, face.RELEASED, 1.0, 0),
-        known=Members(0, True, entries),
+        news=BuildState(newest, len(decided.stage_caps) - 1, face.RELEASED, 1.0, 0),
+        known=UnitList(0, True, entries),
         load_told=False,
         settings=decided,
         limits=limits._replace(
-            clients=limits.clients // share,
-            roomy=limits.roomy // share,
-            crowd=max(limits.crowd // share, 1),
-            upstream=max(limits.upstream // share, 8),
-            unfinished=limits.unfinished // share,
+            max_clients=limits.max_clients // share,
+            make_room_from=limits.make_room_from // share,
+            max_rejected=max(limits.max_rejected // share, 1),
+            max_upstream=max(limits.max_upstream // share, 8),
+            unfinished_bytes=limits.unfinished_bytes // share,
         ),
     )
 
@@ -117,10 +119,10 @@
     logging.getLogger(name_of_library).setLevel(logging.ERROR)
 
 
-def assemble(relay: Host, front: Tuf, fronts: int, folder: Path) -> Assembly:
+def assemble(relay: ProcessContext, front: Tuf, fronts: int, folder: Path) -> Assembly:
     """`folder`: where relative names of files start from."""
     scheduler, own = relay.scheduler, config(relay.config, front, fronts)
-    counters = relay.counters.under(front.name)
+    counters = relay.counters.with_prefix(front.name)
     mirrors = decide_mirrors.Mirrors(decide_mirrors.Bounds(*front.rests[1:]))
     limits = front.limits
     room = decide_room.Room(
@@ -129,7 +131,7 @@
     objectives = {one.name: one.objective for one in front.routes}
     made: list[Listing] = []
 
-    def exchange(choices: Choices) -> Exchange:
+    def exchange(choices: Dispatcher) -> Exchange:
         found = Exchange(
             scheduler,
             limits,
@@ -144,14 +146,14 @@
         return found
 
     # One read takes half a chunk: a file in smaller pieces costs a turn of the scheduler each.
-    upstream = own.limits._replace(buffer_usual=max(limits.chunk // 2, own.limits.buffer_usual))
+    upstream = own.limits._replace(usual_buffer=max(limits.chunk // 2, own.limits.usual_buffer))
     found = Assembly(scheduler, own, counters, exchange, upstream)
     listing = made[0]
-    found.listing = listing
+    found.directory_listener = listing
     if front.mirrors.directory:
-        found.follow(Directory(scheduler, own, listing, found.pool, counters))
+        found.use_directory(Directory(scheduler, own, listing, found.pool, counters))
     if front.release:
-        found.hear(Deployer(scheduler, own, listing, counters))
+        found.use_deployer(Deployer(scheduler, own, listing, counters))
     number = itertools.count(1)
 
     def name() -> str:
@@ -159,7 +161,7 @@
 
     keeper = kept.Keeper(Path(front.folder)) if front.folder else None
     if keeper:
-        relay.closing.append(keeper.close)
+        relay.on_close.append(keeper.close)
 
     def adopted(one: Repository) -> None:
         if keeper:
@@ -169,7 +171,7 @@
     bounds = decide_fresh.Bounds(*front.freshness[1:], objectives[METADATA])
     repositories = {}
     for place, one in enumerate(front.repositories):
-        chance = Chance(relay.config.seed + place)
+        rng = Prng(relay.config.seed + place)
         trust = _trust(folder / one.root, one.name, limits.metadata)
         repositories[one.name] = repository = Repository(
             one.name,
@@ -178,17 +180,26 @@
             bounds,
             timeouts[METADATA],
             scheduler,
-            found.lives,
+            found.lifecycle,
             name,
-            chance,
+            rng,
             counters,
             adopted,
         )
         if keeper and (state := keeper.read(one.name)):
             _restore(repository, state, scheduler.now())
-    blocks = Blocks(limits.chunk, relay.config.limits.unfinished * 16 // MEMORY_SHARE // HASH_BYTES)
+    blocks = Blocks(limits.chunk, relay.config.limits.unfinished_bytes * 16 // MEMORY_SHARE // HASH_BYTES)
     found.front = Front(
-        scheduler, own.limits, front, found.lives, found.doors, repositories, room, blocks, name, counters
+        scheduler,
+        own.limits,
+        front,
+        found.lifecycle,
+        found.admission,
+        repositories,
+        room,
+        blocks,
+        name,
+        counters,
     )
     return found
 
--- a/laurelcourse/lab/budgets.py
+++ b/laurelcourse/lab/budgets.py
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 from laurelcourse import interface as face
-from laurelcourse.chance import Chance
 from laurelcourse.lab import budgets_seen as seen
 from laurelcourse.lab import faults
 from laurelcourse.lab.budgets_seen import Caller, Span, Unit
 from laurelcourse.lab.host import Host
 from laurelcourse.lab.process import RelayProcess
 from laurelcourse.lab.report import Check, Progress, Report, part
+from laurelcourse.prng import Prng
 from laurelcourse.standins import way
 from laurelcourse.standins.base import RELAY, until
 from laurelcourse.standins.deployer import DeployerStand
@@ -113,7 +113,7 @@
     """The fleet's run. What befell whom, and when, is noted for the checks."""
 
     def __init__(self, seed: int, folder: Path, broken: str, progress: Progress, short: bool) -> None:
-        self.chance, self.progress, self.short = Chance(seed), progress, short
+        self.rng, self.progress, self.short = Prng(seed), progress, short
         self.stage = Stage(seed)
         self.host = Host(
             folder,
@@ -207,8 +207,8 @@
     def _woken(self) -> None:
         """One is cut off and paused for longer than a lease, wakes, and is heard of again only later. One
         more is only cut off."""
-        woken, cut = ("m1", "m2") if self.chance.below(2) else ("m2", "m1")
-        mode = Mode((way.CUT, way.SILENT, way.HALF_OPEN)[self.chance.below(3)])
+        woken, cut = ("m1", "m2") if self.rng.below(2) else ("m2", "m1")
+        mode = Mode((way.CUT, way.SILENT, way.HALF_OPEN)[self.rng.below(3)])
         self._say(f"{woken} has its shares and is paused, {cut} cut off ({mode.kind})")
         self.stage.demand(woken)
         time.sleep(LEASE)
@@ -234,7 +234,7 @@
     def _no_quorum(self) -> None:
         """No keeper hears another: at every relay the lease ends, and it serves on."""
         pairs = [(one, other) for one in KEEPERS for other in KEEPERS if one < other]
-        mode = Mode((way.CUT, way.SILENT)[self.chance.below(2)])
+        mode = Mode((way.CUT, way.SILENT)[self.rng.below(2)])
         self.stage.demand("m1")
         time.sleep(LEASE)
         self._say(f"the quorum is lost ({mode.kind})")
--- a/laurelcourse/lab/budgets_seen.py
+++ b/laurelcourse/lab/budgets_seen.py
@@ -9,7 +9,7 @@
 import time
 from typing import BinaryIO, NamedTuple
 
-from laurelcourse.chance import Chance
+from laurelcourse.prng import Prng
 from laurelcourse.standins.base import exactly
 from laurelcourse.standins.postgres import IDLE, UNIT_ANSWERS, PgClient, UnitStand, message, pg, sql
 
@@ -31,7 +31,7 @@
     """Notes when connections came and went, refuses some reqs, ends each connection after a few."""
 
     def __init__(self, seed: int) -> None:
-        self.chance, self.moves, self.refused = Chance(seed), [], []
+        self.rng, self.moves, self.refused = Prng(seed), [], []
         super().__init__()
 
     def serve(self, conn: socket.socket, stream: BinaryIO) -> None:
@@ -46,7 +46,7 @@
                 self.queries.append(body[:-1].decode())
                 self.times.append(time.monotonic())
                 time.sleep(WORK)
-                busy = self.chance.share() < BUSY
+                busy = self.rng.fraction() < BUSY
                 if busy:
                     self.refused.append((time.monotonic(), self.queries[-1]))
                 conn.sendall(UNIT_ANSWERS["busy" if busy else "ok"])
@@ -69,7 +69,7 @@
     """A client of one relay, one req at a time; `pace` is its usual pause."""
 
     def __init__(self, seed: int, relay: str, port: int, pace: float) -> None:
-        self.relay, self.port, self.pace, self.chance = relay, port, pace, Chance(seed)
+        self.relay, self.port, self.pace, self.rng = relay, port, pace, Prng(seed)
         self.asked: list[Asked] = []
         self.unasked, self.over = 0, threading.Event()
         self.thread = threading.Thread(target=self._work, daemon=True)
@@ -78,9 +78,9 @@
     def _work(self) -> None:
         client = None
         # In short steps, so that another pace is heeded at once.
-        while not self.over.wait(min(self.pace, STEP) * (0.5 + self.chance.share())):
+        while not self.over.wait(min(self.pace, STEP) * (0.5 + self.rng.fraction())):
             with contextlib.suppress(OSError, EOFError):
-                if self.chance.share() * self.pace <= STEP:
+                if self.rng.fraction() * self.pace <= STEP:
                     client = client or PgClient(self.port)
                     self._ask(client)
                 continue
--- a/laurelcourse/lab/faults.py
+++ b/laurelcourse/lab/faults.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-from laurelcourse.chance import Chance
+from laurelcourse.prng import Prng
 
 KILL, RESTART = "kill", "restart"  # at once, nothing written any more; started anew
 PAUSE, WAKE = "pause", "wake"  # SIGSTOP, SIGCONT
@@ -83,12 +83,12 @@
 def script(seed: int, plan: Plan) -> tuple[Fault, ...]:
     """Faults and their ends in order. Every fault has ended when the last `QUIET`th of the time begins, but
     for wrong clocks, which are put right one after the other in the first half of it."""
-    return _Writer(Chance(seed), plan).write()
+    return _Writer(Prng(seed), plan).write()
 
 
 class _Writer:
-    def __init__(self, chance: Chance, plan: Plan) -> None:
-        self.chance, self.plan = chance, plan
+    def __init__(self, rng: Prng, plan: Plan) -> None:
+        self.rng, self.plan = rng, plan
         self.keepers = [name for name, _ in plan.keepers]
         self.members = [name for name, _ in plan.members]
         self.sites = dict((*plan.keepers, *plan.members))
@@ -102,7 +102,7 @@
         plan = self.plan
         last, now = plan.lasts - plan.lasts // QUIET, 0
         while True:
-            now += plan.gap // 2 + self.chance.below(plan.gap)
+            now += plan.gap // 2 + self.rng.below(plan.gap)
             if now >= last:
                 return self._ordered(last)
             for _ in range(TRIES):
@@ -137,7 +137,7 @@
         return True
 
     def _one(self, of: tuple | list) -> str:
-        return of[self.chance.below(len(of))]
+        return of[self.rng.below(len(of))]
 
     def _who(self, kind: str) -> tuple[str, ...]:
         if kind == KILL_LEADER:
@@ -157,7 +157,7 @@
         if not others:
             return ()
         pair = (one, self._one(others))
-        return pair if kind == DEAF and self.chance.below(2) else tuple(reversed(pair))
+        return pair if kind == DEAF and self.rng.below(2) else tuple(reversed(pair))
 
     def _lasts(self, kind: str) -> int:
         lease = self.plan.lease
@@ -165,16 +165,16 @@
             return self._one((1, lease // 4, lease + lease // 2))
         if kind == PAUSE:
             return self._one((lease // 4, lease + lease // 4, 2 * lease))
-        return lease // 2 + self.chance.below(lease + lease // 2)
+        return lease // 2 + self.rng.below(lease + lease // 2)
 
     def _figures(self, kind: str) -> tuple[int, int]:
-        chance, lease = self.chance, self.plan.lease
+        rng, lease = self.rng, self.plan.lease
         if kind == SLOW:
-            return lease // 100 + chance.below(lease // 20 + 1), 16 << 10 << chance.below(4)
+            return lease // 100 + rng.below(lease // 20 + 1), 16 << 10 << rng.below(4)
         if kind == FLAP:
-            return lease // 40 + chance.below(lease // 4 + 1), 0
+            return lease // 40 + rng.below(lease // 4 + 1), 0
         if kind == WRONG_CLOCK:
-            return chance.below(7200) * 1_000_000 - 3_600_000_000, chance.below(
+            return rng.below(7200) * 1_000_000 - 3_600_000_000, rng.below(
                 self.plan.drift
             ) - self.plan.drift // 2
         return 0, 0
--- a/laurelcourse/lab/fleet.py
+++ b/laurelcourse/lab/fleet.py
@@ -4,8 +4,8 @@
 import time
 from collections.abc import Callable
 
-from laurelcourse.chance import Chance
 from laurelcourse.lab.report import Progress
+from laurelcourse.prng import Prng
 from laurelcourse.standins.base import Stand
 from laurelcourse.standins.deployer import Rollout
 from laurelcourse.standins.directory import DirectoryStand
@@ -33,7 +33,7 @@
         gives way is listed as draining for `drain` seconds."""
         self.drain = drain
         self.directory, self.count, self.shares, self.make = directory, count, shares, make
-        self.chance = Chance(seed)
+        self.rng = Prng(seed)
         self.ready: list[Machine] = []
         self.all: list[Machine] = []
         self.released = 1
@@ -62,7 +62,7 @@
             others = [one for one in self.ready if one.build != build]
             due = max(round(self.count * share), 1 if share else 0)
             if len(have) < due and others:
-                self._replace(others[self.chance.below(len(others))], build)
+                self._replace(others[self.rng.below(len(others))], build)
             elif len(have) > due:
                 self._replace(have[0], self.released)
 
--- a/laurelcourse/lab/guards.py
+++ b/laurelcourse/lab/guards.py
@@ -6,18 +6,28 @@
 from laurelcourse import interface as face
 
 
+def replace(owner: object, name: str, replacement: object) -> None:
+    """Replaces an attribute. Raises AttributeError if there is none, as that would replace nothing."""
+    getattr(owner, name)
+    setattr(owner, name, replacement)
+
+
 def _answer_twice() -> None:
     from laurelcourse.fronts.postgres.front import Front
 
-    words = Front._words
-    Front._words = lambda self, end, told: words(self, end, told) * 2
+    words = Front._final_reply
+    replace(Front, "_final_reply", lambda self, end, told: words(self, end, told) * 2)
 
 
 def _verdict(always: int) -> Callable[[], None]:
     def take_out() -> None:
         from laurelcourse.rules import Balancer
 
-        Balancer._verdict = lambda self, now, news: always if news.standing == face.ON_TRIAL else face.NO_VOTE
+        replace(
+            Balancer,
+            "_verdict",
+            lambda self, now, news: always if news.standing == face.ON_TRIAL else face.NO_VOTE,
+        )
 
     return take_out
 
@@ -25,8 +35,8 @@
 def _no_cap() -> None:
     from laurelcourse.rules import Balancer
 
-    Balancer._exposure_room = lambda *_: True
-    Balancer._cold_room = lambda *_: True
+    replace(Balancer, "_cap_allows", lambda *_: True)
+    replace(Balancer, "_cold_unit_allows", lambda *_: True)
 
 
 def _one_more_answer() -> None:
@@ -39,7 +49,7 @@
         client.conn.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         return stays
 
-    Front._give = twice
+    replace(Front, "_give", twice)
 
 
 def _no_hash() -> None:
@@ -52,7 +62,7 @@
         restart(self)
         self.hashes.clear()
 
-    Transfer._restart = blind
+    replace(Transfer, "_restart", blind)
 
 
 def _no_floor() -> None:
@@ -64,7 +74,7 @@
         adopt(self, view)
         self.floor = None
 
-    Trust.adopt = forget
+    replace(Trust, "adopt", forget)
 
 
 def _no_drain() -> None:
@@ -79,7 +89,7 @@
             [one._replace(health=face.READY) if one.health == face.DRAINING else one for one in entries],
         )
 
-    Listing.directory = deaf
+    replace(Listing, "directory", deaf)
 
 
 def _manifests_again() -> None:
@@ -87,8 +97,12 @@
     from laurelcourse.fronts.tuf import uptane, wiring
 
     routes = wiring.routes
-    wiring.routes = lambda front: tuple(one._replace(repeat=settings.RETRIABLE) for one in routes(front))
-    uptane.Reports.take = lambda *_: (uptane.SEND, None)
+    replace(
+        wiring,
+        "routes",
+        lambda front: tuple(one._replace(repeat_policy=settings.RETRIABLE) for one in routes(front)),
+    )
+    replace(uptane.Reports, "take", lambda *_: (uptane.SEND, None))
 
 
 def _hold_back() -> None:
@@ -103,14 +117,14 @@
             self.scheduler.sleep(max(due - self.scheduler.now(), 0))
         return say(self, client, head, status, *more)
 
-    Front._say = late
+    replace(Front, "_say", late)
     answer = Front._answer
 
     def noted(self: Any, client: Any, *told: Any) -> bool:  # noqa: ANN401
         client.asked_at = self.scheduler.now()
         return answer(self, client, *told)
 
-    Front._answer = noted
+    replace(Front, "_answer", noted)
 
 
 def _undo_first_first() -> None:
@@ -126,7 +140,7 @@
             -1,
         )
 
-    books.to_undo = first
+    replace(books, "to_undo", first)
 
 
 def _step_sent(change: Callable[..., None]) -> Callable[[], None]:
@@ -136,7 +150,7 @@
         from laurelcourse.fleet.workflows.steps import Steps
 
         send = Steps.send
-        Steps.send = lambda self, *told: change(self, lambda *more: send(self, *more), *told)
+        replace(Steps, "send", lambda self, *told: change(self, lambda *more: send(self, *more), *told))
 
     return take_out
 
@@ -188,14 +202,18 @@
 def _always_back() -> None:
     from laurelcourse.fleet.books import workflows as books
 
-    books.passed = lambda _: False
-    books.to_undo = lambda flow: max(
-        (
-            at
-            for at, one in enumerate(flow.steps)
-            if one.state in books.TO_UNDO and flow.definition.steps[at].undo
+    replace(books, "passed", lambda _: False)
+    replace(
+        books,
+        "to_undo",
+        lambda flow: max(
+            (
+                at
+                for at, one in enumerate(flow.steps)
+                if one.state in books.TO_UNDO and flow.definition.steps[at].undo
+            ),
+            default=-1,
         ),
-        default=-1,
     )
 
 
@@ -203,7 +221,7 @@
     from laurelcourse.fleet.workflows import steps
 
     outcome = steps.outcome
-    steps.outcome = lambda *told: {"failed": "unknown"}.get(outcome(*told), outcome(*told))
+    replace(steps, "outcome", lambda *told: {"failed": "unknown"}.get(outcome(*told), outcome(*told)))
 
 
 def _any_answer() -> None:
@@ -215,21 +233,21 @@
         tell = look(self, now, view)
         return tell._replace(answer="undone") if tell and tell.answer == "done" and now & 1 else tell
 
-    Waiting.look = wrong
+    replace(Waiting, "look", wrong)
 
 
 def _never_told() -> None:
     from laurelcourse.fleet.calls.flows_service import FlowsService
     from laurelcourse.fleet.workflows.run import Waiting
 
-    Waiting.look = lambda *_: None
-    FlowsService._spare = lambda self, wait: 10 * wait
+    replace(Waiting, "look", lambda *_: None)
+    replace(FlowsService, "_spare", lambda self, wait: 10 * wait)
 
 
 def _any_use() -> None:
     from laurelcourse.fleet.budgets.use import Use
 
-    Use._fits = lambda *_: True
+    replace(Use, "_fits", lambda *_: True)
 
 
 def _lease_for_ever() -> None:
@@ -242,31 +260,31 @@
         if share is not None:
             told(self, now, share, until)
 
-    Use.told = kept
-    Use.allowed = lambda self, _: self.budget.floor + self._share()
-    Use.take = lambda self, now, amount=1, **_: take(self, now, amount, usable=True)
-    Holder._unbound = lambda self, _, name: name not in self.budgets
+    replace(Use, "told", kept)
+    replace(Use, "allowed", lambda self, _: self.budget.floor + self._share())
+    replace(Use, "take", lambda self, now, amount=1, **_: take(self, now, amount, usable=True))
+    replace(Holder, "_unbound", lambda self, _, name: name not in self.budgets)
 
 
 def _floors_gone() -> None:
     from laurelcourse.fleet.budgets.use import Use
 
-    Use.allowed = lambda self, now: self._share() if now < self.until else 0
+    replace(Use, "allowed", lambda self, now: self._share() if now < self.until else 0)
 
 
 def _no_pace() -> None:
     from laurelcourse.fleet.transfers.pace import Pace
 
-    Pace.take = lambda *_: True
-    Pace.due = lambda self, now, size: now
+    replace(Pace, "take", lambda *_: True)
+    replace(Pace, "due", lambda self, now, size: now)
 
 
 def _all_free() -> None:
     from laurelcourse.fleet.books import reservations
     from laurelcourse.fleet.books.apply import Books
 
-    reservations._check_room = lambda *_: None
-    Books.room = lambda self, resource, first, until: (400_000,) * (until - first)
+    replace(reservations, "_check_room", lambda *_: None)
+    replace(Books, "room", lambda self, resource, first, until: (400_000,) * (until - first))
 
 
 def _half_a_plan() -> None:
@@ -274,16 +292,18 @@
     from laurelcourse.fleet.keeper.moving import Moving
 
     plan = Moving.plan
-    reservations._check_plan = lambda *_: None
-    Moving.plan = lambda *told: tuple(one._replace(rate=max(1, one.rate // 2)) for one in plan(*told))
+    replace(reservations, "_check_plan", lambda *_: None)
+    replace(
+        Moving, "plan", lambda *told: tuple(one._replace(rate=max(1, one.rate // 2)) for one in plan(*told))
+    )
 
 
 def _any_bytes() -> None:
     from laurelcourse.fleet.transfers.arrivals import Part
 
     write = Part.write
-    Part.write = lambda self, data: write(self, bytes(len(data)))
-    Part.digest = lambda self: type("Any", (), {"__ne__": lambda *_: False})()
+    replace(Part, "write", lambda self, data: write(self, bytes(len(data))))
+    replace(Part, "digest", lambda self: type("Any", (), {"__ne__": lambda *_: False})())
 
 
 def _shown_again() -> None:
@@ -298,20 +318,22 @@
         os.replace(self.parts.parent / name, self.whole / name)
         return True
 
-    Arrivals.show = show
+    replace(Arrivals, "show", show)
 
 
 def _kept_on() -> None:
     from laurelcourse.fleet.books import reservations
 
     book = reservations._book
-    reservations._book = lambda state, there, pieces: book(state, there, pieces) if pieces else None
+    replace(
+        reservations, "_book", lambda state, there, pieces: book(state, there, pieces) if pieces else None
+    )
 
 
 GUARDS: dict[str, dict[str, Callable[[], Any]]] = {
     "relay": {
         "one_outcome_each": _answer_twice,
-        "bad_build_released": _verdict(face.VOTE_ON),
+        "bad_build_released": _verdict(face.VOTE_ADVANCE),
         "good_build_released": _verdict(face.VOTE_HOLD),
         "exposure_over_cap": _no_cap,
     },
--- a/laurelcourse/lab/keepers.py
+++ b/laurelcourse/lab/keepers.py
@@ -10,7 +10,6 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import COUNT, LEVEL, RATE, Batch, Budget
 from laurelcourse.fleet.calls.codec import unpacked
@@ -23,6 +22,7 @@
 from laurelcourse.lab.keepers_seen import Seen
 from laurelcourse.lab.keepers_world import World
 from laurelcourse.lab.report import Check, Progress, Report, part
+from laurelcourse.prng import Prng
 
 SECONDS = 40.0
 CHECKS = {
@@ -80,16 +80,16 @@
 
 def one(seed: int, kind: str = "", lasts: int = LASTS, settles: int = SETTLES) -> Ran:
     """A run: faults for `lasts` microseconds, then `settles` without any, after which somebody must lead."""
-    chance = Chance(seed * 104729 + 3)
+    rng = Prng(seed * 104729 + 3)
     kinds = sorted(KINDS)
     kind = kind or kinds[seed % len(kinds)]
-    many = 5 if chance.below(3) == 0 else 3
+    many = 5 if rng.below(3) == 0 else 3
     spare = 2 if kind in ("keepers", "all") else 0
     names = tuple(f"k{place}" for place in range(1, many + spare + 1))
-    sites = 1 + chance.below(3)
+    sites = 1 + rng.below(3)
     world = World(seed, terms(Keepers(names[:many])), names, sites)
     seen = Seen(world.terms, unpacked)
-    relays = Relays(world, seen, tuple(f"r{place}" for place in range(1, 4 + chance.below(4))), sites)
+    relays = Relays(world, seen, tuple(f"r{place}" for place in range(1, 4 + rng.below(4))), sites)
     faults = Faults(world, relays)
 
     def entry(now: int, entry: Entry) -> None:
@@ -98,9 +98,9 @@
 
     world.entry = entry
     for name in names:
-        world.at(chance.below(100_000), world.start, world.keepers[name])
+        world.at(rng.below(100_000), world.start, world.keepers[name])
     for name in sorted(relays.relays):
-        world.at(300_000 + chance.below(400_000), relays.start, relays.relays[name])
+        world.at(300_000 + rng.below(400_000), relays.start, relays.relays[name])
     for fault in script(seed, kind, lasts):
         world.at(fault.at, faults.befall, fault)
     world.at(lasts, faults.mend_all)
--- a/laurelcourse/lab/keepers_relays.py
+++ b/laurelcourse/lab/keepers_relays.py
@@ -2,7 +2,6 @@
 
 from typing import Any
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.forms import Command, Done, GiveBack
 from laurelcourse.fleet.errors import FleetError
 from laurelcourse.fleet.handing import Routes, Try
@@ -10,6 +9,7 @@
 from laurelcourse.fleet.session import ENDED, Session
 from laurelcourse.lab.keepers_seen import Holder, Seen
 from laurelcourse.lab.keepers_world import SPIN, Clock, Node, World
+from laurelcourse.prng import Prng
 
 HOPS = 3  # a call follows the leader that it is told, or turns elsewhere, so often
 DEMAND = 70  # of a budget, told with a Beat, less than this
@@ -56,7 +56,7 @@
         self, world: World, seen: Seen, names: tuple[str, ...], sites: int, busy: bool = True
     ) -> None:
         self.world, self.seen, self.busy = world, seen, busy
-        self.chance = Chance(world.seed * 31 + 7)
+        self.rng = Prng(world.seed * 31 + 7)
         self.relays: dict[str, RelayNode] = {}
         self.count = self.commands = 0
         world.heard = self.heard
@@ -77,12 +77,12 @@
         relay.jobs.clear()
         relay.calls, relay.owed = {}, {}
         keepers = tuple(sorted(self.world.keepers))
-        relay.routes = Routes(keepers, self.chance.below(len(keepers)), self.world.terms.lease)
+        relay.routes = Routes(keepers, self.rng.below(len(keepers)), self.world.terms.lease)
         relay.session = relay.holder.session = Session(
             relay.name,
             relay.site,
             self.world.terms,
-            Chance(self.chance.below(1 << 31)),
+            Prng(self.rng.below(1 << 31)),
             relay.clock.local(self.world.now),
         )
         self._run(relay)
@@ -123,8 +123,8 @@
         session, now = relay.session, relay.clock.local(self.world.now)
         for order in session.orders(now):
             if isinstance(order, Beat):
-                if self.chance.below(4) == 0:
-                    relay.demand = self.chance.below(DEMAND)
+                if self.rng.below(4) == 0:
+                    relay.demand = self.rng.below(DEMAND)
                 session.demands = tuple((one.name, relay.demand) for one in self.world.terms.budgets)
                 self._call(relay, "renew", order._replace(demands=session.demands), order.asked_at)
             else:
@@ -133,7 +133,7 @@
                 self._call(relay, "submit", order, order.asked_at)
         if self.busy:
             self._come_down(relay, now)
-            if self.chance.below(LOOKS) == 0:
+            if self.rng.below(LOOKS) == 0:
                 self._look(relay)
         if session.state != ENDED:
             due = max(relay.clock.true(session.due()), self.world.now + SPIN)
@@ -151,8 +151,8 @@
         """Gives back what is asked for, and now and then some more; it uses less before it says so."""
         for name, share in relay.session.shares(now).items():
             keeps = share.wanted
-            if self.chance.below(25) == 0:
-                keeps = min(keeps, self.chance.below(share.granted + 1))
+            if self.rng.below(25) == 0:
+                keeps = min(keeps, self.rng.below(share.granted + 1))
             if keeps < share.granted and name not in relay.owed:
                 try:
                     command = relay.session.command(GiveBack(name, keeps), now)
@@ -166,12 +166,10 @@
         """At any keeper, for one that is cut off must not answer."""
         names = sorted(self.relays)
         question = (
-            Question("hash")
-            if self.chance.below(2)
-            else Question("session", names[self.chance.below(len(names))])
+            Question("hash") if self.rng.below(2) else Question("session", names[self.rng.below(len(names))])
         )
         keepers = sorted(self.world.keepers)
-        self._call(relay, "ask", question, LOOK, target=keepers[self.chance.below(len(keepers))])
+        self._call(relay, "ask", question, LOOK, target=keepers[self.rng.below(len(keepers))])
 
     # Calls
 
--- a/laurelcourse/lab/keepers_script.py
+++ b/laurelcourse/lab/keepers_script.py
@@ -3,10 +3,10 @@
 
 from typing import NamedTuple
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.keeper.forms import REFUSED, Keepers
 from laurelcourse.lab.keepers_relays import Relays
 from laurelcourse.lab.keepers_world import Disk, KeeperNode, Weather, World
+from laurelcourse.prng import Prng
 
 # by kind of run, what may befall it, each as often as it stands there
 KINDS = {
@@ -109,18 +109,18 @@
 class Fault(NamedTuple):
     at: int
     what: str
-    chance: int  # seeds whatever else it draws
+    rng: int  # seeds whatever else it draws
 
 
 def script(seed: int, kind: str, lasts: int) -> tuple[Fault, ...]:
     """Between 1 and 12 faults a second of true time, in the run's first `lasts` microseconds."""
-    chance = Chance(seed * 7919 + 1)
+    rng = Prng(seed * 7919 + 1)
     choice = KINDS[kind]
-    every = 900_000 if kind in UNHURRIED else 80_000 + chance.below(240_000)
+    every = 900_000 if kind in UNHURRIED else 80_000 + rng.below(240_000)
     at, found = 600_000, []
     while at < lasts:
-        found.append(Fault(at, choice[chance.below(len(choice))], chance.below(1 << 31)))
-        at += every // 2 + chance.below(every)
+        found.append(Fault(at, choice[rng.below(len(choice))], rng.below(1 << 31)))
+        at += every // 2 + rng.below(every)
     return tuple(found)
 
 
@@ -134,20 +134,20 @@
         self.wiped_disks = 0
 
     def befall(self, fault: Fault) -> None:
-        getattr(self, fault.what)(Chance(fault.chance))
+        getattr(self, fault.what)(Prng(fault.rng))
 
     # Whom
 
-    def _keeper(self, chance: Chance) -> KeeperNode:
+    def _keeper(self, rng: Prng) -> KeeperNode:
         names = sorted(self.world.keepers)
-        return self.world.keepers[names[chance.below(len(names))]]
+        return self.world.keepers[names[rng.below(len(names))]]
 
-    def _leader(self, chance: Chance) -> KeeperNode:
-        return self.world.leader() or self._keeper(chance)
+    def _leader(self, rng: Prng) -> KeeperNode:
+        return self.world.leader() or self._keeper(rng)
 
-    def _relay(self, chance: Chance) -> str:
+    def _relay(self, rng: Prng) -> str:
         names = sorted(self.relays.relays)
-        return names[chance.below(len(names))]
+        return names[rng.below(len(names))]
 
     # The network
 
@@ -155,108 +155,108 @@
         self.world.say(f"no way from {one} to {two}")
         self.world.cuts.add((one, two))
 
-    def cut(self, chance: Chance) -> None:
-        one, two = self._keeper(chance).name, self._keeper(chance).name
+    def cut(self, rng: Prng) -> None:
+        one, two = self._keeper(rng).name, self._keeper(rng).name
         self._cut(one, two)
         self._cut(two, one)
 
-    def cut_one(self, chance: Chance) -> None:
-        self._cut(self._keeper(chance).name, self._keeper(chance).name)
+    def cut_one(self, rng: Prng) -> None:
+        self._cut(self._keeper(rng).name, self._keeper(rng).name)
 
-    def relay_cut(self, chance: Chance) -> None:
-        relay, keeper = self._relay(chance), self._keeper(chance).name
-        self._cut(*((relay, keeper) if chance.below(2) else (keeper, relay)))
+    def relay_cut(self, rng: Prng) -> None:
+        relay, keeper = self._relay(rng), self._keeper(rng).name
+        self._cut(*((relay, keeper) if rng.below(2) else (keeper, relay)))
 
-    def relay_off_leader(self, chance: Chance) -> None:
+    def relay_off_leader(self, rng: Prng) -> None:
         """Both ways: who hands its orders on is all that such a relay has."""
-        relay, leader = self._relay(chance), self._leader(chance).name
+        relay, leader = self._relay(rng), self._leader(rng).name
         self._cut(relay, leader)
         self._cut(leader, relay)
 
-    def isolate_leader(self, chance: Chance) -> None:
+    def isolate_leader(self, rng: Prng) -> None:
         """From the keepers; relays may still reach it."""
-        leader = self._leader(chance).name
+        leader = self._leader(rng).name
         for other in sorted(self.world.keepers):
             if other != leader:
                 self._cut(leader, other)
-                if chance.below(4):
+                if rng.below(4):
                     self._cut(other, leader)
 
-    def partition(self, chance: Chance) -> None:
-        sides = {name: chance.below(2) for name in sorted(self.world.nodes)}
+    def partition(self, rng: Prng) -> None:
+        sides = {name: rng.below(2) for name in sorted(self.world.nodes)}
         self.world.cuts = {(one, two) for one in sides for two in sides if sides[one] != sides[two]}
         self.world.say(f"parted: {sorted(name for name in sides if sides[name])} from the rest")
 
-    def heal(self, chance: Chance) -> None:
+    def heal(self, rng: Prng) -> None:
         self.world.say("the network is healed")
         self.world.cuts.clear()
         self.world.weather = Weather()
 
-    def weather(self, chance: Chance) -> None:
-        self.world.weather = (STORM, GALE, Weather())[chance.below(3)]
+    def weather(self, rng: Prng) -> None:
+        self.world.weather = (STORM, GALE, Weather())[rng.below(3)]
         self.world.say(f"weather: {self.world.weather}")
 
     # Processes
 
-    def _kill(self, keeper: KeeperNode, chance: Chance) -> None:
+    def _kill(self, keeper: KeeperNode, rng: Prng) -> None:
         if keeper.up and keeper is self.world.leader():
             self.killed_at.append((self.world.now, keeper.desk.core.term))
         self.world.kill(keeper)
-        self.world.at(self.world.now + DOWN[0] + chance.below(DOWN[1]), self.world.start, keeper)
+        self.world.at(self.world.now + DOWN[0] + rng.below(DOWN[1]), self.world.start, keeper)
 
-    def kill(self, chance: Chance) -> None:
-        self._kill(self._keeper(chance), chance)
+    def kill(self, rng: Prng) -> None:
+        self._kill(self._keeper(rng), rng)
 
-    def kill_leader(self, chance: Chance) -> None:
-        self._kill(self._leader(chance), chance)
+    def kill_leader(self, rng: Prng) -> None:
+        self._kill(self._leader(rng), rng)
 
-    def kill_all(self, chance: Chance) -> None:
+    def kill_all(self, rng: Prng) -> None:
         for name in sorted(self.world.keepers):
-            self._kill(self.world.keepers[name], chance)
+            self._kill(self.world.keepers[name], rng)
 
-    def doom(self, chance: Chance) -> None:
+    def doom(self, rng: Prng) -> None:
         """It dies at one of its next writes and sends, before or after."""
-        self._keeper(chance).doom = 1 + chance.below(12)
+        self._keeper(rng).doom = 1 + rng.below(12)
 
-    def doom_leader(self, chance: Chance) -> None:
-        self._leader(chance).doom = 1 + chance.below(12)
+    def doom_leader(self, rng: Prng) -> None:
+        self._leader(rng).doom = 1 + rng.below(12)
 
-    def _pause(self, name: str, chance: Chance) -> None:
+    def _pause(self, name: str, rng: Prng) -> None:
         lease = self.world.terms.lease
-        lasts = (lease // 10, lease * 2)[chance.below(2)] + chance.below(lease)
+        lasts = (lease // 10, lease * 2)[rng.below(2)] + rng.below(lease)
         self.world.pause(self.world.nodes[name], lasts)
 
-    def pause(self, chance: Chance) -> None:
-        self._pause(self._keeper(chance).name, chance)
+    def pause(self, rng: Prng) -> None:
+        self._pause(self._keeper(rng).name, rng)
 
-    def pause_leader(self, chance: Chance) -> None:
-        self._pause(self._leader(chance).name, chance)
+    def pause_leader(self, rng: Prng) -> None:
+        self._pause(self._leader(rng).name, rng)
 
-    def slow(self, chance: Chance) -> None:
-        keeper = self._keeper(chance)
-        keeper.slow = (0, 20_000, 150_000)[chance.below(3)]
+    def slow(self, rng: Prng) -> None:
+        keeper = self._keeper(rng)
+        keeper.slow = (0, 20_000, 150_000)[rng.below(3)]
         self.world.say(f"{keeper.name}'s disk takes {keeper.slow} us more")
 
-    def jump(self, chance: Chance) -> None:
+    def jump(self, rng: Prng) -> None:
         """Forward, of a keeper that does not lead: a leader whose clock is that wrong promises nothing."""
-        keeper = self._keeper(chance)
+        keeper = self._keeper(rng)
         if keeper is not self.world.leader() and not keeper.paused:
             self.world.say(f"{keeper.name}'s clock jumps")
-            keeper.clock.jump(self.world.now, chance.below(self.world.terms.lease * 4))
+            keeper.clock.jump(self.world.now, rng.below(self.world.terms.lease * 4))
             self.world.post(keeper.name, keeper.life, "tick")
 
-    def hand_over(self, chance: Chance) -> None:
+    def hand_over(self, rng: Prng) -> None:
         """As at SIGTERM, and SIGKILL a while later."""
         leader = self.world.leader()
         if leader:
             self.world.say(f"{leader.name} is stopped")
             self.world.post(leader.name, leader.life, "stop")
-            self.world.at(self.world.now + 200_000 + chance.below(300_000), self._kill, leader, chance)
+            self.world.at(self.world.now + 200_000 + rng.below(300_000), self._kill, leader, rng)
 
     # Disks
 
-    def copy(self, chance: Chance) -> None:
-        keeper = self._keeper(chance)
+    def copy(self, rng: Prng) -> None:
+        keeper = self._keeper(rng)
         if keeper.good is None:
             self.old[keeper.name] = keeper.disk.copy()
 
@@ -276,7 +276,7 @@
         ]
         return len(others) - len(noting) < len(voters) // 2
 
-    def _false_disk(self, disk: Disk, keeper: KeeperNode, chance: Chance) -> None:
+    def _false_disk(self, disk: Disk, keeper: KeeperNode, rng: Prng) -> None:
         if (
             keeper.good is not None
             or any(one.good for one in self.world.keepers.values())
@@ -290,16 +290,16 @@
         keeper.good, keeper.disk, keeper.false_disk = keeper.disk, disk, True
         self.world.false_disks += 1
         self.world.start(keeper)
-        self.world.at(self.world.now + 300_000 + chance.below(1_500_000), self.mend, keeper)
+        self.world.at(self.world.now + 300_000 + rng.below(1_500_000), self.mend, keeper)
 
-    def older(self, chance: Chance) -> None:
+    def older(self, rng: Prng) -> None:
         for name in sorted(self.old):
-            self._false_disk(self.old[name].copy(), self.world.keepers[name], chance)
+            self._false_disk(self.old[name].copy(), self.world.keepers[name], rng)
 
-    def wiped(self, chance: Chance) -> None:
+    def wiped(self, rng: Prng) -> None:
         self.wiped_disks += 1
-        keeper = self._keeper(chance)
-        self._false_disk(Disk(f"disk-{keeper.name}-{self.wiped_disks}"), keeper, chance)
+        keeper = self._keeper(rng)
+        self._false_disk(Disk(f"disk-{keeper.name}-{self.wiped_disks}"), keeper, rng)
 
     def mend(self, keeper: KeeperNode) -> None:
         """The newer disk is brought back."""
@@ -312,7 +312,7 @@
 
     # Keepers come and go
 
-    def change(self, chance: Chance) -> None:
+    def change(self, rng: Prng) -> None:
         """A learner more, one promoted, one made less: whatever is next to what the leader has now."""
         leader = self.world.leader()
         if leader is None:
@@ -320,39 +320,39 @@
         now = leader.desk.core.keepers
         voters, learners = set(now.voters), set(now.learners)
         spare = sorted(set(self.world.keepers) - voters - learners)
-        choice = chance.below(4)
+        choice = rng.below(4)
         if learners and choice < 2:
-            one = sorted(learners)[chance.below(len(learners))]
+            one = sorted(learners)[rng.below(len(learners))]
             learners.discard(one)
             voters.add(one)
         elif spare and choice < 3:
-            learners.add(spare[chance.below(len(spare))])
+            learners.add(spare[rng.below(len(spare))])
         elif len(voters) > 2:
-            voters.discard(sorted(voters)[chance.below(len(voters))])
+            voters.discard(sorted(voters)[rng.below(len(voters))])
         keepers = Keepers(tuple(sorted(voters)), tuple(sorted(learners)))
         self.world.say(f"{leader.name} is asked for {keepers}")
         self.world.post(leader.name, leader.life, "change", keepers)
 
     # Relays
 
-    def relay_kill(self, chance: Chance) -> None:
-        relay = self.relays.relays[self._relay(chance)]
+    def relay_kill(self, rng: Prng) -> None:
+        relay = self.relays.relays[self._relay(rng)]
         self.relays.kill(relay)
-        self.world.at(self.world.now + DOWN[0] + chance.below(2 * DOWN[1]), self.relays.start, relay)
+        self.world.at(self.world.now + DOWN[0] + rng.below(2 * DOWN[1]), self.relays.start, relay)
 
-    def relay_close(self, chance: Chance) -> None:
+    def relay_close(self, rng: Prng) -> None:
         """SIGTERM, and SIGKILL a while later."""
-        relay = self.relays.relays[self._relay(chance)]
+        relay = self.relays.relays[self._relay(rng)]
         self.relays.close(relay)
         self.world.at(self.world.now + 400_000, self.relays.kill, relay)
-        self.world.at(self.world.now + 600_000 + chance.below(DOWN[1]), self.relays.start, relay)
+        self.world.at(self.world.now + 600_000 + rng.below(DOWN[1]), self.relays.start, relay)
 
-    def relay_pause(self, chance: Chance) -> None:
-        self._pause(self._relay(chance), chance)
+    def relay_pause(self, rng: Prng) -> None:
+        self._pause(self._relay(rng), rng)
 
     def mend_all(self) -> None:
         """The end of the faults: what comes after shows whether the keepers find together again."""
-        self.heal(Chance(0))
+        self.heal(Prng(0))
         for name in sorted(self.world.nodes):
             self.world.resume(self.world.nodes[name], self.world.nodes[name].life)
         for name in sorted(self.world.keepers):
--- a/laurelcourse/lab/keepers_world.py
+++ b/laurelcourse/lab/keepers_world.py
@@ -10,7 +10,6 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.forms import Done
 from laurelcourse.fleet.calls.codec import packed, unpacked
 from laurelcourse.fleet.handing import leader_for
@@ -18,6 +17,7 @@
 from laurelcourse.fleet.keeper.forms import LEADER, Entry, Kept, Mark, Snapshot, Write
 from laurelcourse.fleet.orders import Acts, Answer, Terms
 from laurelcourse.lab.checks.logs import Breach, Ledger
+from laurelcourse.prng import Prng
 
 SPIN = 500  # what is due at once again and again gets no further without it, microseconds
 WRITE = (150, 2_500)  # a write to disk takes so long, least and most
@@ -155,7 +155,7 @@
     """Events in true time, in whole microseconds; two at one time in the order in which they were made."""
 
     def __init__(self, seed: int, terms: Terms, names: tuple[str, ...], sites: int) -> None:
-        self.seed, self.terms, self.chance = seed, terms, Chance(seed)
+        self.seed, self.terms, self.rng = seed, terms, Prng(seed)
         self.now = self.steps = self._count = 0
         self.events: list[tuple] = []
         self.ledger = Ledger()
@@ -179,8 +179,8 @@
         """Any start; as fast or slow as the terms allow, most often at one of the two ends."""
         drift = self.terms.drift
         return Clock(
-            self.chance.below(1 << 40),
-            (-drift, drift, self.chance.below(2 * drift + 1) - drift)[self.chance.below(3)],
+            self.rng.below(1 << 40),
+            (-drift, drift, self.rng.below(2 * drift + 1) - drift)[self.rng.below(3)],
         )
 
     def at(self, when: int, do: Callable[..., None], *args: Any) -> None:  # noqa: ANN401
@@ -200,12 +200,12 @@
     # The network
 
     def send(self, source: str, target: str, do: Callable[..., None], *args: Any) -> None:  # noqa: ANN401
-        chance, weather = self.chance, self.weather
-        if (source, target) in self.cuts or chance.below(MILLION) < weather.lost:
+        rng, weather = self.rng, self.weather
+        if (source, target) in self.cuts or rng.below(MILLION) < weather.lost:
             return
         far = FAR if self.nodes[source].site != self.nodes[target].site else NEAR
-        for _ in range(2 if chance.below(MILLION) < weather.doubled else 1):
-            self.at(self.now + far + chance.below(far // 4 + 1) + chance.below(weather.late + 1), do, *args)
+        for _ in range(2 if rng.below(MILLION) < weather.doubled else 1):
+            self.at(self.now + far + rng.below(far // 4 + 1) + rng.below(weather.late + 1), do, *args)
 
     # Keepers
 
@@ -224,7 +224,7 @@
             keeper.name,
             keeper.site,
             self.terms,
-            Chance(self.chance.below(1 << 31)),
+            Prng(self.rng.below(1 << 31)),
             keeper.disk.kept(),
             keeper.clock.local(self.now),
             encode=packed,
@@ -243,7 +243,7 @@
         if not keeper.up:
             return
         self.say(f"{keeper.name} is killed")
-        if keeper.writing is not None and self.chance.below(2):
+        if keeper.writing is not None and self.rng.below(2):
             keeper.disk.save(keeper.writing, self.ledger.first)
         keeper.up, keeper.desk, keeper.writing, keeper.doom = False, None, None, 0
         keeper.life += 1
@@ -268,7 +268,7 @@
         was under way as the process was paused goes on first."""
         first = 1 if jobs[0][0] == "rest" else 0
         for place in range(len(jobs) - 1, first, -1):
-            other = first + self.chance.below(place - first + 1)
+            other = first + self.rng.below(place - first + 1)
             jobs[place], jobs[other] = jobs[other], jobs[place]
 
     def post(self, name: str, life: int, *job: Any) -> None:  # noqa: ANN401
@@ -320,7 +320,7 @@
         elif not self._dies(keeper):
             keeper.busy, keeper.writing = True, acts.write
             self.at(
-                self.now + WRITE[0] + self.chance.below(WRITE[1]) + keeper.slow,
+                self.now + WRITE[0] + self.rng.below(WRITE[1]) + keeper.slow,
                 self._written,
                 keeper,
                 keeper.life,
@@ -343,7 +343,7 @@
             keeper.doom -= 1
             if not keeper.doom:
                 self.kill(keeper)
-                self.at(self.now + 20_000 + self.chance.below(1_500_000), self.start, keeper)
+                self.at(self.now + 20_000 + self.rng.below(1_500_000), self.start, keeper)
         return not keeper.up
 
     def _rest(self, keeper: KeeperNode, acts: Acts) -> None:
--- a/laurelcourse/lab/kiosks.py
+++ b/laurelcourse/lab/kiosks.py
@@ -17,7 +17,7 @@
 from tuf.api import exceptions
 from tuf.ngclient import Updater
 
-from laurelcourse.chance import Chance
+from laurelcourse.prng import Prng
 
 COMPLETED, SHED, ERRORED, CUT, NONE = "completed", "shed", "errored", "cut", "none"
 TUF, PLAIN, MANIFEST, LEAVE = "tuf", "plain", "manifest", "leave"
@@ -46,21 +46,21 @@
 
     def __init__(self, number: int, told: dict[str, Any], until: float, out: list[dict]) -> None:
         self.number, self.told, self.until, self.out = number, told, until, out
-        self.chance = Chance(told["seed"] * 7919 + number)
+        self.rng = Prng(told["seed"] * 7919 + number)
         self.host, self.port = told["host"], told["port"]
         self.counter = 0
         self.folder = tempfile.TemporaryDirectory(prefix="laurelcourse-kiosk-")
         self.conn: http.client.HTTPConnection | None = None
 
     def work(self) -> None:
-        time.sleep(self.chance.share() * self.told["pace"])
+        time.sleep(self.rng.fraction() * self.told["pace"])
         while time.monotonic() < self.until:
             getattr(self, f"_{self.told['kind']}")()
-            time.sleep(self.told["pace"] * (0.5 + self.chance.share()))
+            time.sleep(self.told["pace"] * (0.5 + self.rng.fraction()))
         self.folder.cleanup()
 
     def _pick(self, found: list) -> Any:  # noqa: ANN401
-        return found[self.chance.below(len(found))]
+        return found[self.rng.below(len(found))]
 
     def _note(self, began: float, end: str, **more: object) -> None:
         self.out.append(
@@ -218,7 +218,7 @@
                 self._note(time.monotonic(), ERRORED, stale=1, what=f"{inner} mixed")
         path = self._pick(one["paths"])
         where = f"{one['prefix']}targets/{path}"
-        if self.chance.below(3):
+        if self.rng.below(3):
             self._one("target", "GET", where, whole=lambda raw: right(path, raw))
             return
         # Half now, the rest later, as over a poor line: whether both are of one file shows in its tag.
--- a/laurelcourse/lab/relay.py
+++ b/laurelcourse/lab/relay.py
@@ -9,10 +9,10 @@
 import time
 from pathlib import Path
 
-from laurelcourse.chance import Chance
 from laurelcourse.lab.fleet import Fleet, offer, over_cap
 from laurelcourse.lab.process import RelayProcess
 from laurelcourse.lab.report import Check, Progress, Report, part
+from laurelcourse.prng import Prng
 from laurelcourse.standins.base import RELAY
 from laurelcourse.standins.deployer import Rollout
 from laurelcourse.standins.directory import DirectoryStand
@@ -64,7 +64,7 @@
     """A client that asks again and again, one req at a time."""
 
     def __init__(self, number: int, relay: int, port: int, over: threading.Event) -> None:
-        self.relay, self.port, self.over, self.chance = relay, port, over, Chance(number)
+        self.relay, self.port, self.over, self.rng = relay, port, over, Prng(number)
         self.asked: list[Asked] = []
         self.unasked = 0
         self.thread = threading.Thread(target=self._work, daemon=True)
@@ -72,7 +72,7 @@
 
     def _work(self) -> None:
         client = None
-        while not self.over.wait(PACE * (0.5 + self.chance.share())):
+        while not self.over.wait(PACE * (0.5 + self.rng.fraction())):
             with contextlib.suppress(OSError):
                 client = client or PgClient(self.port)
                 self._ask(client)
@@ -85,7 +85,7 @@
                 self.unasked += len(client.stream.read(1) or b"")
 
     def _ask(self, client: PgClient) -> None:
-        route = ("read", "read", "mark", "once")[self.chance.below(4)]
+        route = ("read", "read", "mark", "once")[self.rng.below(4)]
         words = sql(route, WAIT_MS)
         one = Asked(re.search(r"id=(\w+)", words)[1], self.relay, time.monotonic())
         self.asked.append(one)
--- a/laurelcourse/lab/transfers.py
+++ b/laurelcourse/lab/transfers.py
@@ -8,7 +8,6 @@
 import time
 from pathlib import Path
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet import terms
 from laurelcourse.fleet.books.forms import Command, Fence, Free, Job, Open, Reserve, Stretch
 from laurelcourse.fleet.books.state import SLICE
@@ -24,6 +23,7 @@
 from laurelcourse.lab.transfers_reqs import Reqs, compared
 from laurelcourse.lab.workflows import leader
 from laurelcourse.operator import reading
+from laurelcourse.prng import Prng
 from laurelcourse.standins.base import RELAY, until
 from laurelcourse.standins.directory import DirectoryStand
 from laurelcourse.standins.holds import HoldsStand, Ledger
@@ -81,7 +81,7 @@
             {one.name: shown(one.address) for one in fleet.keepers},
             limits(told),
             clock,
-            Chance(9),
+            Prng(9),
         )
         self.jobs: dict[str, Job] = {}
         self.counts = dict.fromkeys(WHAT, 0)
@@ -108,16 +108,16 @@
     def copy(self, name: str) -> Path:
         return self.folder / self.jobs[name].to / "in" / name
 
-    def lay(self, chance: Chance, number: int) -> None:
+    def lay(self, rng: Prng, number: int) -> None:
         name = f"job{number}"
-        origin = "abc"[chance.below(3)]
-        to = "abc".replace(origin, "")[chance.below(2)]
-        size, within = (128 << 10) + chance.below(768 << 10), WITHIN[0] + chance.below(WITHIN[1] - WITHIN[0])
-        earnings, now = 1 + chance.below(20), self.time()
+        origin = "abc"[rng.below(3)]
+        to = "abc".replace(origin, "")[rng.below(2)]
+        size, within = (128 << 10) + rng.below(768 << 10), WITHIN[0] + rng.below(WITHIN[1] - WITHIN[0])
+        earnings, now = 1 + rng.below(20), self.time()
         self.jobs[name] = Job(name, "f", origin, to, size, now, now + within * SLICE, earnings, 1)
         place = self.folder / origin
         place.mkdir(exist_ok=True)
-        (place / name).write_bytes(bytes(chance.below(256) for _ in range(4096)) * (size // 4096 + 1))
+        (place / name).write_bytes(bytes(rng.below(256) for _ in range(4096)) * (size // 4096 + 1))
         with (place / name).open("r+b") as file:
             file.truncate(size)
         (place / "new").write_text(
@@ -125,9 +125,9 @@
         )
         (place / "new").rename(place / f"{name}.job")
 
-    def lay_all(self, chance: Chance) -> None:
+    def lay_all(self, rng: Prng) -> None:
         for number in range(JOBS):
-            self.lay(chance, number)
+            self.lay(rng, number)
             self.over.wait(0.4)
 
     def count(self) -> None:
@@ -258,7 +258,7 @@
 
 
 def run(seed: int, seconds: float, broken: str, progress: Progress) -> Report:
-    began, chance = time.monotonic(), Chance(seed)
+    began, rng = time.monotonic(), Prng(seed)
     with tempfile.TemporaryDirectory() as place:
         folder, doors = Path(place), {name: reserve_port() for name in MEMBERS}
         directory, ledger = DirectoryStand(), Ledger()
@@ -287,7 +287,7 @@
                 alone = time.monotonic()
                 lab.over.wait(CALM)
                 alone = alone, time.monotonic()
-                laying = threading.Thread(target=lab.lay_all, args=(chance,), daemon=True)
+                laying = threading.Thread(target=lab.lay_all, args=(rng,), daemon=True)
                 laying.start()
                 lab.moves.wait(CALM)
                 beside = time.monotonic()
--- a/laurelcourse/lab/tuf.py
+++ b/laurelcourse/lab/tuf.py
@@ -14,12 +14,12 @@
 from pathlib import Path
 from typing import Any
 
-from laurelcourse.chance import Chance
 from laurelcourse.lab import kiosks
 from laurelcourse.lab.fleet import Fleet, Machine, offer, over_cap
 from laurelcourse.lab.process import ROOT
 from laurelcourse.lab.report import Check, Progress, Report, part
 from laurelcourse.lab.rig import Rig
+from laurelcourse.prng import Prng
 from laurelcourse.standins.base import RELAY, until
 from laurelcourse.standins.deployer import Rollout
 from laurelcourse.standins.mirror import MirrorStand, Seen
@@ -71,7 +71,7 @@
     """Repositories that go on publishing, and mirrors that follow and fail as the seed says."""
 
     def __init__(self, seed: int, calm: bool, deduped: bool) -> None:
-        self.chance, self.calm, self.lasts = Chance(seed), calm, 0.0
+        self.rng, self.calm, self.lasts = Prng(seed), calm, 0.0
         self.repositories = {
             "/image/": TufRepository(),
             "/plain/": TufRepository(False),
@@ -134,7 +134,7 @@
                 next_publish = now + PUBLISHED_EVERY
                 self.publish()
                 for one in fleet.ready:
-                    at = now + self.chance.share() * SYNCED_WITHIN
+                    at = now + self.rng.fraction() * SYNCED_WITHIN
                     due.append((at, lambda one=one: self._sync(one.stand)))
             if not self.calm and now >= next_fault:
                 next_fault = now + EVERY
@@ -164,9 +164,9 @@
         sound = [one for one in fleet.ready if one.build == fleet.released][HONEST:]
         if not sound:
             return
-        one = sound[self.chance.below(len(sound))].stand
-        route, mode = FAULTS[self.chance.below(len(FAULTS))]
-        lasts = 1.0 + 4.0 * self.chance.share()
+        one = sound[self.rng.below(len(sound))].stand
+        route, mode = FAULTS[self.rng.below(len(FAULTS))]
+        lasts = 1.0 + 4.0 * self.rng.fraction()
         if mode == "frozen":
             self.frozen.add(one)
             due.append((now + lasts, lambda: self.frozen.discard(one)))
--- a/laurelcourse/lab/workflows.py
+++ b/laurelcourse/lab/workflows.py
@@ -8,13 +8,13 @@
 from functools import partial
 from pathlib import Path
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.flows_client import DONE, UNDONE, FlowsClient, Told
 from laurelcourse.lab import faults
 from laurelcourse.lab.flows_seen import Asked, by_mark, judged
 from laurelcourse.lab.host import FLEET, Host
 from laurelcourse.lab.report import Check, Progress, Report, part
 from laurelcourse.lab.rig import element
+from laurelcourse.prng import Prng
 from laurelcourse.standins.base import RELAY, until
 from laurelcourse.standins.directory import DirectoryStand
 from laurelcourse.standins.holds import HoldsStand, Ledger
@@ -83,7 +83,7 @@
     """A client that books again and again; some leave in the middle, some ask twice."""
 
     def __init__(self, number: int, seed: int, lab: "Lab") -> None:
-        self.number, self.lab, self.chance = number, lab, Chance(seed * 1000 + number)
+        self.number, self.lab, self.rng = number, lab, Prng(seed * 1000 + number)
         names = sorted(lab.host.flows)
         self.names = [names[(number + place) % len(names)] for place in range(len(names))]
         self.thread = threading.Thread(target=self._work, daemon=True)
@@ -95,14 +95,14 @@
         count = 0
         while not self.lab.over.wait(PAUSE):
             count += 1
-            mark, dice = f"{self.number}x{count}", self.chance.below(100)
+            mark, dice = f"{self.number}x{count}", self.rng.below(100)
             self._prepare(mark, dice)
             ledger = self.lab.ledger
             client, gone = self._client(), threading.Event()
             moment = (lambda: False) if dice % 10 == 7 else partial(ledger.statements, f"notice.note.{mark}")
             leaving = threading.Thread(
                 target=leave,
-                args=(client, gone, moment, 0.05 * (1 + self.chance.below(20)) if dice % 10 == 7 else WAIT),
+                args=(client, gone, moment, 0.05 * (1 + self.rng.below(20)) if dice % 10 == 7 else WAIT),
             )
             if dice % 10 == 7 or 24 <= dice < 36:
                 leaving.start()
--- a/laurelcourse/net/connection.py
+++ b/laurelcourse/net/connection.py
@@ -1,4 +1,4 @@
-"""A stream socket with one buffer for what it reads: read, write, deadline, close."""
+"""A stream socket with a read buffer: connect, read, write, deadlines, close."""
 
 import errno
 import socket
@@ -7,93 +7,107 @@
 from laurelcourse.net.limits import Limits
 from laurelcourse.net.scheduler import CLOSED, IO, LATE, MAIL, READ, WRITE, Mailbox, Scheduler
 
-GOT, ENDED = "got", "ended"
+# How a read ended, beside the scheduler's MAIL and LATE.
+GOT = "got"
+ENDED = "ended"
 
 
 class Buffer:
-    """Grows as it needs, is compacted in place, and shrinks once a large message has gone."""
+    """A byte buffer that grows on demand, is compacted in place, and shrinks once a large message is
+    consumed.
+    """
 
-    def __init__(self, usual: int, most: int) -> None:
-        self.usual, self.most = usual, most
-        self.data = bytearray(usual)
+    def __init__(self, usual_size: int, max_size: int) -> None:
+        self.usual_size, self.max_size = usual_size, max_size
+        self.data = bytearray(usual_size)
         self.start = self.end = 0
 
     def __len__(self) -> int:
         return self.end - self.start
 
-    def room(self) -> memoryview:
-        """Free space behind the bytes; empty when the buffer holds its most."""
+    def free_space(self) -> memoryview:
+        """Returns the free space behind the bytes; empty when the buffer has reached its maximum."""
         self.shrink()
         if self.end == len(self.data) and self.start:
             held = len(self)
             self.data[:held] = self.data[self.start : self.end]
             self.start, self.end = 0, held
         if self.end == len(self.data):
-            self.data.extend(bytes(min(len(self.data), self.most - len(self.data))))
+            self.data.extend(bytes(min(len(self.data), self.max_size - len(self.data))))
         return memoryview(self.data)[self.end :]
 
     def shrink(self) -> None:
+        """Returns to the usual size if the buffer is empty."""
         if self.start == self.end:
             self.start = self.end = 0
-            if len(self.data) > self.usual:
-                self.data = bytearray(self.usual)
+            if len(self.data) > self.usual_size:
+                self.data = bytearray(self.usual_size)
 
     def skip(self, count: int) -> None:
+        """Consumes some bytes."""
         self.start += count
 
     def take(self) -> bytes:
+        """Consumes and returns all bytes."""
         taken, self.start = bytes(self.data[self.start : self.end]), self.end
         return taken
 
 
 class Connection:
-    def __init__(self, scheduler: Scheduler, sock: socket.socket, limits: Limits, most: int = 0) -> None:
+    """A non-blocking TCP connection. Its methods suspend the calling task, not the process."""
+
+    def __init__(
+        self, scheduler: Scheduler, sock: socket.socket, limits: Limits, max_buffer: int = 0
+    ) -> None:
         self.scheduler, self.sock, self.limits = scheduler, sock, limits
         self.fd = sock.fileno()
-        self.buffer = Buffer(limits.buffer_usual, most or limits.buffer_most)
+        self.buffer = Buffer(limits.usual_buffer, max_buffer or limits.max_buffer)
         self.open = True
         sock.setblocking(False)
 
     @classmethod
     def connect(
-        cls, scheduler: Scheduler, address: tuple[str, int], limits: Limits, until: int
+        cls, scheduler: Scheduler, address: tuple[str, int], limits: Limits, deadline: int
     ) -> "Connection | None":
+        """Connects to a unit or server; None if that fails or takes too long."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError:
             return None
-        conn = cls(scheduler, sock, limits, limits.value + limits.buffer_usual)
+        conn = cls(scheduler, sock, limits, limits.max_unit_value + limits.usual_buffer)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            failed = sock.connect_ex(address)
-            if failed == errno.EINPROGRESS and scheduler.wait(conn.fd, WRITE, until=until) == IO:
-                failed = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            error_code = sock.connect_ex(address)
+            if error_code == errno.EINPROGRESS and scheduler.wait(conn.fd, WRITE, until=deadline) == IO:
+                error_code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as error:
-            failed = error.errno or errno.EIO
-        if failed:
+            error_code = error.errno or errno.EIO
+        if error_code:
             conn.close()
             return None
         return conn
 
-    def read(self, until: int | None = None, box: Mailbox | None = None) -> str:
-        """Waits for bytes or mail: GOT, MAIL, LATE, or ENDED; that too when the buffer holds its most, and
-        nothing in it could be taken."""
-        if not self.open or len(self.buffer) == self.buffer.most:
+    def read(self, deadline: int | None = None, mailbox: Mailbox | None = None) -> str:
+        """Waits for bytes or mail and returns GOT, MAIL, LATE or ENDED.
+
+        It returns ENDED too when the buffer is full and nothing in it could be consumed.
+        """
+        if not self.open or len(self.buffer) == self.buffer.max_size:
             return ENDED
         # The relay may be late itself: bytes that came in time are read once more, and then no further.
-        late = until is not None and self.scheduler.now() >= until
-        reason = self.scheduler.wait(self.fd, READ, box, until)
-        if reason == MAIL or (reason == LATE and late):
+        already_late = deadline is not None and self.scheduler.now() >= deadline
+        reason = self.scheduler.wait(self.fd, READ, mailbox, deadline)
+        if reason == MAIL or (reason == LATE and already_late):
             return reason
         return self.read_now()
 
     def read_now(self) -> str:
-        """Takes what is there without waiting; LATE if nothing is."""
+        """Reads what is there without waiting; LATE if nothing is."""
         if not self.open:
             return ENDED
-        with self.buffer.room() as room:
+        with self.buffer.free_space() as space:
             try:
-                count = self.sock.recv_into(room) if room else 0
+                count = self.sock.recv_into(space) if space else 0
             except BlockingIOError:
                 return LATE
             except OSError:
@@ -101,42 +115,52 @@
         self.buffer.end += count
         return GOT if count else ENDED
 
-    def left(self) -> bool:
-        """Whether the other side has closed. What it wrote before that is read first, as much as a buffer
-        usually holds; of what lies behind, the machine tells."""
+    def peer_has_closed(self) -> bool:
+        """Returns whether the other side has closed.
+
+        What it wrote before is read first, as much as a buffer usually holds. If more is unread, the kernel
+        is asked.
+        """
         reason = GOT
-        while reason == GOT and len(self.buffer) < self.limits.buffer_usual:
+        while reason == GOT and len(self.buffer) < self.limits.usual_buffer:
             reason = self.read_now()
         return reason == ENDED or (reason == GOT and self.scheduler.ready_now(self.fd, CLOSED))
 
-    def closed(self, box: Mailbox) -> str:
-        """Waits, and reads nothing, for the other side's close or mail: ENDED or MAIL."""
-        reason = self.scheduler.wait(self.fd, CLOSED, box) if self.open else ENDED
+    def wait_closed(self, mailbox: Mailbox) -> str:
+        """Waits, without reading, for the other side's close or for mail; returns ENDED or MAIL."""
+        reason = self.scheduler.wait(self.fd, CLOSED, mailbox) if self.open else ENDED
         return MAIL if reason == MAIL else ENDED
 
     def write(
         self,
         data: bytes,
-        until: int | None = None,
-        box: Mailbox | None = None,
-        may: Callable[[], bool] | None = None,
+        deadline: int | None = None,
+        mailbox: Mailbox | None = None,
+        may_go_on: Callable[[], bool] | None = None,
     ) -> bool:
-        """Whether the last byte was written; without a deadline, the limits' patience is one. Mail ends it
-        while it waits; `may` is asked whenever the rest had to wait."""
+        """Writes all data; returns whether the last byte was written.
+
+        Without a deadline the limits' write timeout counts. Mail ends a wait. `may_go_on` is asked whenever
+        the rest had to wait.
+        """
         written = 0
         while written < len(data) and self.open:
             try:
                 written += self.sock.send(memoryview(data)[written:] if written else data)
             except BlockingIOError:
-                until = until or self.scheduler.now() + self.limits.patience
-                if self.scheduler.wait(self.fd, WRITE, box, until) in (MAIL, LATE) or (may and not may()):
+                deadline = deadline or self.scheduler.now() + self.limits.write_timeout
+                if self.scheduler.wait(self.fd, WRITE, mailbox, deadline) in (MAIL, LATE) or (
+                    may_go_on and not may_go_on()
+                ):
                     return False
             except OSError:
                 return False
         return written == len(data)
 
     def peek(self) -> bytes | None:
-        """The next byte that waits in the machine; None if there is none, empty at the end."""
+        """Returns the next unread byte in the kernel; None if there is none, empty at the end of the
+        stream.
+        """
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -144,24 +168,30 @@
         except OSError:
             return b""
 
-    def clean(self) -> bool:
-        """Nothing unread, and not closed by the other side."""
+    def is_clean(self) -> bool:
+        """Returns whether the connection can be reused: nothing is unread, and the other side has not
+        closed.
+        """
         return self.open and not self.buffer and self.peek() is None
 
     def close(self) -> None:
+        """Closes the socket; a task that waits on it is woken."""
         if self.open:
             self.open = False
             self.scheduler.forget(self.fd)
             self.sock.close()
 
-    def close_gently(self, until: int) -> None:
-        """Closes so that no unread byte resets an answer on its way; who sends on and on is cut off."""
-        passed, reason = 0, GOT
+    def close_gracefully(self, deadline: int) -> None:
+        """Closes after reading what is left, as unread bytes would reset an answer that is still under way.
+
+        The amount read is limited.
+        """
+        discarded, reason = 0, GOT
         try:
             self.sock.shutdown(socket.SHUT_WR)
-            while reason == GOT and passed < self.limits.drained:
-                passed += len(self.buffer.take())
-                reason = self.read(until)
+            while reason == GOT and discarded < self.limits.max_discarded:
+                discarded += len(self.buffer.take())
+                reason = self.read(deadline)
         except OSError:
             pass
         self.close()
--- a/laurelcourse/net/deployer.py
+++ b/laurelcourse/net/deployer.py
@@ -1,171 +1,202 @@
-"""The deployer: votes, and the stream of notices."""
+"""The deployer's API: votes, and the stream of notices on the newest build."""
 
 import logging
 
 from laurelcourse import interface as face
-from laurelcourse.net import forms, http
-from laurelcourse.net.calls import Pauses, answer
-from laurelcourse.net.choices import Choices
+from laurelcourse.net import http, payloads
 from laurelcourse.net.config import Config
 from laurelcourse.net.connection import GOT, Connection
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.forms import Address, FormError
-from laurelcourse.net.http import Events, HttpError, Response
+from laurelcourse.net.dispatcher import Dispatcher
+from laurelcourse.net.http import EventParser, HttpError, Response
+from laurelcourse.net.http_client import Backoff, read_response
+from laurelcourse.net.payloads import Address, PayloadError
 from laurelcourse.net.scheduler import LATE, Mailbox, Scheduler
 
-VOTES, NOTICES = "/v1/", "/v1/notices"
+VOTES_PATH = "/v1/"
+NOTICES_PATH = "/v1/notices"
 
 log = logging.getLogger(__name__)
 
 
-class Stream:
-    """One notices stream: when it began and was last heard, whether it has told anything, has stood for a
-    while, has told what was overtaken, and is over."""
+class NoticeStream:
+    """One stream of notices."""
 
     def __init__(self, now: int, address: Address) -> None:
-        self.began, self.heard, self.address = now, now, address
-        self.spoke = self.stood = self.overtaken = self.over = False
+        self.opened_at, self.last_heard, self.address = now, now, address
+        self.has_spoken = False
+        self.is_stable = False  # it has lasted for the silence limit
+        self.sent_stale_state = False  # it sent a state older than one already applied
+        self.closed = False
         self.conn: Connection | None = None
 
-    def hang_up(self) -> None:
-        """Also while it connects: what comes of that is closed at once."""
-        self.over = True
+    def close(self) -> None:
+        """Closes the stream; if it is still connecting, the connection is closed once it is up."""
+        self.closed = True
         if self.conn:
             self.conn.close()
 
 
 class Deployer:
-    def __init__(self, scheduler: Scheduler, config: Config, choices: Choices, counters: Counters) -> None:
+    """Casts votes and follows the notices."""
+
+    def __init__(
+        self, scheduler: Scheduler, config: Config, dispatcher: Dispatcher, counters: Counters
+    ) -> None:
         self.scheduler, self.limits, self.address = scheduler, config.limits, config.deployer
-        self.choices, self.counters = choices, counters
+        self.dispatcher, self.counters = dispatcher, counters
         self.vote_timeout = config.settings.vote_timeout
         self.routes = {route.name for route in config.settings.routes}
-        self.changed, self.moved = Mailbox(scheduler), Mailbox(scheduler)
-        self.stages = len(config.settings.stage_caps)
-        self.heard, self.heard_at = forms.NOWHERE, 0  # the state told last, when
-        self.heard_on: Stream | None = None  # and by which stream, if not by a vote's answer
-        self.pauses = Pauses(config.limits, config.seed, "notices stream")
+        self.stream_changed, self.address_changed = Mailbox(scheduler), Mailbox(scheduler)
+        self.stage_count = len(config.settings.stage_caps)
+        self.last_state, self.last_state_at = payloads.NO_BUILD, 0
+        self.last_state_stream: NoticeStream | None = None  # None: it came with a vote's answer
+        self.backoff = Backoff(config.limits, config.seed, "notices stream")
 
     def move(self, address: Address) -> None:
-        """Votes and the stream go to another address; a vote that is out ends where it was cast."""
+        """Uses another address from now on; a vote under way ends where it was cast."""
         if address != self.address:
             self.address = address
-            self.changed.put(None)
-            self.moved.put(None)
+            self.stream_changed.put(None)
+            self.address_changed.put(None)
 
     def vote(self, build: int, stage: int, verdict: int) -> None:
+        """Casts a vote in a task of its own."""
         self.scheduler.spawn(self._vote, build, stage, verdict)
 
     def _vote(self, build: int, stage: int, verdict: int) -> None:
-        """Each vote has a connection of its own: a late answer can't pass for a later vote's."""
-        call = http.request("POST", VOTES, self.address, forms.vote(build, stage, verdict), closes=True)
-        until = (cast := self.scheduler.now()) + self.vote_timeout
-        status, told = face.BROKE, forms.NOWHERE
-        conn = Connection.connect(self.scheduler, self.address, self.limits, until)
-        if conn and conn.write(call, until):
+        """Each vote has its own connection, so that a late answer is not taken for a later vote's."""
+        request = http.request(
+            "POST", VOTES_PATH, self.address, payloads.vote_form(build, stage, verdict), closes=True
+        )
+        deadline = (cast_at := self.scheduler.now()) + self.vote_timeout
+        status, state = face.CALL_FAILED, payloads.NO_BUILD
+        conn = Connection.connect(self.scheduler, self.address, self.limits, deadline)
+        if conn and conn.write(request, deadline):
             try:
-                found = answer(conn, until, self.limits.body)
-                status, told = forms.end_of_vote(found.head.status, found.take())
-                self._check(told)
-            except (HttpError, FormError, ValueError) as error:
-                status, told = face.UNANSWERED, forms.NOWHERE
+                response = read_response(conn, deadline, self.limits.max_body)
+                status, state = payloads.parse_vote_response(response.head.status, response.take())
+                self._check_stage(state)
+            except (HttpError, PayloadError, ValueError) as error:
+                status, state = face.UNANSWERED, payloads.NO_BUILD
                 log.warning("a vote without an answer", extra={"fault": error})
         if conn:
             conn.close()
         self.counters.add(f"votes.{status}")
-        told = self._newer(told, cast)
+        state = self._latest_state(state, cast_at)
         if status == face.COUNTED:
-            self.heard, self.heard_at, self.heard_on = told, self.scheduler.now(), None
-        self.choices.stage(told, vote_ended=status)
-
-    def _newer(self, told: forms.State, cast: int) -> forms.State:
-        """News may overtake a vote's answer: of what came since it was cast, the later state holds."""
-        if self.heard_at < cast or forms.progress(told) >= forms.progress(self.heard):
-            return told
-        return self.heard._replace(since=self.heard.since + self.scheduler.now() - self.heard_at)
-
-    def _overtaken(self, told: forms.State, stream: Stream) -> bool:
-        """A line may lie unread while a vote, or another stream, is told what came behind it. One on a stream
-        that began later, or that told the last state itself, was written later."""
-        return self.heard_at >= stream.began and self.heard_on is not stream and forms.lifts(told, self.heard)
-
-    def keep_hearing(self) -> None:
-        """Holds one stream; one lost, silent or left behind is opened anew, and held until the new one
-        speaks."""
-        held, tried = None, None
+            self.last_state, self.last_state_at = state, self.scheduler.now()
+            self.last_state_stream = None
+        self.dispatcher.stage(state, vote_status=status)
+
+    def _latest_state(self, state: payloads.BuildState, cast_at: int) -> payloads.BuildState:
+        """Returns the later of a vote's answer and the notices received since the vote was cast."""
+        if self.last_state_at < cast_at or payloads.progress(state) >= payloads.progress(self.last_state):
+            return state
+        age = self.last_state.since + self.scheduler.now() - self.last_state_at
+        return self.last_state._replace(since=age)
+
+    def _is_stale(self, state: payloads.BuildState, stream: NoticeStream) -> bool:
+        """Returns whether a notice was written before the last state.
+
+        It may lie unread while a vote's answer or another stream brings a later state. A notice was written
+        later if its stream was opened later or had itself sent the last state.
+        """
+        return (
+            self.last_state_at >= stream.opened_at
+            and self.last_state_stream is not stream
+            and payloads.lifts_cap(state, self.last_state)
+        )
+
+    def follow(self) -> None:
+        """Keeps one stream open; replaces one that is lost, silent or stale once the new one has spoken."""
+        current, candidate = None, None
         while True:
-            if tried and tried.spoke:
-                if held:
-                    held.hang_up()
-                held, tried = tried, None
+            if candidate and candidate.has_spoken:
+                if current:
+                    current.close()
+                current, candidate = candidate, None
             now, silence = self.scheduler.now(), self.limits.silence
-            if held and not held.stood and held.heard - held.began >= silence:
-                # Not as soon as it speaks: streams that break right behind their first state would be opened
-                # again and again after the shortest pause.
-                held.stood = True
-                self.pauses.worked()
-            if held and held.over:
-                held = None
-                self._rest(self.pauses.failed("the stream ended"))
-            elif tried and tried.address != self.address:
-                tried.hang_up()
-                tried = None
-            elif tried and (tried.over or now - tried.heard >= silence):
-                tried.hang_up()
-                tried = None
-                self._rest(self.pauses.failed("no stream"))
-            elif tried is None and (
-                held is None or now - held.heard >= silence or held.address != self.address or held.overtaken
+            if current and not current.is_stable and current.last_heard - current.opened_at >= silence:
+                # Not as soon as it speaks: streams that break right after their first notice would be
+                # reopened again and again after the shortest delay.
+                current.is_stable = True
+                self.backoff.succeeded()
+            if current and current.closed:
+                current = None
+                self._wait(self.backoff.failed("the stream ended"))
+            elif candidate and candidate.address != self.address:
+                candidate.close()
+                candidate = None
+            elif candidate and (candidate.closed or now - candidate.last_heard >= silence):
+                candidate.close()
+                candidate = None
+                self._wait(self.backoff.failed("no stream"))
+            elif candidate is None and (
+                current is None
+                or now - current.last_heard >= silence
+                or current.address != self.address
+                or current.sent_stale_state
             ):
-                tried = Stream(now, self.address)
+                candidate = NoticeStream(now, self.address)
                 self.counters.add("notices_opened")
-                self.scheduler.spawn(self._hear, tried)
-            elif self.scheduler.wait(box=self.changed, until=(tried or held).heard + silence) != LATE:
-                self.changed.get()
+                self.scheduler.spawn(self._read_stream, candidate)
+            elif (
+                self.scheduler.wait(
+                    box=self.stream_changed, until=(candidate or current).last_heard + silence
+                )
+                != LATE
+            ):
+                self.stream_changed.get()
 
-    def _rest(self, pause: int) -> None:
-        self.moved.get(self.scheduler.now() + pause)
+    def _wait(self, delay: int) -> None:
+        self.address_changed.get(self.scheduler.now() + delay)
 
-    def _hear(self, stream: Stream) -> None:
-        until = stream.heard + self.limits.silence
-        stream.conn = conn = Connection.connect(self.scheduler, stream.address, self.limits, until)
+    def _read_stream(self, stream: NoticeStream) -> None:
+        deadline = stream.last_heard + self.limits.silence
+        stream.conn = conn = Connection.connect(self.scheduler, stream.address, self.limits, deadline)
         try:
-            if conn and not stream.over and conn.write(http.request("GET", NOTICES, stream.address), until):
-                found, events = Response(self.limits.body), Events(self.limits.buffer_most)
-                while not found.done and conn.read() == GOT:
-                    stream.heard = self.scheduler.now()
-                    found.feed(conn.buffer.take())
-                    if found.head and found.head.status != 200:
-                        raise HttpError(f"status {found.head.status}")
-                    for name, data in events.feed(found.take()):
-                        self._notice(stream, name, http.form(data))
-                        stream.spoke = True
-                        self.changed.put(None)
-        except (HttpError, FormError, ValueError) as error:
-            # What it says from here on can't be told apart from noise.
+            if (
+                conn
+                and not stream.closed
+                and conn.write(http.request("GET", NOTICES_PATH, stream.address), deadline)
+            ):
+                response, events = Response(self.limits.max_body), EventParser(self.limits.max_buffer)
+                while not response.done and conn.read() == GOT:
+                    stream.last_heard = self.scheduler.now()
+                    response.feed(conn.buffer.take())
+                    if response.head and response.head.status != 200:
+                        raise HttpError(f"status {response.head.status}")
+                    for name, data in events.feed(response.take()):
+                        self._take_notice(stream, name, http.parse_form(data))
+                        stream.has_spoken = True
+                        self.stream_changed.put(None)
+        except (HttpError, PayloadError, ValueError) as error:
+            # Where the next notice begins is unknown from here on.
             self.counters.add("notices_unreadable")
             log.warning("a notices stream can't be read", extra={"fault": error})
         finally:
-            stream.hang_up()
-            self.changed.put(None)
+            stream.close()
+            self.stream_changed.put(None)
 
-    def _notice(self, stream: Stream, name: str, fields: dict[str, str]) -> None:
+    def _take_notice(self, stream: NoticeStream, name: str, fields: dict[str, str]) -> None:
         self.counters.add("notices")
         if name == "progress":
-            told = forms.state(fields)
-            self._check(told)
-            if self._overtaken(told, stream):
-                # Should the platform have gone back in truth, a stream opened anew tells so at once.
-                stream.overtaken = True
+            state = payloads.parse_build_state(fields)
+            self._check_stage(state)
+            if self._is_stale(state, stream):
+                # If the platform really went back, a new stream will say so at once.
+                stream.sent_stale_state = True
                 self.counters.add("notices_overtaken")
                 return
-            self.heard, self.heard_at, self.heard_on = told, self.scheduler.now(), stream
-            self.choices.stage(told)
+            self.last_state, self.last_state_at = state, self.scheduler.now()
+            self.last_state_stream = stream
+            self.dispatcher.stage(state)
         elif name == "metrics":
-            counted = forms.tally(fields)
-            if counted.route in self.routes:
-                self.choices.tally(counted)
+            tally = payloads.parse_tally(fields)
+            if tally.route in self.routes:
+                self.dispatcher.tally(tally)
 
-    def _check(self, told: forms.State) -> None:
-        if told.standing == face.ON_TRIAL and told.stage >= self.stages:
-            raise FormError(f"no stage {told.stage}")
+    def _check_stage(self, state: payloads.BuildState) -> None:
+        if state.standing == face.ON_TRIAL and state.stage >= self.stage_count:
+            raise PayloadError(f"no stage {state.stage}")
--- a/laurelcourse/net/directory.py
+++ b/laurelcourse/net/directory.py
@@ -1,147 +1,164 @@
-"""The directory: one watch of the list of units behind another."""
+"""The directory's API: one watch of the list of units after another."""
 
 import logging
 
 from laurelcourse import interface as face
 from laurelcourse.net import http
-from laurelcourse.net.calls import Pauses, answer
-from laurelcourse.net.choices import Choices
 from laurelcourse.net.config import Config
 from laurelcourse.net.connection import Connection
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.forms import Address, FormError, Members, decoded, members
+from laurelcourse.net.dispatcher import Dispatcher
 from laurelcourse.net.http import HttpError
-from laurelcourse.net.lists import Lists
+from laurelcourse.net.http_client import Backoff, read_response
+from laurelcourse.net.membership import MembershipFilter
+from laurelcourse.net.payloads import Address, PayloadError, UnitList, parse_json, parse_unit_list
 from laurelcourse.net.pool import Pool
 from laurelcourse.net.scheduler import Mailbox, Scheduler
 
-MEMBERS = "/catalog/members"
+UNITS_PATH = "/catalog/members"
 
 log = logging.getLogger(__name__)
 
 
 class Directory:
+    """Follows the list of units and hands changes to the pool and the dispatcher."""
+
     def __init__(
-        self, scheduler: Scheduler, config: Config, choices: Choices, pool: Pool, counters: Counters
+        self,
+        scheduler: Scheduler,
+        config: Config,
+        dispatcher: Dispatcher,
+        pool: Pool,
+        counters: Counters,
     ) -> None:
         self.scheduler, self.address, self.limits = scheduler, config.directory, config.limits
-        self.choices, self.pool, self.counters = choices, pool, counters
-        self.must_ask = config.settings.must_ask
+        self.dispatcher, self.pool, self.counters = dispatcher, pool, counters
+        self.must_poll = config.settings.must_poll
         self.revision = config.known.revision if config.known.entries else None
-        self.lists = Lists(config.known, config.limits.watch + config.limits.watch_grace)
-        self.asked, self.moved = Mailbox(scheduler), Mailbox(scheduler)
+        self.membership = MembershipFilter(config.known, config.limits.watch + config.limits.watch_grace)
+        self.watch_requested, self.address_changed = Mailbox(scheduler), Mailbox(scheduler)
         self.conn: Connection | None = None
-        self.at_once = False  # whether the last watch was answered so
-        self.bare_until = 0  # entries that can't be sent to are logged once a watch's time
-        # What the agent has at its return counts at once: a drain told then is heard within its grace.
-        # Pauses and the patience with an agent, which answers at once, are parts of that grace.
+        self.answered_at_once = False  # the last watch
+        self.quiet_until = 0  # incomplete entries are logged once in the time of a watch
+        # What the agent knows counts as soon as it is back: a drain must be learned within its grace. Delays
+        # between calls, and the time allowed to an agent that answers at once, are parts of that grace.
         grace = config.settings.drain_grace
-        self.pauses = Pauses(config.limits, config.seed, "directory", grace // 8)
-        self.patience = min(config.limits.watch_grace, max(grace // 2, config.limits.watch_grace // 4))
-        # Calls that failed since one worked; what an agent has at the start is asked for as after a failure.
-        self.failures = 0 if self.must_ask else 1
+        self.backoff = Backoff(config.limits, config.seed, "directory", grace // 8)
+        self.response_time = min(config.limits.watch_grace, max(grace // 2, config.limits.watch_grace // 4))
+        # Calls that failed in a row. Starting with 1 asks an agent at once for what it has.
+        self.failures = 0 if self.must_poll else 1
 
     def watch(self) -> None:
-        """The module asked for changes from now on."""
-        self.asked.put(None)
+        """The decision module asks for changes from now on."""
+        self.watch_requested.put(None)
 
     def move(self, address: Address) -> None:
-        """Another address from now on, also for a call that waits; its revisions count anew."""
+        """Uses another address from now on, also for a call under way; its revisions are its own."""
         if address != self.address:
             self.address, self.revision, self.failures = address, None, 1
-            self._hang_up()
-            self.moved.put(None)
+            self._disconnect()
+            self.address_changed.put(None)
 
     def follow(self) -> None:
+        """Watches the directory again and again; backs off after failures."""
         while True:
-            if self.must_ask:
-                self.asked.get()
-            pause = 0
-            while not pause:
-                pause = self._watch()
-            if self.must_ask:
-                self.choices.directory(face.BROKEN, [])
+            if self.must_poll:
+                self.watch_requested.get()
+            delay = 0
+            while not delay:
+                delay = self._watch()
+            if self.must_poll:
+                self.dispatcher.directory(face.WATCH_BROKEN, [])
             else:
-                self.moved.get(self.scheduler.now() + pause)
+                self.address_changed.get(self.scheduler.now() + delay)
 
     def _watch(self) -> int:
-        """One watch, handed on; if it failed, the pause due before the next."""
+        """Makes one watch and hands on what it brings; returns the delay before the next if it failed, else
+        0.
+        """
         began, address = self.scheduler.now(), self.address
-        self.moved.items.clear()
+        self.address_changed.items.clear()
         self.counters.add("directory_calls")
         try:
-            found = self._call()
+            units = self._call()
             if address != self.address:
                 raise HttpError("moved")
-        except (HttpError, FormError, ValueError, RecursionError) as error:
+        except (HttpError, PayloadError, ValueError, RecursionError) as error:
             if address != self.address:
                 return 0
             self.counters.add("directory_failed")
             self.failures += 1
-            self._hang_up()
-            return self.pauses.failed(error)
-        self.pauses.worked()
+            self._disconnect()
+            return self.backoff.failed(error)
+        self.backoff.succeeded()
         self.failures = 0
-        before, self.revision = self.revision, found.revision
-        again = before is not None and found.revision <= before
-        self._held_back(found.bare)
-        found = self.lists.take(self.scheduler.now(), found)
-        if found.entries or found.whole:
-            self.pool.listed(found.entries, found.whole)
-            how = face.WHOLE if found.whole else face.CHANGES
-            self.choices.directory(how, [listed for listed, _ in found.entries])
+        last_revision, self.revision = self.revision, units.revision
+        repeated = last_revision is not None and units.revision <= last_revision
+        self._report_incomplete(units.incomplete)
+        units = self.membership.filter(self.scheduler.now(), units)
+        if units.entries or units.complete:
+            self.pool.update_units(units.entries, units.complete)
+            how = face.FULL_LIST if units.complete else face.CHANGES
+            self.dispatcher.directory(how, [listed for listed, _ in units.entries])
         else:
-            again = True
-        before, self.at_once = self.at_once, self.scheduler.now() - began < self.limits.pause_first
-        if self.at_once and (again or before):
-            # A directory that does not wait is not to be asked without a pause, whatever it has to tell.
-            self.scheduler.sleep(self.limits.pause_first)
+            repeated = True
+        last_at_once, self.answered_at_once = (
+            self.answered_at_once,
+            self.scheduler.now() - began < self.limits.backoff_first,
+        )
+        if self.answered_at_once and (repeated or last_at_once):
+            # A directory that does not hold a watch open is not called again without a delay.
+            self.scheduler.sleep(self.limits.backoff_first)
         return 0
 
-    def _held_back(self, bare: tuple[str, ...]) -> None:
-        """Notes entries that say too little to be sent to; a list that repeats them must not fill the log."""
-        if bare:
-            self.counters.add("directory_held_back", len(bare))
-        if bare and self.scheduler.now() >= self.bare_until:
-            self.bare_until = self.scheduler.now() + self.limits.watch
-            log.warning("an entry without build or address", extra={"first": bare[0], "entries": len(bare)})
-
-    def _times(self) -> tuple[int, int]:
-        """How long the next call may wait, and how much later its answer may come. What need not be waited
-        for is answered at once: a list asked for anew that stays out, and a watch opened anew that is silent
-        as well, are known soon: what the first of two missed counts 2 s after its wait. Who is slow is heard
-        all the same: a directory that is asked has twice the time at each call, an agent at each 32nd."""
+    def _report_incomplete(self, unit_ids: tuple[str, ...]) -> None:
+        """Counts and logs entries that lack what a send needs; repeated lists must not fill the log."""
+        if unit_ids:
+            self.counters.add("directory_held_back", len(unit_ids))
+        if unit_ids and self.scheduler.now() >= self.quiet_until:
+            self.quiet_until = self.scheduler.now() + self.limits.watch
+            log.warning(
+                "an entry without build or address", extra={"first": unit_ids[0], "entries": len(unit_ids)}
+            )
+
+    def _call_times(self) -> tuple[int, int]:
+        """Returns how long the next call may wait, and how much later its answer may come.
+
+        After a failure the directory is asked for what it has, so that a dead one is noticed soon: what a
+        first silent watch missed counts 2 s after its wait. A slow directory gets more time with each
+        failure: one that is polled twice as much at each, an agent at each 32nd.
+        """
         limits = self.limits
         if not self.failures:
             return limits.watch, limits.watch_grace
-        if self.must_ask:
-            return limits.pause_first, min(limits.watch_grace << min(self.failures, 4) >> 2, limits.watch)
-        return limits.pause_first, min(self.patience << min(self.failures >> 5, 4), limits.watch_grace)
-
-    def _call(self) -> Members:
-        hold, patience = self._times()
-        target = f"{MEMBERS}?from={self.revision}&hold_ms={hold // 1000}"
-        target = MEMBERS if self.revision is None else target
-        until = self.scheduler.now() + hold + patience
-        if self.conn is None or not self.conn.clean():
-            self._hang_up()
-            soon = self.scheduler.now() + min(patience, self.limits.watch_grace)
+        if self.must_poll:
+            return limits.backoff_first, min(limits.watch_grace << min(self.failures, 4) >> 2, limits.watch)
+        return limits.backoff_first, min(self.response_time << min(self.failures >> 5, 4), limits.watch_grace)
+
+    def _call(self) -> UnitList:
+        hold, response_time = self._call_times()
+        target = f"{UNITS_PATH}?from={self.revision}&hold_ms={hold // 1000}"
+        target = UNITS_PATH if self.revision is None else target
+        deadline = self.scheduler.now() + hold + response_time
+        if self.conn is None or not self.conn.is_clean():
+            self._disconnect()
+            connect_deadline = self.scheduler.now() + min(response_time, self.limits.watch_grace)
             address = self.address
-            self.conn = Connection.connect(self.scheduler, address, self.limits, soon)
+            self.conn = Connection.connect(self.scheduler, address, self.limits, connect_deadline)
             if address != self.address:
-                self._hang_up()
+                self._disconnect()
         if self.conn is None:
             raise HttpError("no connection")
-        if not self.conn.write(http.request("GET", target, self.address), until):
+        if not self.conn.write(http.request("GET", target, self.address), deadline):
             raise HttpError("a call not written whole")
-        found = answer(self.conn, until, self.limits.body)
-        if found.head.status != 200:
-            raise HttpError(f"status {found.head.status}")
-        if found.head.closes:
-            self._hang_up()
-        return members(decoded(found.take()))
-
-    def _hang_up(self) -> None:
+        response = read_response(self.conn, deadline, self.limits.max_body)
+        if response.head.status != 200:
+            raise HttpError(f"status {response.head.status}")
+        if response.head.closes:
+            self._disconnect()
+        return parse_unit_list(parse_json(response.take()))
+
+    def _disconnect(self) -> None:
         if self.conn:
             self.conn.close()
             self.conn = None
--- a/laurelcourse/net/pool.py
+++ b/laurelcourse/net/pool.py
@@ -1,4 +1,4 @@
-"""Connections by unit: connect, keep, rest, drain, close. Knows no protocol."""
+"""Connections by unit: connect, keep for reuse, expire, close. Knows no protocol."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -8,24 +8,30 @@
 from laurelcourse import interface as face
 from laurelcourse.net.connection import Connection
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.forms import Address
+from laurelcourse.net.idle_limit import IdleLimit
 from laurelcourse.net.limits import Limits
-from laurelcourse.net.rests import Rests
+from laurelcourse.net.payloads import Address
 from laurelcourse.net.scheduler import SHUT, Scheduler, Task
 
+SWEEPS_PER_IDLE_TIME = 8
+MIN_SWEEP_INTERVAL_US = 1000
 
-class Place:
-    """Where a unit listens; another address, build or start under its number is another place."""
+
+class Endpoint:
+    """Where a unit listens. With another address, build or start, its number is another endpoint."""
 
     def __init__(self, address: Address, entry: face.Listed) -> None:
-        self.address, self.build, self.since = address, entry.build, entry.since
+        self.address, self.build, self.started_at = address, entry.build, entry.started_at
         self.unit = str(entry.unit)
-        self.idle: deque[tuple[int, Connection]] = deque()
-        self.coming: set[Task] = set()  # whoever waits for a connection to come up
-        self.gone = self.odd = False
+        self.idle: deque[tuple[int, Connection]] = deque()  # with the time since when, oldest first
+        self.connecting: set[Task] = set()
+        self.gone = False
+        self.malformed_logged = False
 
 
 class Pool:
+    """All connections of one front to units."""
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -33,141 +39,152 @@
         greet: Callable[[Connection, int], str],
         counters: Counters,
     ) -> None:
-        """`greet` does what a new connection needs before its first query, and tells how that ended."""
+        """`greet` does what a new connection needs before its first query, and returns how that ended."""
         self.scheduler, self.limits, self.greet, self.counters = scheduler, limits, greet, counters
-        self.shares: face.Shares = face.NoShares()
-        self.units: dict[Connection, str] = {}
-        self.places: dict[int, Place] = {}
-        self.open = 0
-        self.rests = Rests(limits)
-
-    def listed(self, entries: Iterable[tuple[face.Listed, Address | None]], whole: bool) -> None:
-        named = {entry.unit for entry, _ in entries}
-        for unit in [unit for unit in self.places if whole and unit not in named]:
-            self._leave(unit)
+        self.budgets: face.Budgets = face.NoBudgets()
+        self.unit_by_connection: dict[Connection, str] = {}
+        self.endpoints: dict[int, Endpoint] = {}
+        self.open_count = 0
+        self.idle_limit = IdleLimit(limits)
+
+    def update_units(self, entries: Iterable[tuple[face.Listed, Address | None]], complete: bool) -> None:
+        """Applies a list of units; those that a complete list lacks are gone."""
+        listed = {entry.unit for entry, _ in entries}
+        for unit in [unit for unit in self.endpoints if complete and unit not in listed]:
+            self._remove(unit)
         for entry, address in entries:
-            have = self.places.get(entry.unit)
+            known = self.endpoints.get(entry.unit)
             if entry.health == face.GONE:
-                self._leave(entry.unit)
+                self._remove(entry.unit)
             elif address is not None and (
-                have is None or (have.address, have.build, have.since) != (address, entry.build, entry.since)
+                known is None
+                or (known.address, known.build, known.started_at) != (address, entry.build, entry.started_at)
             ):
-                self._leave(entry.unit)
-                self.places[entry.unit] = Place(address, entry)
-
-    def _leave(self, unit: int) -> None:
-        place = self.places.pop(unit, None)
-        if place:
-            place.gone = True
-            for task in place.coming:
+                self._remove(entry.unit)
+                self.endpoints[entry.unit] = Endpoint(address, entry)
+
+    def _remove(self, unit: int) -> None:
+        endpoint = self.endpoints.pop(unit, None)
+        if endpoint:
+            endpoint.gone = True
+            for task in endpoint.connecting:
                 self.scheduler.wake(task, SHUT)
-            while place.idle:
-                self.close(place.idle.popleft()[1])
+            while endpoint.idle:
+                self.close(endpoint.idle.popleft()[1])
 
-    def connection(
-        self, place: Place, until: int, may: Callable[[], bool] = lambda: True
+    def acquire(
+        self, endpoint: Endpoint, deadline: int, may_connect: Callable[[], bool] = lambda: True
     ) -> tuple[Connection | None, int, str]:
-        """A clean idle one and its rest, else a new one, if it `may` still be begun; or why there is none.
-        Nothing has run so far."""
-        if self.scheduler.now() >= until:
-            return None, 0, face.UNREACHED  # a greeting for nobody would cost the unit work
-        conn, rested = self._rested(place)
-        if conn is None and self._waits(place):
-            conn, rested = self._after_a_moment(place, until)
+        """Returns a connection, how long it was idle, and OK; or None and why there is none.
+
+        An idle connection is reused if there is a clean one; else a new one is made, if it still may be.
+        Nothing has run at the unit so far.
+        """
+        if self.scheduler.now() >= deadline:
+            return None, 0, face.UNREACHABLE  # a handshake for nobody would cost the unit work
+        conn, idle = self._take_idle(endpoint)
+        if conn is None and self._should_wait(endpoint):
+            conn, idle = self._wait_for_idle(endpoint, deadline)
         if conn:
-            return conn, rested, face.OK
-        if place.gone or not may():
-            return None, 0, face.UNSENT  # the unit went meanwhile, or who asked: a greeting for nobody too
-        if self.open >= self.limits.upstream and not self.drop_idle():
+            return conn, idle, face.OK
+        if endpoint.gone or not may_connect():
+            return None, 0, face.UNSENT  # the unit or the client has gone meanwhile
+        if self.open_count >= self.limits.max_upstream and not self.drop_idle():
             self.counters.add("units_no_descriptor")
-            # Not the unit's fault, and nothing that it is to be judged by.
+            # This is not the unit's fault, and must not count against it.
             return None, 0, face.UNSENT
-        if not self._within_budgets(place):
+        if not self._consume_budgets(endpoint):
             self.counters.add("units_no_budget")
-            return None, 0, face.UNSENT  # nor is this
-        self.open += 1
-        until = min(until, self.scheduler.now() + self.limits.connect)
-        conn, status = None, face.UNREACHED
-        place.coming.add(task := getcurrent())
+            return None, 0, face.UNSENT
+        self.open_count += 1
+        deadline = min(deadline, self.scheduler.now() + self.limits.connect_timeout)
+        conn, status = None, face.UNREACHABLE
+        endpoint.connecting.add(task := getcurrent())
         try:
-            conn = Connection.connect(self.scheduler, place.address, self.limits, until)
+            conn = Connection.connect(self.scheduler, endpoint.address, self.limits, deadline)
             if conn:
-                self.units[conn] = place.unit
+                self.unit_by_connection[conn] = endpoint.unit
                 self.counters.add("units_connected")
-                status = face.UNREACHED if place.gone else self.greet(conn, until)
+                status = face.UNREACHABLE if endpoint.gone else self.greet(conn, deadline)
         finally:
-            place.coming.remove(task)
-            # Also after a fault: else it would count as open, and as held, for ever.
+            endpoint.connecting.remove(task)
+            # After an exception too: otherwise it would count as open, and as held, for ever.
             if conn is None:
-                self.open -= 1
-                self.shares.back(self.scheduler.now(), face.CONNECTIONS, place.unit)
+                self.open_count -= 1
+                self.budgets.release(self.scheduler.now(), face.CONNECTIONS, endpoint.unit)
             elif status != face.OK:
                 self.close(conn)
-        # What a wait for a unit that has left ended with tells nothing of it.
-        status = face.UNSENT if place.gone and status == face.UNREACHED else status
+        # How a wait for a unit that has left ended says nothing about the unit.
+        status = face.UNSENT if endpoint.gone and status == face.UNREACHABLE else status
         return conn if status == face.OK else None, 0, status
 
-    def _waits(self, place: Place) -> bool:
-        """Whether a budget is used up that the operators let reqs wait for; else other units come first."""
+    def _should_wait(self, endpoint: Endpoint) -> bool:
+        """Returns whether a budget is exhausted for which the operators want reqs to wait."""
         now = self.scheduler.now()
-        return not place.gone and any(
-            self.shares.could(now, name, place.unit) is False and self.shares.waits(name)
+        return not endpoint.gone and any(
+            self.budgets.allows(now, name, endpoint.unit) is False and self.budgets.waits_when_exhausted(name)
             for name in (face.HANDSHAKES, face.CONNECTIONS)
         )
 
-    def _after_a_moment(self, place: Place, until: int) -> tuple[Connection | None, int]:
-        """A budget's next use may be a moment away, and so may be a connection that comes to rest."""
-        patience = min(until, self.scheduler.now() + self.limits.connect) - self.limits.settle
-        while self.scheduler.now() < patience and self._waits(place):
-            self.scheduler.sleep(self.limits.settle)
-            if (found := self._rested(place))[0]:
+    def _wait_for_idle(self, endpoint: Endpoint, deadline: int) -> tuple[Connection | None, int]:
+        """Waits until the budget has room again or a connection is free, whichever comes first."""
+        wait_until = (
+            min(deadline, self.scheduler.now() + self.limits.connect_timeout) - self.limits.settle_time
+        )
+        while self.scheduler.now() < wait_until and self._should_wait(endpoint):
+            self.scheduler.sleep(self.limits.settle_time)
+            if (found := self._take_idle(endpoint))[0]:
                 return found
         return None, 0
 
-    def _within_budgets(self, place: Place) -> bool:
-        """The fleet's bounds on new connections to a unit and on those held; one is counted as held from here
-        on."""
+    def _consume_budgets(self, endpoint: Endpoint) -> bool:
+        """Returns whether the fleet's budgets allow a new connection to a unit; if so it counts as held."""
         now = self.scheduler.now()
-        if self.shares.could(now, face.HANDSHAKES, place.unit) is False or (
-            self.shares.take(now, face.CONNECTIONS, place.unit) is False
+        if self.budgets.allows(now, face.HANDSHAKES, endpoint.unit) is False or (
+            self.budgets.consume(now, face.CONNECTIONS, endpoint.unit) is False
         ):
             return False
-        self.shares.take(now, face.HANDSHAKES, place.unit)
+        self.budgets.consume(now, face.HANDSHAKES, endpoint.unit)
         return True
 
-    def _rested(self, place: Place) -> tuple[Connection | None, int]:
-        """The one used last among those that have rested, so that a second answer would have come by now."""
-        now, fresh, found, rested = self.scheduler.now(), [], None, 0
-        while place.idle and not found:
-            since, conn = place.idle.pop()
-            if now - since < self.limits.settle:
-                fresh.append((since, conn))
-            elif now - since < self.rests.most and conn.clean():
-                found, rested = conn, now - since
+    def _take_idle(self, endpoint: Endpoint) -> tuple[Connection | None, int]:
+        """Returns the connection used last among those idle long enough to show an unexpected second
+        answer.
+        """
+        now, not_settled, found, idle_time = self.scheduler.now(), [], None, 0
+        while endpoint.idle and not found:
+            since, conn = endpoint.idle.pop()
+            if now - since < self.limits.settle_time:
+                not_settled.append((since, conn))
+            elif now - since < self.idle_limit.max_idle and conn.is_clean():
+                found, idle_time = conn, now - since
             else:
                 self.close(conn)
-        place.idle.extend(reversed(fresh))
-        return found, rested
+        endpoint.idle.extend(reversed(not_settled))
+        return found, idle_time
 
-    def keep(self, place: Place, conn: Connection) -> None:
-        if place.gone:
+    def release(self, endpoint: Endpoint, conn: Connection) -> None:
+        """Keeps a connection for reuse, unless the unit has gone."""
+        if endpoint.gone:
             self.close(conn)
         else:
-            # Of a large answer's buffer nothing is kept while the connection rests.
+            # An idle connection does not keep the buffer of a large answer.
             conn.buffer.shrink()
-            place.idle.append((self.scheduler.now(), conn))
+            endpoint.idle.append((self.scheduler.now(), conn))
 
     def close(self, conn: Connection) -> None:
+        """Closes a connection, if it is open."""
         if conn.open:
             conn.close()
-            self.open -= 1
-            self.shares.back(self.scheduler.now(), face.CONNECTIONS, self.units.pop(conn, ""))
+            self.open_count -= 1
+            unit = self.unit_by_connection.pop(conn, "")
+            self.budgets.release(self.scheduler.now(), face.CONNECTIONS, unit)
 
     def drop_idle(self) -> bool:
-        """Closes the connection that has been idle longest; whether there was one."""
+        """Closes the connection that has been idle longest; returns whether there was one."""
         oldest = min(
-            (place for place in self.places.values() if place.idle),
-            key=lambda place: place.idle[0][0],
+            (endpoint for endpoint in self.endpoints.values() if endpoint.idle),
+            key=lambda endpoint: endpoint.idle[0][0],
             default=None,
         )
         if oldest:
@@ -175,11 +192,12 @@
         return oldest is not None
 
     def sweep(self) -> None:
-        """Closes what has been idle for too long, again and again."""
+        """Closes connections that were idle for too long, again and again."""
         while True:
-            self.scheduler.sleep(max(self.limits.idle // 8, 1000))
-            self.rests.fade()
-            expired = self.scheduler.now() - self.rests.most
-            for place in list(self.places.values()):
-                while place.idle and place.idle[0][0] <= expired:
-                    self.close(place.idle.popleft()[1])
+            interval = max(self.limits.max_idle // SWEEPS_PER_IDLE_TIME, MIN_SWEEP_INTERVAL_US)
+            self.scheduler.sleep(interval)
+            self.idle_limit.decay()
+            expired = self.scheduler.now() - self.idle_limit.max_idle
+            for endpoint in list(self.endpoints.values()):
+                while endpoint.idle and endpoint.idle[0][0] <= expired:
+                    self.close(endpoint.idle.popleft()[1])
--- a/laurelcourse/net/relay.py
+++ b/laurelcourse/net/relay.py
@@ -1,4 +1,4 @@
-"""The relay as a whole: start, reload, stop, wiring."""
+"""The relay process: wiring, start, reload, shutdown."""
 
 import gc
 import logging
@@ -11,59 +11,69 @@
 from laurelcourse.fronts.postgres.exchange import Exchange
 from laurelcourse.fronts.postgres.front import Front
 from laurelcourse.net import signals
-from laurelcourse.net.assembly import Assembly, Host
+from laurelcourse.net.admission import ClientAdmission
+from laurelcourse.net.assembly import Assembly, ProcessContext
 from laurelcourse.net.config import Config, ConfigError
 from laurelcourse.net.counters import Counters
 from laurelcourse.net.deployer import Deployer
 from laurelcourse.net.directory import Directory
-from laurelcourse.net.doors import Doors
-from laurelcourse.net.relays import Relays
+from laurelcourse.net.peers import Peers
 from laurelcourse.net.scheduler import READ, Clock, Scheduler
-from laurelcourse.net.stopping import LEAVING, OVER, Stop
+from laurelcourse.net.shutdown import LEAVING, OVER, Shutdown
+
+RELOADABLE_FIELDS = ("directory", "deployer")
+# Of these the relay has learned later values than the file holds.
+IGNORED_ON_RELOAD = (*RELOADABLE_FIELDS, "known", "news")
+# Reqs leave no reference cycles behind: frequent collections would cost CPU time that reqs need.
+GC_THRESHOLDS = (50_000, 20, 50)
+MAX_SIGNALS_PER_READ = 64
 
 log = logging.getLogger(__name__)
-MOVES = ("directory", "deployer")  # what a new configuration changes
-TOLD_ANEW = (*MOVES, "known", "news")  # of these the relay has heard later than the file was written
 
 
 class Relay:
+    """One relay process: its own front, and further ones that the caller adds."""
+
     def __init__(
         self,
         config: Config,
-        reread: Callable[[], Config],
-        more: Callable[[Host], list[Assembly]] = lambda _: [],
+        read_config: Callable[[], Config],
+        make_fronts: Callable[[ProcessContext], list[Assembly]] = lambda _: [],
     ) -> None:
-        """`more` makes the fronts beside the own; the plain relay has none, nor their libraries."""
-        self.config, self.limits, self.counters, self.reread = config, config.limits, Counters(), reread
+        """`make_fronts` makes further fronts; the plain relay has none, nor loads their libraries."""
+        self.config, self.limits, self.counters = config, config.limits, Counters()
+        self.read_config = read_config
         self.scheduler = Scheduler(Clock(), lambda: self.counters.add("tasks_died"))
-        self.over, self.stopping = (
+        self.over, self.shutdown = (
             False,
-            Stop(self.limits.stop_quiet, self.limits.stop_accept, self.limits.stop_least),
+            Shutdown(self.limits.stop_quiet, self.limits.stop_max_accept, self.limits.stop_min_accept),
         )
-        self.reloads = 0  # asked for so far
-        self.closing: list[Callable[[], None]] = []
-        self.works: list[Callable[[], None]] = []
-        self.main = self._main(config)
-        host = Host(self.scheduler, config, self.counters, self.closing, self.works, self.main)
-        self.fronts = [self.main, *more(host)]
-
-    def _main(self, config: Config) -> Assembly:
-        """The platform's own front: PostgreSQL, directory, deployer, the other relays."""
+        self.reload_count = 0
+        self.on_close: list[Callable[[], None]] = []
+        self.loops: list[Callable[[], None]] = []
+        self.main = self._make_main_front(config)
+        context = ProcessContext(self.scheduler, config, self.counters, self.on_close, self.loops, self.main)
+        self.fronts = [self.main, *make_fronts(context)]
+
+    def _make_main_front(self, config: Config) -> Assembly:
+        """Makes the platform's own front: PostgreSQL, directory, deployer, the other relays."""
         main = Assembly(
             self.scheduler,
             config,
             self.counters,
             lambda _: Exchange(self.scheduler, config.limits, config.load_told, self.counters),
         )
-        main.front = Front(self.scheduler, config, main.choices, main.lives, main.doors, self.counters)
-        main.follow(Directory(self.scheduler, config, main.choices, main.pool, self.counters))
-        main.hear(Deployer(self.scheduler, config, main.choices, self.counters))
-        self.relays = Relays(self.scheduler, config, main.choices, self.counters)
-        main.choices.on(face.TELL, self.relays.tell)
+        main.front = Front(
+            self.scheduler, config, main.dispatcher, main.lifecycle, main.admission, self.counters
+        )
+        main.use_directory(Directory(self.scheduler, config, main.dispatcher, main.pool, self.counters))
+        main.use_deployer(Deployer(self.scheduler, config, main.dispatcher, self.counters))
+        self.peers = Peers(self.scheduler, config, main.dispatcher, self.counters)
+        main.dispatcher.on(face.TELL, self.peers.send)
         return main
 
     def run(self) -> None:
-        """Serves until a signal has stopped it and nothing is owed."""
+        """Serves until a signal stops it and every req is answered. Raises OSError if it cannot bind."""
         wakeup, waker = socket.socketpair()
         for end in (wakeup, waker):
             end.setblocking(False)
@@ -71,84 +81,89 @@
         for front in self.fronts:
             front.bind()
         if self.config.peer_listen:
-            self.relays.bind(self.config.peer_listen)
-            self.scheduler.spawn(self._keep, self.relays.hear)
+            self.peers.bind(self.config.peer_listen)
+            self.scheduler.spawn(self._run_forever, self.peers.listen)
         for front in self.fronts:
-            front.start(front.config.known, front.config.news, self._keep)
-        for work in self.works:
-            self.scheduler.spawn(self._keep, work)
-        self.scheduler.spawn(self._signals, wakeup)
-        # Reqs leave no cycles behind: looking for them often costs CPU that reqs need.
+            front.start(front.config.known, front.config.news, self._run_forever)
+        for loop in self.loops:
+            self.scheduler.spawn(self._run_forever, loop)
+        self.scheduler.spawn(self._handle_signals, wakeup)
         gc.freeze()
-        gc.set_threshold(50_000, 20, 50)
+        gc.set_threshold(*GC_THRESHOLDS)
         log.info("serving", extra={"name_of_relay": self.config.name, "pid": os.getpid()})
         self.scheduler.run(lambda: self.over)
-        signals.end()
-        for close in self.closing:
+        signals.ignore_all()
+        for close in self.on_close:
             close()
         log.info("counters", extra=self.counters.fields())
 
-    def _keep(self, work: Callable[[], None]) -> None:
-        """A loop that a fault ends begins again: without it the relay would go on, deaf."""
+    def _run_forever(self, loop: Callable[[], None]) -> None:
+        """Restarts a loop that an exception ended: without it the relay would go on without that input."""
         while True:
-            self.scheduler.guarded(work)
-            self.scheduler.sleep(self.limits.pause_most)
+            self.scheduler.run_guarded(loop)
+            self.scheduler.sleep(self.limits.backoff_max)
 
-    def _signals(self, wakeup: socket.socket) -> None:
+    def _handle_signals(self, wakeup: socket.socket) -> None:
         while True:
             self.scheduler.wait(wakeup.fileno(), READ)
-            for number in wakeup.recv(64):
+            for number in wakeup.recv(MAX_SIGNALS_PER_READ):
                 if number == signal.SIGUSR1:
                     log.info("counters", extra=self.counters.fields())
                 elif number == signal.SIGHUP:
-                    self.reloads += 1
-                    self.scheduler.spawn(self._reload, self.reloads)
-                elif number in signals.STOPS and self.stopping.begin(self.scheduler.now()):
+                    self.reload_count += 1
+                    self.scheduler.spawn(self._reload, self.reload_count)
+                elif number in signals.STOP_SIGNALS and self.shutdown.begin(self.scheduler.now()):
                     self.scheduler.spawn(self._stop)
 
-    def _reload(self, asked: int) -> None:
-        """Reads the configuration. One that is wrong may be caught half written, and no second signal need
-        come: it is read again, after growing pauses, unless a later signal takes over."""
-        pause = self.limits.pause_first
-        while asked == self.reloads:
+    def _reload(self, number: int) -> None:
+        """Reads the configuration again.
+
+        A faulty file may be half written, and no second signal need follow: it is read again after growing
+        delays, unless a later signal takes over.
+        """
+        delay = self.limits.backoff_first
+        while number == self.reload_count:
             try:
-                return self._take(self.reread())
+                return self._apply_config(self.read_config())
             except ConfigError as error:
-                if pause == self.limits.pause_first:
+                if delay == self.limits.backoff_first:
                     log.warning("configuration not taken", extra={"fault": error})
-            if pause > self.limits.pause_most:
+            if delay > self.limits.backoff_max:
                 return
-            self.scheduler.sleep(pause)
-            pause *= 2
+            self.scheduler.sleep(delay)
+            delay *= 2
 
-    def _take(self, found: Config) -> None:
-        """Directory and deployer move; all that is open or learned stays, and so does what can't change."""
-        kept = [
+    def _apply_config(self, new: Config) -> None:
+        """Moves directory and deployer; all that is open or learned stays, and so does what cannot change."""
+        ignored = [
             name
             for name in Config._fields
-            if name not in TOLD_ANEW and getattr(found, name) != getattr(self.config, name)
+            if name not in IGNORED_ON_RELOAD and getattr(new, name) != getattr(self.config, name)
         ]
-        moved = [name for name in MOVES if getattr(found, name) != getattr(self.config, name)]
-        self.config = self.config._replace(directory=found.directory, deployer=found.deployer)
-        self.main.directory.move(found.directory)
-        self.main.deployer.move(found.deployer)
+        moved = [name for name in RELOADABLE_FIELDS if getattr(new, name) != getattr(self.config, name)]
+        self.config = self.config._replace(directory=new.directory, deployer=new.deployer)
+        self.main.directory.move(new.directory)
+        self.main.deployer.move(new.deployer)
         log.info("configuration taken", extra={"moved": ",".join(moved)})
-        if kept:
-            log.warning("a change that needs a restart", extra={"fields": ",".join(kept)})
+        if ignored:
+            log.warning("a change that needs a restart", extra={"fields": ",".join(ignored)})
 
     def _stop(self) -> None:
         """Accepts while connections still come, closes each between reqs, answers what was taken."""
-        doors = [front.doors for front in self.fronts]
-        log.info("stopping", extra={"clients": sum(len(one.open) for one in doors)})
-        while self._stops(doors) == LEAVING:
+        admissions = [front.admission for front in self.fronts]
+        open_clients = sum(len(admission.open) for admission in admissions)
+        log.info("stopping", extra={"clients": open_clients})
+        while self._step_shutdown(admissions) == LEAVING:
             self.scheduler.sleep(self.limits.stop_quiet // 8)
-        for one in doors:
-            one.stop(self.stopping.began + self.limits.stop_late)
-        while self._stops(doors) != OVER:
+        for admission in admissions:
+            admission.stop(self.shutdown.began_at + self.limits.stop_reads)
+        while self._step_shutdown(admissions) != OVER:
             self.scheduler.sleep(self.limits.stop_quiet // 16)
         self.over = True
 
-    def _stops(self, doors: list[Doors]) -> str:
-        return self.stopping.step(
-            self.scheduler.now(), max(one.accepted_at for one in doors), sum(len(one.open) for one in doors)
+    def _step_shutdown(self, admissions: list[ClientAdmission]) -> str:
+        return self.shutdown.step(
+            self.scheduler.now(),
+            max(admission.last_accepted_at for admission in admissions),
+            sum(len(admission.open) for admission in admissions),
         )
