--- a/laurelcourse/net/req.py
+++ b/laurelcourse/net/req.py
@@ -1,83 +1,101 @@
-"""The life of a req, whatever the protocol: it is taken, tried at units, and given one answer."""
+"""The lifecycle of a req in any protocol: it is registered, tried at units, and answered once."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 from laurelcourse import interface as face
-from laurelcourse.net.choices import Choices
 from laurelcourse.net.counters import Counters
+from laurelcourse.net.dispatcher import Dispatcher
 from laurelcourse.net.scheduler import Mailbox, Scheduler
-from laurelcourse.net.tries import OUTCOME, Tries, Try
+from laurelcourse.net.tries import OUTCOME, TryRunner, UpstreamTry
 
-ANSWER, GONE = "answer", "gone"
-COMPLETED, SHED, ERRORED, WITHDRAWN = "completed", "shed", "errored", "withdrawn"
+# Messages: the final answer to the client's task, and the client's leaving to the req's task.
+ANSWER = "answer"
+GONE = "gone"
 
+# How a req ended.
+COMPLETED = "completed"
+SHED = "shed"
+ERRORED = "errored"
+WITHDRAWN = "withdrawn"
 
-class Asked(Protocol):
-    """What a front takes for a req: its name, route and times; its exchange knows the rest."""
 
-    req: str
+class Request(Protocol):
+    """What a front reads as a req. Its exchange knows the rest."""
+
+    req: str  # id
     route: str
     left_ms: int
     repeated: bool
     key: int | None
 
 
-class Lives:
-    def __init__(self, scheduler: Scheduler, choices: Choices, tries: Tries, counters: Counters) -> None:
-        self.scheduler, self.choices, self.tries, self.counters = scheduler, choices, tries, counters
+class ReqLifecycle:
+    """Runs one task for each req."""
+
+    def __init__(
+        self, scheduler: Scheduler, dispatcher: Dispatcher, tries: TryRunner, counters: Counters
+    ) -> None:
+        self.scheduler, self.dispatcher, self.tries = scheduler, dispatcher, tries
+        self.counters = counters
 
     def begin(
-        self, asked: Asked, box: Mailbox, client: Mailbox, left: Callable[[], bool] | None = None
+        self,
+        request: Request,
+        mailbox: Mailbox,
+        client_mailbox: Mailbox,
+        client_has_left: Callable[[], bool] | None = None,
     ) -> bool:
-        """Begins a req's life; its one answer (ANSWER, end, value) goes to the client. GONE in the box says
-        that the client has left; `left`, asked before bytes go to a unit, whether it has by then. False if a
-        req with its id is under way."""
-        if not self.choices.expect(asked.req, box, left):
+        """Starts a req's task; returns False if a req with its id is under way.
+
+        Its one answer (ANSWER, end, value) goes to the client's mailbox. GONE in the req's mailbox says that
+        the client has left; `client_has_left` is asked right before bytes go to a unit.
+        """
+        if not self.dispatcher.register(request.req, mailbox, client_has_left):
             return False
-        self.scheduler.spawn(self._live, asked, box, client)
+        self.scheduler.spawn(self._run, request, mailbox, client_mailbox)
         return True
 
-    def _live(self, asked: Asked, box: Mailbox, client: Mailbox) -> None:
-        """From its taking until it is answered and no try is out."""
-        req, route, choices = asked.req, asked.route, self.choices
-        tries: list[Try] = []
-        out, end = 0, None
+    def _run(self, request: Request, mailbox: Mailbox, client_mailbox: Mailbox) -> None:
+        """Runs until the req is answered and no try is open."""
+        req, route, dispatcher = request.req, request.route, self.dispatcher
+        tries: list[UpstreamTry] = []
+        open_tries, end = 0, None
         try:
-            choices.take(req, route, asked.key, asked.left_ms * 1000, asked.repeated)
-            # What the module decided before it heard of the client's leaving is still in the box, and owed an
-            # outcome: else its try would count as open for ever.
-            while end is None or out or box.items:
-                what, *rest = box.get()
-                if what == face.SEND:
-                    _, unit, limit = rest
-                    out += 1
+            dispatcher.new_req(req, route, request.key, request.left_ms * 1000, request.repeated)
+            # What the module decided before it learned of the client's leaving is still in the mailbox. Its
+            # try needs an outcome, or it would count as open for ever.
+            while end is None or open_tries or mailbox.items:
+                message, *args = mailbox.get()
+                if message == face.SEND:
+                    _, unit, limit = args
+                    open_tries += 1
                     if end is None:
-                        tries.append(self.tries.begin(len(tries), unit, limit, asked, box))
+                        tries.append(self.tries.begin(len(tries), unit, limit, request, mailbox))
                     else:
-                        tries.append(self.tries.unsent(len(tries), unit, box))
-                elif what == face.CANCEL:
-                    tries[rest[1]].cancel()
-                elif what == OUTCOME:
-                    number, unit, status, lag, load, value = rest
-                    out -= 1
+                        tries.append(self.tries.report_unsent(len(tries), unit, mailbox))
+                elif message == face.CANCEL:
+                    tries[args[1]].cancel()
+                elif message == OUTCOME:
+                    number, unit, status, lag, load, value = args
+                    open_tries -= 1
                     if status == face.OK and end is None:
                         end = COMPLETED
-                        client.put((ANSWER, end, value))
-                    choices.outcome(req, number, unit, status, lag, end is not None, load)
-                elif what == GONE and end is None:
+                        client_mailbox.put((ANSWER, end, value))
+                    dispatcher.outcome(req, number, unit, status, lag, end is not None, load)
+                elif message == GONE and end is None:
                     end = WITHDRAWN
-                    choices.withdrawn(req)
-                elif what == face.SHED and end is None:
+                    dispatcher.withdrawn(req)
+                elif message == face.SHED and end is None:
                     end = SHED
-                    client.put((ANSWER, end, rest[1]))
-                elif what == face.ERROR and end is None:
+                    client_mailbox.put((ANSWER, end, args[1]))
+                elif message == face.ERROR and end is None:
                     end = ERRORED
-                    client.put((ANSWER, end, None))
+                    client_mailbox.put((ANSWER, end, None))
         finally:
             if end is None:
-                # A fault of this program: the client still gets its one answer, which claims nothing.
+                # After a fault of this program the client still gets its one answer, which claims nothing.
                 end = ERRORED
-                client.put((ANSWER, end, None))
-            choices.done(req)
+                client_mailbox.put((ANSWER, end, None))
+            dispatcher.unregister(req)
             self.counters.add(f"reqs.{route}.{end}")
--- a/laurelcourse/net/scheduler.py
+++ b/laurelcourse/net/scheduler.py
@@ -1,4 +1,6 @@
-"""Tasks on greenlet over one poll object, a heap of deadlines, mailboxes. Times are whole microseconds."""
+"""Cooperative tasks on greenlet over one poll object, with timers and mailboxes. Times are whole
+microseconds.
+"""
 
 import heapq
 import logging
@@ -9,148 +11,171 @@
 
 from greenlet import getcurrent, greenlet
 
-READ, WRITE = select.POLLIN, select.POLLOUT
-CLOSED = getattr(select, "POLLRDHUP", 0)  # the other side's close, though bytes before it are unread
-SWITCHES = 128  # between two polls at most: each poll looks at every descriptor
-STALE = 256  # alarms of waits that are over, at least, before the heap is made anew
-IO, MAIL, LATE, SHUT = "io", "mail", "late", "shut"  # why a wait ended
+READ = select.POLLIN
+WRITE = select.POLLOUT
+CLOSED = getattr(select, "POLLRDHUP", 0)  # the other side's close, even if bytes before it are unread
+MAX_SWITCHES = 128  # between two polls, each of which looks at every descriptor
+MIN_CANCELLED = 256  # cancelled timers from which on the heap may be rebuilt
+
+# Why a wait ended.
+IO = "io"
+MAIL = "mail"
+LATE = "late"
+SHUT = "shut"
 
 log = logging.getLogger(__name__)
 
 
 class Clock:
-    """Unix time taken once, carried on monotonically."""
+    """Unix time read once and then carried on by the monotonic clock."""
 
     def __init__(self) -> None:
         self.offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
+        """Returns the time in whole microseconds."""
         return (self.offset + time.monotonic_ns()) // 1000
 
 
 class Task(greenlet):
+    """A task. An exception that it raises is logged and ends the task alone."""
+
     def __init__(self, scheduler: "Scheduler", work: Callable, args: tuple) -> None:
         super().__init__(None, scheduler.hub)
         self.scheduler, self.work, self.args = scheduler, work, args
         self.woken = True
 
     def run(self, _: str) -> None:
-        args, self.args = self.args, ()  # what still knows the task keeps nothing else
-        self.scheduler.guarded(self.work, *args)
+        """Runs the task; called by greenlet."""
+        args, self.args = self.args, ()  # frees what the arguments hold, whoever still refers to the task
+        self.scheduler.run_guarded(self.work, *args)
 
 
-class Alarm:
-    """A time in the heap; it lets go of whom it would have woken when the wait is over."""
+class Timer:
+    """An entry of the heap. Cancelled, it no longer refers to its task."""
 
-    __slots__ = ("what",)
+    __slots__ = ("target",)
 
-    def __init__(self, what: Task | Callable[[], None]) -> None:
-        self.what: Task | Callable[[], None] | None = what
+    def __init__(self, target: Task | Callable[[], None]) -> None:
+        self.target: Task | Callable[[], None] | None = target
 
 
 class Mailbox:
+    """A queue with one reader."""
+
     def __init__(self, scheduler: "Scheduler") -> None:
         self.scheduler = scheduler
         self.items: deque = deque()
         self.reader: Task | None = None
 
     def put(self, item: object) -> None:
+        """Adds an item and wakes the reader."""
         self.items.append(item)
         if self.reader:
             self.scheduler.wake(self.reader, MAIL)
 
-    def get(self, until: int | None = None) -> object | None:
-        """The next item; None if none has come by then."""
+    def get(self, deadline: int | None = None) -> object | None:
+        """Waits for the next item; returns None if none has come by the deadline."""
         while not self.items:
-            if self.scheduler.wait(box=self, until=until) == LATE and not self.items:
+            if self.scheduler.wait(box=self, until=deadline) == LATE and not self.items:
                 return None
         return self.items.popleft()
 
 
 class Scheduler:
-    def __init__(self, clock: Clock, died: Callable[[], None]) -> None:
-        self.now, self.died = clock.now, died
+    """Runs tasks in the greenlet that made it, the hub."""
+
+    def __init__(self, clock: Clock, on_task_died: Callable[[], None]) -> None:
+        self.now, self.on_task_died = clock.now, on_task_died
         self.hub = getcurrent()
         self.poll = select.poll()
-        self.waiting: dict[int, Task] = {}
-        self.watched: dict[int, int] = {}  # what the poll object holds: more than is waited on
+        self.waiting: dict[int, Task] = {}  # by descriptor
+        self.registered: dict[int, int] = {}  # descriptors in the poll object, more than are waited on
         self.ready: deque[tuple[Task, str]] = deque()
-        self.heap: list[tuple[int, int, Alarm]] = []
-        self.pushed = self.stale = 0
+        self.heap: list[tuple[int, int, Timer]] = []
+        self.push_count = self.cancelled_count = 0
 
     def spawn(self, work: Callable, *args: object) -> Task:
+        """Starts a task; it runs once the caller waits."""
         task = Task(self, work, args)
         self.ready.append((task, MAIL))
         return task
 
-    def guarded(self, work: Callable, *args: object) -> None:
+    def run_guarded(self, work: Callable, *args: object) -> None:
+        """Calls a function; an exception is logged and counted."""
         try:
             work(*args)
         except Exception:
             log.exception("task died", extra={"task": getattr(work, "__qualname__", work)})
-            self.died()
+            self.on_task_died()
 
     def after(self, delay: int, work: Callable[[], None]) -> None:
         """Calls `work` in the hub after the delay; it may wake and spawn tasks, but not wait."""
         self._push(self.now() + delay, work)
 
     def sleep(self, delay: int) -> None:
+        """Suspends the calling task."""
         self.wait(until=self.now() + delay)
 
-    def breathe(self) -> None:
-        """Lets every other task that is ready go first."""
+    def yield_to_others(self) -> None:
+        """Lets every other ready task run first."""
         self.wake(getcurrent(), IO)
         self.hub.switch()
 
     def wait(
         self, fd: int | None = None, events: int = 0, box: Mailbox | None = None, until: int | None = None
     ) -> str:
-        """Waits for the first of: the descriptor ready, something in the box, the time come."""
+        """Suspends the calling task until the descriptor is ready, the mailbox has an item, or it is late.
+
+        Returns IO, MAIL or LATE, or SHUT if the descriptor was closed meanwhile.
+        """
         if box is not None and box.items:
             return MAIL
         task = getcurrent()
         if fd is not None:
             self.waiting[fd] = task
-            if self.watched.get(fd) != events:
-                self.watched[fd] = events
+            if self.registered.get(fd) != events:
+                self.registered[fd] = events
                 self.poll.register(fd, events)
         if box is not None:
             box.reader = task
-        alarm = self._push(until, task) if until is not None else None
+        timer = self._push(until, task) if until is not None else None
         reason = self.hub.switch()
-        if alarm and alarm.what:
-            self._drop(alarm)
+        if timer and timer.target:
+            self._cancel(timer)
         if box is not None:
             box.reader = None
-        # The number may by now stand for another descriptor, with another task waiting on it.
+        # The number may stand for another descriptor by now, on which another task waits.
         if fd is not None and self.waiting.get(fd) is task:
             del self.waiting[fd]
         return reason
 
     def ready_now(self, fd: int, events: int) -> bool:
-        """Asks the machine without a wait."""
+        """Asks the kernel about a descriptor without waiting."""
         poll = select.poll()
         poll.register(fd, events)
         return bool(poll.poll(0))
 
     def forget(self, fd: int) -> None:
-        """To be called before a descriptor closes: whoever waits on it learns that it is shut."""
-        self._unwatch(fd)
+        """Has to be called before a descriptor is closed; a task that waits on it is woken with SHUT."""
+        self._unregister(fd)
         if task := self.waiting.pop(fd, None):
             self.wake(task, SHUT)
 
-    def _unwatch(self, fd: int) -> None:
-        if self.watched.pop(fd, None) is not None:
+    def _unregister(self, fd: int) -> None:
+        if self.registered.pop(fd, None) is not None:
             self.poll.unregister(fd)
 
     def wake(self, task: Task, reason: str) -> None:
+        """Makes a task ready; of several reasons before it runs the first counts."""
         if not task.woken and not task.dead:
             task.woken = True
             self.ready.append((task, reason))
 
     def run(self, over: Callable[[], bool]) -> None:
+        """Runs tasks until `over` returns True."""
         while True:
-            left = SWITCHES
+            left = MAX_SWITCHES
             while self.ready and left:
                 left -= 1
                 task, reason = self.ready.popleft()
@@ -160,37 +185,37 @@
                 return
             now = self.now()
             while self.heap and self.heap[0][0] <= now:
-                alarm = heapq.heappop(self.heap)[2]
-                what, alarm.what = alarm.what, None
-                if isinstance(what, Task):
-                    self.wake(what, LATE)
-                elif what:
-                    self.guarded(what)
+                timer = heapq.heappop(self.heap)[2]
+                target, timer.target = timer.target, None
+                if isinstance(target, Task):
+                    self.wake(target, LATE)
+                elif target:
+                    self.run_guarded(target)
                 else:
-                    self.stale -= 1
-            for fd, _ in self.poll.poll(self._pause(now)):
+                    self.cancelled_count -= 1
+            for fd, _ in self.poll.poll(self._poll_timeout(now)):
                 if fd in self.waiting:
                     self.wake(self.waiting[fd], IO)
                 else:
-                    self._unwatch(fd)
+                    self._unregister(fd)
 
-    def _pause(self, now: int) -> int | None:
-        """Whole ms, rounded up: rounding down would spin through the last one."""
+    def _poll_timeout(self, now: int) -> int | None:
+        """Returns whole milliseconds, rounded up: rounded down, the loop would spin in the last one."""
         if self.ready:
             return 0
         return max(-((now - self.heap[0][0]) // 1000), 0) if self.heap else None
 
-    def _push(self, when: int, what: Task | Callable[[], None]) -> Alarm:
-        self.pushed += 1
-        alarm = Alarm(what)
-        heapq.heappush(self.heap, (when, self.pushed, alarm))
-        return alarm
-
-    def _drop(self, alarm: Alarm) -> None:
-        """Most waits end before their time: their alarms go once they are most of the heap."""
-        alarm.what = None
-        self.stale += 1
-        if self.stale > STALE and 2 * self.stale > len(self.heap):
-            self.heap = [entry for entry in self.heap if entry[2].what]
+    def _push(self, when: int, target: Task | Callable[[], None]) -> Timer:
+        self.push_count += 1
+        timer = Timer(target)
+        heapq.heappush(self.heap, (when, self.push_count, timer))
+        return timer
+
+    def _cancel(self, timer: Timer) -> None:
+        """Cancels a timer. Most waits end early, so the heap is rebuilt once most of it is cancelled."""
+        timer.target = None
+        self.cancelled_count += 1
+        if self.cancelled_count > MIN_CANCELLED and 2 * self.cancelled_count > len(self.heap):
+            self.heap = [entry for entry in self.heap if entry[2].target]
             heapq.heapify(self.heap)
-            self.stale = 0
+            self.cancelled_count = 0
--- a/laurelcourse/net/signals.py
+++ b/laurelcourse/net/signals.py
@@ -1,36 +1,42 @@
-"""Signals from the program's first line on: noted until the relay hears them, so that none ends its start.
+"""Signals from the first line of the program on: noted until the relay handles them, so that none kills a
+start.
 
-Little is imported here, as the default actions, which end a process, stand until this has run."""
+Little is imported here, since the default actions, which end the process, stand until `hold` has run.
+"""
 
 import os
 import signal
 
-STOPS = (signal.SIGTERM, signal.SIGINT)
-NOTED = (signal.SIGHUP, signal.SIGUSR1)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+OTHER_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
 
 noted: list[int] = []
 
 
 def hold() -> None:
-    """Notes what is told to a relay that starts. A stop ends it at once: it has taken nothing, and an
-    exception raised here instead could be swallowed by a callback of the import system."""
-    for number in STOPS:
+    """Notes signals while the relay starts; a stop signal ends it at once, as it has taken no req yet.
+
+    It does so without an exception, which a callback of the import system could swallow.
+    """
+    for number in STOP_SIGNALS:
         signal.signal(number, lambda *_: os._exit(0))
-    for number in NOTED:
-        signal.signal(number, lambda one, _: noted.append(one))
+    for number in OTHER_SIGNALS:
+        signal.signal(number, lambda received, _: noted.append(received))
+
 
+def hand_over(wakeup_fd: int) -> bytes:
+    """From now on each signal writes a byte to this descriptor; returns those noted before, each once.
 
-def hand_over(waker: int) -> bytes:
-    """From now on each signal is a byte at this descriptor; those noted before are returned, each once. One
-    that comes between these lines may be told twice, which asks for no more than once."""
-    signal.set_wakeup_fd(waker, warn_on_full_buffer=False)
-    for number in (*STOPS, *NOTED):
+    A signal that arrives meanwhile may be delivered twice, which has the same effect as once.
+    """
+    signal.set_wakeup_fd(wakeup_fd, warn_on_full_buffer=False)
+    for number in (*STOP_SIGNALS, *OTHER_SIGNALS):
         signal.signal(number, lambda *_: None)
     return bytes(dict.fromkeys(noted))
 
 
-def end() -> None:
-    """Nothing more is heard: the interpreter, as it goes, would put the default actions back."""
-    for number in (*STOPS, *NOTED):
+def ignore_all() -> None:
+    """Ignores all signals, as the interpreter would restore the default actions while it exits."""
+    for number in (*STOP_SIGNALS, *OTHER_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
     signal.set_wakeup_fd(-1)
--- a/laurelcourse/net/tries.py
+++ b/laurelcourse/net/tries.py
@@ -7,63 +7,71 @@
 from laurelcourse import interface as face
 from laurelcourse.net.connection import Connection
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.pool import Place, Pool
+from laurelcourse.net.pool import Endpoint, Pool
 from laurelcourse.net.scheduler import Mailbox, Scheduler
 
-OUTCOME = "outcome"
-NONSENSE, DEAD = "nonsense", "dead"
+OUTCOME = "outcome"  # message to a req's task
+MALFORMED = "nonsense"  # an exchange ended since the unit broke the protocol
+DEAD = "dead"  # a connection broke before the last byte of a query was written
 
 log = logging.getLogger(__name__)
 
 
 class Answer(Protocol):
-    """What a unit says to one query. `begun`: it has said something; `ready`: all is said, and its
-    connection may be used again; `load`: what it told of itself; `whole`: the value, or None; `lag`: how long
-    it took in microseconds, None for all the time of the try."""
+    """What a unit answers to one query."""
 
-    begun: bool
-    ready: bool
-    load: dict[str, float]
-    lag: int | None
+    begun: bool  # some of it has arrived
+    ready: bool  # it is complete, and its connection may be reused
+    load: dict[str, float]  # what the unit reported of itself
+    lag: int | None  # how long it took in microseconds; None for all the time of the try
 
-    def whole(self) -> Any: ...  # noqa: ANN401
+    def whole(self) -> Any:  # noqa: ANN401
+        """Returns the value, or None."""
 
 
 class Exchange(Protocol):
-    """The units' protocol. `answered` reads until the answer is whole and tells how that ended; `status` says
-    what outcome that makes; a probe is asked like a req, and `None` stands for it."""
+    """The units' protocol. A probe is asked like a req, with None in place of the request."""
 
-    def greet(self, conn: Connection, until: int) -> str: ...
+    def greet(self, conn: Connection, deadline: int) -> str:
+        """Does what a new connection needs before its first query; returns how that ended."""
 
-    def answer(self, asked: object | None, unit: int, number: int) -> Answer: ...
+    def answer(self, request: object | None, unit: int, number: int) -> Answer:
+        """Returns an empty answer."""
 
-    def query(self, asked: object | None, answer: Answer, left_ms: int) -> bytes: ...
+    def query(self, request: object | None, answer: Answer, left_ms: int) -> bytes:
+        """Returns the query's bytes."""
 
-    def answered(self, conn: Connection, until: int, answer: Answer, box: Mailbox) -> str: ...
+    def answered(self, conn: Connection, deadline: int, answer: Answer, mailbox: Mailbox) -> str:
+        """Reads until the answer is complete; returns how that ended."""
 
-    def status(self, answer: Answer, ended: str) -> str: ...
+    def status(self, answer: Answer, ended: str) -> str:
+        """Returns the outcome that an answer and the end of its reading make."""
 
-    def report(self, answer: Answer) -> dict[str, float]: ...
+    def report(self, answer: Answer) -> dict[str, float]:
+        """Returns the load that a probe's answer reports."""
 
 
-class Named(Protocol):
+class HasReqId(Protocol):
     """What a try is made for."""
 
     req: str
 
 
-class Try:
-    """One upstream try; a cancel comes through its box. `barred`: it may not be written any more."""
+class UpstreamTry:
+    """One upstream try. A cancel comes through its mailbox."""
 
-    def __init__(self, number: int, unit: int, box: Mailbox) -> None:
-        self.number, self.unit, self.box = number, unit, box
-        self.barred = False
+    def __init__(self, number: int, unit: int, mailbox: Mailbox) -> None:
+        self.number, self.unit, self.mailbox = number, unit, mailbox
+        self.barred = False  # it may not be written any more
 
     def cancel(self) -> None:
-        self.box.put(face.CANCEL)
+        """Stops waiting for the try."""
+        self.mailbox.put(face.CANCEL)
 
 
-class Tries:
+class TryRunner:
+    """Runs one task for each upstream try or probe."""
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -72,129 +80,147 @@
         counters: Counters,
         guard: Callable[[str, int], bool] = lambda req, number: True,
     ) -> None:
-        """`guard`: whether a req's try may still be written."""
+        """`guard` returns whether a req's try may still be written."""
         self.scheduler, self.pool, self.exchange, self.counters = scheduler, pool, exchange, counters
         self.guard, self.limits = guard, pool.limits
 
-    def begin(self, number: int, unit: int, limit: int, asked: Named, box: Mailbox) -> Try:
-        """Starts an upstream try; its one outcome goes into the box."""
-        one = Try(number, unit, Mailbox(self.scheduler))
-        self.scheduler.spawn(self._run, one, limit, asked, box)
-        return one
+    def begin(self, number: int, unit: int, limit: int, request: HasReqId, mailbox: Mailbox) -> UpstreamTry:
+        """Starts an upstream try; its one outcome goes into the mailbox."""
+        attempt = UpstreamTry(number, unit, Mailbox(self.scheduler))
+        self.scheduler.spawn(self._run, attempt, limit, request, mailbox)
+        return attempt
 
-    def unsent(self, number: int, unit: int, box: Mailbox) -> Try:
-        """A try that came too late to be sent: the req had ended."""
+    def report_unsent(self, number: int, unit: int, mailbox: Mailbox) -> UpstreamTry:
+        """Reports a try as unsent, since its req had ended."""
         self.counters.add(f"tries.{face.UNSENT}")
-        box.put((OUTCOME, number, unit, face.UNSENT, 0, {}, None))
-        return Try(number, unit, Mailbox(self.scheduler))
-
-    def probe(self, unit: int, report: Mailbox) -> None:
-        """Asks a unit how it is; status, lag and load go into the box."""
-        self.scheduler.spawn(self._probe, unit, report)
-
-    def _run(self, one: Try, limit: int, asked: Named, box: Mailbox) -> None:
-        began, answer = self.scheduler.now(), self.exchange.answer(asked, one.unit, one.number)
-        status = face.RESET  # what a fault of this program leaves open is taken for a try that may have run
+        mailbox.put((OUTCOME, number, unit, face.UNSENT, 0, {}, None))
+        return UpstreamTry(number, unit, Mailbox(self.scheduler))
+
+    def probe(self, unit: int, reports: Mailbox) -> None:
+        """Sends a health probe; unit, status, lag and load go into the mailbox."""
+        self.scheduler.spawn(self._probe, unit, reports)
+
+    def _run(self, attempt: UpstreamTry, limit: int, request: HasReqId, mailbox: Mailbox) -> None:
+        began, answer = (
+            self.scheduler.now(),
+            self.exchange.answer(request, attempt.unit, attempt.number),
+        )
+        status = face.RESET  # after a fault of this program the try may have run
         try:
-            status = self._ask(one, asked, began + limit, answer)
+            status = self._ask(attempt, request, began + limit, answer)
         finally:
             self.counters.add(f"tries.{status}")
             value = answer.whole() if status == face.OK else None
             lag = self.scheduler.now() - began if answer.lag is None else answer.lag
-            box.put((OUTCOME, one.number, one.unit, status, lag, answer.load, value))
+            mailbox.put((OUTCOME, attempt.number, attempt.unit, status, lag, answer.load, value))
 
-    def _probe(self, unit: int, report: Mailbox) -> None:
+    def _probe(self, unit: int, reports: Mailbox) -> None:
         began, answer = self.scheduler.now(), self.exchange.answer(None, unit, 0)
-        one = Try(0, unit, Mailbox(self.scheduler))
-        status = self._ask(one, None, began + self.limits.connect, answer)
+        attempt = UpstreamTry(0, unit, Mailbox(self.scheduler))
+        status = self._ask(attempt, None, began + self.limits.connect_timeout, answer)
         self.counters.add(f"probes.{status}")
-        report.put((unit, status, self.scheduler.now() - began, self.exchange.report(answer)))
-
-    def _ask(self, one: Try, asked: Named | None, until: int, answer: Answer) -> str:
-        """Sends one query, made for the ms that are left, and reads its answer; how that ended."""
-        place = self.pool.places.get(one.unit)
-        if place is None and asked is not None and not self.guard(asked.req, one.number):
-            return face.UNSENT  # it left between the decision and this
-        for _ in range(self.limits.fresh if place else 0):
-            conn, rested, status = self.pool.connection(place, until, lambda: self._may(place, one, asked))
+        reports.put((unit, status, self.scheduler.now() - began, self.exchange.report(answer)))
+
+    def _ask(self, attempt: UpstreamTry, request: HasReqId | None, deadline: int, answer: Answer) -> str:
+        """Sends one query with the time that is left and reads its answer; returns how that ended."""
+        endpoint = self.pool.endpoints.get(attempt.unit)
+        if endpoint is None and request is not None and not self.guard(request.req, attempt.number):
+            return face.UNSENT  # the unit left right after the decision
+        for _ in range(self.limits.max_connections_per_try if endpoint else 0):
+            conn, idle, status = self.pool.acquire(
+                endpoint, deadline, lambda: self._may_write(endpoint, attempt, request)
+            )
             if conn is None:
                 return status
-            status = self._asked(place, conn, rested, one, asked, until, answer)
+            status = self._ask_on(endpoint, conn, idle, attempt, request, deadline, answer)
             if status != DEAD:
                 return status
-        return face.UNREACHED
+        return face.UNREACHABLE
 
-    def _asked(
+    def _ask_on(
         self,
-        place: Place,
+        endpoint: Endpoint,
         conn: Connection,
-        rested: int,
-        one: Try,
-        asked: Named | None,
-        until: int,
+        idle: int,
+        attempt: UpstreamTry,
+        request: HasReqId | None,
+        deadline: int,
         answer: Answer,
     ) -> str:
-        """How a query on this connection ended; DEAD if it broke before its last byte was written."""
-        rests, box = self.pool.rests, one.box
+        """Returns how a query on this connection ended; DEAD if it broke before the last byte was written."""
+        idle_limit, mailbox = self.pool.idle_limit, attempt.mailbox
         try:
-            left = (until - self.scheduler.now()) // 1000
-            if left > 0 and not box.items and not self._may(place, one, asked):
-                self.pool.keep(place, conn)
+            left_ms = (deadline - self.scheduler.now()) // 1000
+            if left_ms > 0 and not mailbox.items and not self._may_write(endpoint, attempt, request):
+                self.pool.release(endpoint, conn)
                 conn = None
                 return face.UNSENT
-            # Until the last byte is written the unit has not begun: only from then on may the try have run.
+            # The unit begins only at the last byte: until then the try cannot have run.
             if (
-                left <= 0
-                or box.items
-                or not self._written(
+                left_ms <= 0
+                or mailbox.items
+                or not self._write_query(
                     conn,
-                    self.exchange.query(asked, answer, left),
-                    until,
-                    box,
-                    lambda: self._may(place, one, asked),
+                    self.exchange.query(request, answer, left_ms),
+                    deadline,
+                    mailbox,
+                    lambda: self._may_write(endpoint, attempt, request),
                 )
             ):
-                if one.barred:
+                if attempt.barred:
                     return face.UNSENT
-                rests.note(rested, left > 0 and not box.items)
-                return face.CANCELLED if box.items else DEAD if left > 0 else face.UNREACHED
-            ended = self.exchange.answered(conn, until, answer, box)
+                idle_limit.record(idle, left_ms > 0 and not mailbox.items)
+                return face.CANCELLED if mailbox.items else DEAD if left_ms > 0 else face.UNREACHABLE
+            ended = self.exchange.answered(conn, deadline, answer, mailbox)
             if ended in (face.OK, face.RESET):
-                rests.note(rested, ended == face.RESET and not answer.begun)
+                idle_limit.record(idle, ended == face.RESET and not answer.begun)
             if answer.ready and conn.buffer:
-                # The answer was whole; what is behind it must not pass for the next req's.
+                # What follows a complete answer must not be taken for the next req's answer.
                 self.counters.add("units_unasked")
             elif answer.ready:
-                self.pool.keep(place, conn)
+                self.pool.release(endpoint, conn)
                 conn = None
         finally:
             if conn:
                 self.pool.close(conn)
-        if ended == NONSENSE:
-            if not place.odd:
-                log.warning("a unit speaks nonsense", extra={"unit": place.address})
-            place.odd = True
-            return face.RESET  # whatever it said before, its try may have run
+        if ended == MALFORMED:
+            if not endpoint.malformed_logged:
+                log.warning("a unit speaks nonsense", extra={"unit": endpoint.address})
+            endpoint.malformed_logged = True
+            return face.RESET  # whatever the unit sent before, the try may have run
         return self.exchange.status(answer, ended)
 
-    def _may(self, place: Place, one: Try, asked: Named | None) -> bool:
-        """Asked right before bytes that had to wait: for the connection, or for those before them. A probe
-        has no req, but does not go to a unit that is gone or has started anew."""
-        if one.box.items:
+    def _may_write(self, endpoint: Endpoint, attempt: UpstreamTry, request: HasReqId | None) -> bool:
+        """Asked right before bytes that had to wait, for the connection or for bytes before them.
+
+        A probe has no req, but is not sent to a unit that has gone or restarted.
+        """
+        if attempt.mailbox.items:
             return False
-        one.barred = place.gone or (asked is not None and not self.guard(asked.req, one.number))
-        return not one.barred
+        attempt.barred = endpoint.gone or (
+            request is not None and not self.guard(request.req, attempt.number)
+        )
+        return not attempt.barred
 
-    def _written(
-        self, conn: Connection, query: bytes, until: int, box: Mailbox, may: Callable[[], bool]
+    def _write_query(
+        self,
+        conn: Connection,
+        query: bytes,
+        deadline: int,
+        mailbox: Mailbox,
+        may_go_on: Callable[[], bool],
     ) -> bool:
-        """While connections break at their next query, its last byte waits: a dead one has run nothing. So
-        does that of one that may fill the machine's buffers: what comes meanwhile is no answer to it."""
-        wary = self.pool.rests.wary
-        if not wary and len(query) <= self.limits.buffer_usual:
-            return conn.write(query, until, box, may)
-        if not conn.write(query[:-1], until, box, may):
+        """Writes a query; returns whether its last byte was written.
+
+        While connections often break at their next query, the last byte waits a moment, so that on a dead one
+        nothing has run. It is also held back for a query that may fill the kernel's buffers, as what arrives
+        meanwhile is no answer to it.
+        """
+        is_wary = self.pool.idle_limit.is_wary
+        if not is_wary and len(query) <= self.limits.usual_buffer:
+            return conn.write(query, deadline, mailbox, may_go_on)
+        if not conn.write(query[:-1], deadline, mailbox, may_go_on):
             return False
-        if wary:
-            self.scheduler.sleep(self.limits.wary)
-        return conn.clean() and may() and conn.write(query[-1:], until, box, may)
+        if is_wary:
+            self.scheduler.sleep(self.limits.last_byte_delay)
+        return conn.is_clean() and may_go_on() and conn.write(query[-1:], deadline, mailbox, may_go_on)
--- a/laurelcourse/operator/meaning_workflows.py
+++ b/laurelcourse/operator/meaning_workflows.py
@@ -36,7 +36,7 @@
 
 
 def rules(routes: Iterable[settings.Route]) -> dict[str, d.Rule]:
-    return {one.name: d.Rule(one.repeat, one.memory, one.timeout) for one in routes}
+    return {one.name: d.Rule(one.repeat_policy, one.dedup_window, one.timeout) for one in routes}
 
 
 def definitions(fleet: Fleet, routes: Iterable[settings.Route]) -> dict[str, d.Definition]:
--- a/laurelcourse/rules.py
+++ b/laurelcourse/rules.py
@@ -1,14 +1,16 @@
 """The decisions of one relay.
 
-Make one `Balancer(settings, seed, now)` a relay, call `start`, then a call for each thing that happens;
-carry out what each returns. Calls and results: `laurelcourse/interface.py`; the design and its exceptions:
-`docs/design.md`. Beside the design stand these mechanisms:
-1. guard: every send, shed and error passes one place that keeps the five rules.
-2. pace: latencies, and the open tries that relays tell each other, steer the two choices.
-3. set-aside: a failing, silent or unreachable unit rests until its time is up or a peer has good answers.
-4. home first: a unit of the own zone is taken unless it would make the req late.
-5. shedding: open tries are held to what is answered in time; what is given up is answered at once.
-6. machine's fault: what one machine does against its fellows is not held against the build.
+A relay makes one `Balancer(settings, seed, now)`, calls `start`, then one method for each event, and carries
+out the results that each call returns. Calls and results are described in `laurelcourse/interface.py`, the
+design and its exceptions in `docs/design.md`. Beside the design there are these mechanisms:
+
+1. Guard: every send, shed and error passes one place that keeps the five rules.
+2. Load-aware choice: latencies, and open tries exchanged between relays, steer the choice between two units.
+3. Ejection: a failing, silent or unreachable unit gets no reqs until its time is up or a peer has good
+   answers.
+4. Zone affinity: a unit of the own zone is taken unless it would make the req late.
+5. Load shedding: open tries are limited to what is answered in time; what is given up is answered at once.
+6. Machine faults: failures of one machine that its peers do not show are not held against the build.
 """
 
 import math
@@ -17,69 +19,185 @@
 
 from laurelcourse import interface as face
 from laurelcourse import messages, posterior
-from laurelcourse import settings as known
-from laurelcourse.chance import hashed
+from laurelcourse import settings as config
 from laurelcourse.interface import Result
-from laurelcourse.state import ENDED, TRYING, Cap, Case, Group, Instance, News, Req, Try, Unit, Window
-
-# the judge: p, p0, every Ai; kinds and their priors; densities. A prior of 0.2 is calm, however it rounds
-CHANGE, SUSPECT, ODDS, CALM, DOUBT = 0.0005, 0.3, 0.05, 0.2 + 1e-9, 0.5
-FAILING, SLOW, WRONG = "failing", "slow", "wrong"
-PRIORS = {FAILING: 0.5, SLOW: 0.25, WRONG: 0.25}
-FAIL_FLOOR, FALSE_COMPLAINTS, FAIL_ALL, FAIL_ROUTE, WRONG_SHARE = 0.01, 0.005, 0.15, 0.5, 0.1
-SLOWER, SPREAD_FLOOR, SPREAD_CLIP = math.log(2.5), 0.5, 1.5
-BASE_ENOUGH, BASE_MOST, ENOUGH, BASE_HALVES, TELL_BEATS, IDLE_BEATS = 8, 128, 12, 4_000_000, 5, 10
-# A beat is so many ticks, but no shorter than such a part of an objective, nor of a vote that is to stand on.
-BEATS, OBJECTIVE_BEATS, VOTE_BEATS = 10, 20, 6
-UNLIKE_NOISE, UNLIKE_FLOOR, SOUND_SEEN, SOUND_FELLOWS, SAME_AGE = 0.05, 0.12, 30, 0.3, 2 / 9
-# The design's 3 s and room for the clock's start; thrice that is past the page's 8 s for a stage's machines.
-RUN_BEFORE_ON, MOST_POOL, POOL_SPARE, WORD_LASTS, AGREED = 3_250_000, 2, 2, 4, 2
-# routing, health and shedding; shares are of the latency objective; LEAST_PART lets the usual open tries pass
-FAR_AFTER, FAR_DUE, CROSS_GAIN, FAR_BETTER, PACE_GAIN, PACE_OF_FAILURE = 0.5, 0.2, 0.25, 2.0, 0.2, 4.0
-STRAIN, STRAIN_GAIN, STRAIN_CLIP, LIMIT_FALL, LIMIT_RISE, EARNINGS_BEND = 0.5, 0.08, 1.5, 0.1, 1.02, 0.25
-ASIDE_FAILING, RESTED_FAILING, SEEN_FADE, GOOD_ON_END, FAILS_TOO, CLEAN_WRAP = 0.3, 0.2, 0.97, 3, 2, 250
-FAIL_GAIN, COLD_SAFETY, ANSWERED_OVER, COME_BACK_SHARE, DRAWS, LOADS_LAST = 0.25, 0.5, 4, 0.5, 4, 1_000_000
-UNHEARD, DOUBTS_LAST, SILENT_AFTER, TRIAL_DEARER, RISE_MOST = 0.5, 4, 0.4, 4.0, 4.0
-HOPELESS, HOPE, RETRY_SHARE, RETRY_STORE, JAM, LEAST_PART, PATIENCE = 1.0, 0.1, 0.2, 10.0, 0.35, 0.5, 0.3
+from laurelcourse.prng import hash_pair
+from laurelcourse.state import (
+    ENDED,
+    TRYING,
+    BuildTrial,
+    ExposureCap,
+    RelayState,
+    ReleaseStatus,
+    Req,
+    Try,
+    Unit,
+    UnitGroup,
+    Window,
+)
+
+# Kinds of bad builds, with their prior probabilities.
+FAILING = "failing"
+SLOW = "slow"
+WRONG = "wrong"
+KIND_PRIORS = {FAILING: 0.5, SLOW: 0.25, WRONG: 0.25}
+
+# Posterior recursion and stopping rule; the symbols are those of the paper.
+CHANGE_PROBABILITY = 0.0005  # p: that a sound build turns bad at an outcome
+INITIAL_BAD_PROBABILITY = 0.3  # p0
+ROLL_BACK_ODDS = 0.05  # Ai, the same for every kind
+MAX_CALM_POSTERIOR = 0.2 + 1e-9  # of each kind, to vote on; a prior of 0.2 is below it however it is rounded
+MAX_TRIAL_USE_POSTERIOR = 0.5  # of failing and wrong together, up to which reqs are sent to a build on trial
+
+# Likelihoods of a sound and of a bad build.
+MIN_FAILURE_RATE = 0.01
+FALSE_COMPLAINT_RATE = 0.005
+FAILING_EVERYWHERE_RATE = 0.15
+FAILING_ROUTE_RATE = 0.5
+WRONG_ANSWER_RATE = 0.1
+SLOW_LOG_LATENCY_SHIFT = math.log(2.5)
+MIN_LOG_LATENCY_SPREAD = 0.5
+MAX_DEVIATION = 1.5  # of a mean log latency, in spreads
+
+# Baseline and evidence.
+MIN_BASELINE_OUTCOMES = 8
+MAX_BASELINE_OUTCOMES = 128  # by route; more would only delay noticing what befalls all builds
+BASELINE_HALF_LIFE_US = 4_000_000
+MIN_TRIAL_OUTCOMES = 12
+MACHINE_VARIANCE_NOISE = 0.05  # of log latency ratios between equal machines
+MIN_MACHINE_VARIANCE = 0.12
+
+# Timers and messages. A timer interval is a number of ticks, but at least a part of the shortest objective,
+# so that answers can change something in it, and at most a part of a vote's life.
+TICKS_PER_TIMER = 10
+TIMERS_PER_OBJECTIVE = 20
+TIMERS_PER_VOTE = 6
+TIMERS_PER_REPORT = 5
+IDLE_TIMER_FACTOR = 10
+REPORT_LIFETIME = 4  # report intervals
+PEER_LOAD_LIFETIME_US = 1_000_000
+
+# Voting.
+MAX_POOLED_VOTES = 2  # votes needed for a move, up to which only the hashed voters vote
+SPARE_VOTERS = 2  # beyond the votes that a roll back needs, for voters that are dead or cut off
+AGREEING_RELAYS = 2
+MIN_RUN_TIME_US = 3_250_000  # of the newest machine on trial: the design's 3 s and room for its start time
+MAX_WAIT_RUN_TIMES = 3  # run times after which missing or single machines no longer hold a vote back
+
+# Machine faults.
+MIN_FELLOW_OUTCOMES = 30
+HEALTHY_FELLOW_SHARE = 0.3
+MIN_EARLIER_BUILD_FAILURES = 2
+SAME_AGE_SHARE = 2 / 9  # of the warm-up time
+FAULTY_MACHINE_SHARE = 3  # one in so many machines may be at fault
+
+# Choice of units.
+MAX_DRAWS = 4
+LATENCY_GAIN = 0.2
+FAILURE_LATENCY_RATIO = 4.0  # what a failure counts as, in typical latencies
+REMOTE_AFTER_SHARE = 0.5  # of the objective, expected in the own zone
+REMOTE_COST_ADVANTAGE = 2.0
+EXPECTED_LATE_SHARE = 0.2
+REMOTE_SHARE_GAIN = 0.25
+MAX_TRIAL_COST_RATIO = 4.0
+ANSWER_RATE_WINDOWS = 4  # overload windows over which answers are counted
+COLD_CAPACITY_SAFETY = 0.5
+
+# Ejection and silence.
+EJECTION_FAILURE_RATE = 0.3
+FAILURE_RATE_AFTER_EJECTION = 0.2
+FAILURE_RATE_GAIN = 0.25
+MAX_EJECTION_WINDOWS = 8  # overload windows
+MIN_READY_PER_EJECTED = 3  # ready units, ejected ones included
+OUTCOME_DECAY = 0.97
+RECOVERY_SUCCESS_STREAK = 3
+SUCCESS_STREAK_WRAP = 250  # fits a byte of a datagram
+SILENT_SUSPICION_SHARE = 0.5  # of the relays that should have had an answer
+SUSPICION_LIFETIME = 4  # overload windows
+RETRY_AFTER_SILENCE_SHARE = 0.4  # of the objective
+SILENCE_TYPICAL_LATENCIES = 4
+
+# Load shedding. Shares and ratios are of the latency objective.
+TARGET_LATENCY_LOAD = 0.5
+MAX_LATENCY_LOAD = 1.5
+LATENCY_LOAD_GAIN = 0.08
+LIMIT_DECREASE_EXPONENT = 0.1
+LIMIT_INCREASE_FACTOR = 1.02
+MAX_LIMIT_INCREASE_EXPONENT = 4.0
+MIN_CONCURRENCY_LIMIT = 2.0
+FREE_CONCURRENCY = 10.0  # open tries above twice their mean
+WORTH_EXPONENT = 0.25
+MIN_WORTH_SHARE = 0.5  # of the limit that routes of any worth may use; lets the usual open tries pass
+LATE_ROUTE_RATIO = 1.0
+LATE_ROUTE_PROBE_SHARE = 0.1
+OVERLOAD_ROUTE_RATIO = 0.35
+RETRY_TOKENS_PER_REQ = 0.2
+MAX_RETRY_TOKENS = 10.0
+RETRY_AFTER_SHARE = 0.5  # of the longest retry-after that is allowed
+PATIENT_TIMEOUT_SHARE = 0.3  # of a route's timeout; earlier time-outs show the client's impatience
+
+# Directory.
+DIRECTORY_RETRIES_PER_POLL = 8
 
 
 class Balancer(face.Decisions):
-    def __init__(self, settings: known.Settings, seed: int, now: int) -> None:
+    """Decides for one front of a relay."""
+
+    def __init__(self, settings: config.Settings, seed: int, now: int) -> None:
         super().__init__()
-        self.s, self.i = settings, Instance(seed, now, len(settings.routes))
-        self.i.typical = [route.objective / 4 for route in settings.routes]
-        self.top = max(route.earnings for route in settings.routes) or 1.0  # all may earn nothing
-        self.places = {route.name: place for place, route in enumerate(settings.routes)}
-        self.scopes = [place if settings.cap_by_route else 0 for place in range(len(settings.routes))]
-        self.shortest = min(route.objective for route in settings.routes)
-        revote = settings.vote_life // VOTE_BEATS
-        self.beat = max(BEATS * settings.tick, min(self.shortest // OBJECTIVE_BEATS, revote))
-        self.idle_beat = max(self.beat, min(IDLE_BEATS * self.beat, revote))
-        self.pooled = settings.control == known.ANY and settings.votes_on <= MOST_POOL >= settings.votes_back
-        self.members = self._members()
-        self.kinds, self.priors = {one[0]: 0.0 for one in self.members}, [one[-1] for one in self.members]
-        self.first = [math.log(1 - SUSPECT), *(math.log(SUSPECT * prior) for prior in self.priors)]
-        self.few = settings.relays * self.beat < LOADS_LAST
-        self.site = messages.site(settings.zone)
-        self.tell_every = max(TELL_BEATS * self.beat, settings.relays * settings.tick // 2)
-        self.i.tell_at = now + self.i.chance.below(self.tell_every)
+        self.settings, self.state = settings, RelayState(seed, now, len(settings.routes))
+        self.state.typical_latency = [route.objective / 4 for route in settings.routes]
+        self.highest_worth = max(route.worth for route in settings.routes) or 1.0  # all may be worth nothing
+        self.route_indexes = {route.name: index for index, route in enumerate(settings.routes)}
+        self.cap_scopes = [index if settings.cap_per_route else 0 for index in range(len(settings.routes))]
+        self.shortest_objective = min(route.objective for route in settings.routes)
+        max_interval = settings.vote_ttl // TIMERS_PER_VOTE
+        self.timer_interval = max(
+            TICKS_PER_TIMER * settings.tick,
+            min(self.shortest_objective // TIMERS_PER_OBJECTIVE, max_interval),
+        )
+        self.idle_timer_interval = max(
+            self.timer_interval, min(IDLE_TIMER_FACTOR * self.timer_interval, max_interval)
+        )
+        self.only_voters_vote = (
+            settings.release_control == config.ANY
+            and settings.votes_to_advance <= MAX_POOLED_VOTES >= settings.votes_to_roll_back
+        )
+        self.hypotheses = self._hypotheses()
+        self.kinds = {hypothesis[0]: 0.0 for hypothesis in self.hypotheses}
+        self.priors = [hypothesis[-1] for hypothesis in self.hypotheses]
+        self.initial_log_weights = [
+            math.log(1 - INITIAL_BAD_PROBABILITY),
+            *(math.log(INITIAL_BAD_PROBABILITY * prior) for prior in self.priors),
+        ]
+        # In a small fleet the relays tell each other their open tries, each in turn.
+        self.small_fleet = settings.relay_count * self.timer_interval < PEER_LOAD_LIFETIME_US
+        self.zone_code = messages.zone_code(settings.zone)
+        self.report_interval = max(
+            TIMERS_PER_REPORT * self.timer_interval, settings.relay_count * settings.tick // 2
+        )
+        self.state.next_report_at = now + self.state.rng.below(self.report_interval)
 
     def start(self, now: int) -> list[Result]:
-        self.wake(now, self.beat)
-        self.out += [(face.WATCH,)] if self.s.must_ask else []
-        return self.results()
+        """Requests the first timer and, where the directory has to be asked, its changes."""
+        self.schedule_timer(now, self.timer_interval)
+        self.pending_results += [(face.WATCH,)] if self.settings.must_poll else []
+        return self.take_results()
 
     def new_req(
         self, now: int, req: str, route: str, tenant: str, key: int | None, left: int, repeated: bool
     ) -> list[Result]:
-        place = self.places[route]
-        rq = self.i.reqs[req] = Req(req, self.s.routes[place], place, key, now, now + left)
-        self.i.took[self.scopes[place]].add(now)
-        self.i.retries = min(self.i.retries + RETRY_SHARE, RETRY_STORE)
-        fits = self.i.open < self.i.limit * max((rq.route.earnings / self.top) ** EARNINGS_BEND, LEAST_PART)
-        self.wake(now, self.beat)
-        self._try_or_end(now, rq, fits and not self._hopeless(now, place))
-        return self.results()
+        """Sends a req to a unit, or sheds it."""
+        state = self.state
+        index = self.route_indexes[route]
+        rq = state.reqs[req] = Req(req, self.settings.routes[index], index, key, now, now + left)
+        state.recent_reqs[self.cap_scopes[index]].add(now)
+        state.retry_tokens = min(state.retry_tokens + RETRY_TOKENS_PER_REQ, MAX_RETRY_TOKENS)
+        worth_share = max((rq.route.worth / self.highest_worth) ** WORTH_EXPONENT, MIN_WORTH_SHARE)
+        fits = state.open_tries < state.concurrency_limit * worth_share
+        self.schedule_timer(now, self.timer_interval)
+        self._try_or_give_up(now, rq, fits and not self._expected_late(now, index))
+        return self.take_results()
 
     def outcome(
         self,
@@ -92,109 +210,168 @@
         last: bool,
         load: dict[str, float],
     ) -> list[Result]:
-        done = (rq := self.i.reqs[req]).tries[number]
-        done.end(status)
-        rq.unsent |= status == face.UNSENT
-        self.i.open -= 1
-        self._learn(now, rq, done, status, lag)
+        """Learns from a try's outcome, and tries the req again where that may help."""
+        attempt = (rq := self.state.reqs[req]).tries[number]
+        attempt.finish(status)
+        rq.had_unsent_try |= status == face.UNSENT
+        self.state.open_tries -= 1
+        self._learn(now, rq, attempt, status, lag)
         if last or rq.state == ENDED:
-            self._become(rq, ENDED)
-        elif status == face.AT_FAULT and not self._on_trial(done.build) and not rq.out():
-            self.out.append((face.ERROR, rq.id))
-            self._become(rq, ENDED)
-        elif not rq.out():
-            # Further tries are a bounded share of the reqs, lest they feed an overload; one unsent does not.
+            self._set_req_state(rq, ENDED)
+        elif status == face.CLIENT_FAULT and not self._is_on_trial(attempt.build) and not rq.has_open_try():
+            self.pending_results.append((face.ERROR, rq.id))
+            self._set_req_state(rq, ENDED)
+        elif not rq.has_open_try():
+            # Further tries are a bounded share of the reqs, so that they cannot feed an overload. A try that
+            # was never sent costs nothing.
             free = status == face.UNSENT
-            may = free or (self.i.retries >= 1 and self.shares.take(now, face.RESENDS) is not False)
-            self.i.retries -= may and not free
-            self._try_or_end(now, rq, may)
-        if rq.owed and (rq.state == ENDED or (done is not rq.owed and status != face.UNSENT)):
-            # A req that fails on both builds tells against itself, not against the build on trial.
-            if rq.blames(rq.owed):
-                self._count(rq, rq.owed, face.FAILED, 0)
-            rq.owed = None
-        return self.results()
+            may = free or (
+                self.state.retry_tokens >= 1 and self.budgets.consume(now, face.RESENDS) is not False
+            )
+            self.state.retry_tokens -= may and not free
+            self._try_or_give_up(now, rq, may)
+        if rq.pending_failure and (
+            rq.state == ENDED or (attempt is not rq.pending_failure and status != face.UNSENT)
+        ):
+            # A req that fails at both builds is evidence against itself, not against the build on trial.
+            if rq.counts_against_build(rq.pending_failure):
+                self._count(rq, rq.pending_failure, face.FAILED, 0)
+            rq.pending_failure = None
+        return self.take_results()
 
     def may_write(self, now: int, req: str, number: int) -> bool:
-        """The guard at a try's first byte, and at a last one that waited: units drain, start anew and lose
-        their cap meanwhile. At a build on trial a try counts from now: late connections must not bunch."""
-        one = (rq := self.i.reqs[req]).tries[number]
-        if trial := self._on_trial(one.build) and self._tries_at(one.build, rq.place):
-            trial.drop(one.counted)
-        same = (one.unit.since, one.unit.build) == (one.since, one.build)
-        may = same and self._stands(now, rq, one.unit, one)
-        if trial and may:
-            one.counted = now
-            trial.add(now)
+        """Checks the rules again at a try's first byte, and at its last one if that had to wait.
+
+        Meanwhile the unit may have been drained or restarted, or the cap lowered. At a build on trial the try
+        counts from now on: tries whose connections come up late must not exceed the cap together.
+        """
+        attempt = (rq := self.state.reqs[req]).tries[number]
+        if window := self._is_on_trial(attempt.build) and self._trial_window(attempt.build, rq.route_index):
+            window.discard(attempt.counted_at)
+        unchanged = (attempt.unit.started_at, attempt.unit.build) == (attempt.unit_started_at, attempt.build)
+        may = unchanged and self._may_still_send(now, rq, attempt.unit, attempt)
+        if window and may:
+            attempt.counted_at = now
+            window.add(now)
         return may
 
     def streaming(self, now: int, req: str, number: int) -> list[Result]:
-        """A part of an answer: its unit is not silent; like a req it earns further tries."""
-        if (rq := self.i.reqs.get(req)) and rq.tries[number].out:
-            rq.tries[number].unit.unanswered = now
-            self.i.retries = min(self.i.retries + RETRY_SHARE, RETRY_STORE)
-        return self.results()
+        """A part of an answer shows that its unit is not silent, and earns further tries like a req does."""
+        if (rq := self.state.reqs.get(req)) and rq.tries[number].open:
+            rq.tries[number].unit.waiting_since = now
+            self.state.retry_tokens = min(self.state.retry_tokens + RETRY_TOKENS_PER_REQ, MAX_RETRY_TOKENS)
+        return self.take_results()
 
     def withdrawn(self, now: int, req: str) -> list[Result]:
-        if req in self.i.reqs:
-            self._become(self.i.reqs[req], ENDED)
-        return self.results()
+        """Ends a req whose client has left."""
+        if req in self.state.reqs:
+            self._set_req_state(self.state.reqs[req], ENDED)
+        return self.take_results()
 
     def directory(self, now: int, how: str, entries: Iterable[face.Listed]) -> list[Result]:
-        i = self.i
-        if how == face.BROKEN:
-            # A failed call or a lost watch is renewed ever more slowly: the directory may be struggling.
-            # But what a silent one missed counts soon: it is asked for within the grace of a drain.
-            most = max(min(self.s.ask_within // 8, self.s.drain_grace // 2), self.s.tick)
-            i.ask_pause = min(max(2 * i.ask_pause, self.beat), most)
-            i.ask_at = now + i.ask_pause + i.chance.below(i.ask_pause)
-            self.wake(now, i.ask_at - now)
+        """Adopts the directory's list or changes, or schedules a retry of a broken watch."""
+        state = self.state
+        if how == face.WATCH_BROKEN:
+            # Retries back off, since the directory may be overloaded. But a drain that was missed meanwhile
+            # counts soon, so the watch is renewed within the grace of a drain.
+            max_backoff = max(
+                min(
+                    self.settings.max_poll_interval // DIRECTORY_RETRIES_PER_POLL,
+                    self.settings.drain_grace // 2,
+                ),
+                self.settings.tick,
+            )
+            state.watch_backoff = min(max(2 * state.watch_backoff, self.timer_interval), max_backoff)
+            state.next_watch_at = now + state.watch_backoff + state.rng.below(state.watch_backoff)
+            self.schedule_timer(now, state.next_watch_at - now)
         else:
-            i.ask_at, i.ask_pause = (i.ask_at, i.ask_pause) if how == face.CACHED else (0, 0)
-            i.list_units(now, entries, how != face.CHANGES)
-            self._open_case(max((unit.build for unit in i.ready), default=0))
-        return self.results()
+            state.next_watch_at, state.watch_backoff = (
+                (state.next_watch_at, state.watch_backoff) if how == face.CACHED else (0, 0)
+            )
+            state.update_units(now, entries, how != face.CHANGES)
+            self._open_trial(max((unit.build for unit in state.ready_units), default=0))
+        return self.take_results()
 
     def timer(self, now: int, token: str) -> list[Result]:
-        i = self.i
-        if now < self.wake_at:
+        """Updates estimates and limits, casts votes and sends messages."""
+        state = self.state
+        if now < self.next_wake_at:
             return []
-        beats, i.beat_at = (now - i.beat_at) / self.beat, now
-        judging = i.case and i.news and i.news.standing == face.ON_TRIAL and self.s.me in i.case.voters
-        self.wake(now, self.beat if i.open or self.few or judging else self.idle_beat)
-        self.out += [(face.WATCH,)] if 0 < i.ask_at <= now else []
-        i.ask_at *= i.ask_at > now
-        # More outcomes than these make a baseline no surer, only later to see what befalls all builds.
-        i.fade(0.5 ** (beats * self.beat / BASE_HALVES), 4 * BASE_ENOUGH, BASE_MOST)
-        strain = max(i.strain, jam := self._jam(now), STRAIN / RISE_MOST)
-        change = (STRAIN / strain) ** LIMIT_FALL if strain > STRAIN else LIMIT_RISE ** (STRAIN / strain)
-        i.limit = min(i.limit, max(i.open, 2)) if jam > STRAIN else i.limit
-        i.usual_open += (i.open - i.usual_open) * min(beats * self.beat / LOADS_LAST, 1.0)
-        i.limit = max(2.0, min(i.limit * change**beats, 2 * i.usual_open + 10.0))
-        i.tidy(now, now - LOADS_LAST, now - ANSWERED_OVER * self.s.tip_after, self.s)
-        self._leave_silent(now)
+        intervals, state.last_timer_at = (now - state.last_timer_at) / self.timer_interval, now
+        judging = (
+            state.trial
+            and state.release
+            and state.release.standing == face.ON_TRIAL
+            and self.settings.relay_index in state.trial.voters
+        )
+        self.schedule_timer(
+            now,
+            self.timer_interval
+            if state.open_tries or self.small_fleet or judging
+            else self.idle_timer_interval,
+        )
+        self.pending_results += [(face.WATCH,)] if 0 < state.next_watch_at <= now else []
+        state.next_watch_at *= state.next_watch_at > now
+        state.decay_sums(
+            0.5 ** (intervals * self.timer_interval / BASELINE_HALF_LIFE_US),
+            4 * MIN_BASELINE_OUTCOMES,
+            MAX_BASELINE_OUTCOMES,
+        )
+        load = max(
+            state.latency_load,
+            fleet_load := self._fleet_overload(now),
+            TARGET_LATENCY_LOAD / MAX_LIMIT_INCREASE_EXPONENT,
+        )
+        change = (
+            (TARGET_LATENCY_LOAD / load) ** LIMIT_DECREASE_EXPONENT
+            if load > TARGET_LATENCY_LOAD
+            else LIMIT_INCREASE_FACTOR ** (TARGET_LATENCY_LOAD / load)
+        )
+        state.concurrency_limit = (
+            min(state.concurrency_limit, max(state.open_tries, 2))
+            if fleet_load > TARGET_LATENCY_LOAD
+            else state.concurrency_limit
+        )
+        state.mean_open_tries += (state.open_tries - state.mean_open_tries) * min(
+            intervals * self.timer_interval / PEER_LOAD_LIFETIME_US, 1.0
+        )
+        state.concurrency_limit = max(
+            MIN_CONCURRENCY_LIMIT,
+            min(state.concurrency_limit * change**intervals, 2 * state.mean_open_tries + FREE_CONCURRENCY),
+        )
+        state.prune(
+            now,
+            now - PEER_LOAD_LIFETIME_US,
+            now - ANSWER_RATE_WINDOWS * self.settings.overload_window,
+            self.settings,
+        )
+        self._retry_at_silent_units(now)
         self._consider_vote(now)
-        self._tell(now)
-        return self.results()
+        self._send_messages(now)
+        return self.take_results()
 
     def peer(self, now: int, relay: int, payload: bytes) -> list[Result]:
-        i, case, s = self.i, self.i.case, self.s
-        what, told = (0 <= relay < s.relays and messages.unpack(payload, len(s.routes))) or (None, None)
-        if what == messages.SUMS and case and s.me in case.voters:
-            i.flow.hear(now, relay, told.open)
-            self._hear(relay, told)
-        elif what == messages.WORD and case and len(told.posteriors) == len(self.kinds):
-            case.take(now, relay, told)
-        elif what == messages.LOADS:
-            before = i.hear_loads(relay, now, told)
-            # A unit set aside comes back when another relay tells of good answers from it, several on end.
-            for unit in [i.units[name] for name in told if name in before]:
-                if told[unit.id][3] >= GOOD_ON_END and told[unit.id][3] != before[unit.id][3]:
-                    unit.aside_until = min(unit.aside_until, now)
-        elif what == messages.DOUBTS and not self.few and told.site == self.site:
-            for name, erred in [one for one in told.units if one[0] in i.units]:
-                self._doubt(now, i.units[name], relay, erred > 0)
-        return self.results()
+        """Learns from another relay's datagram; a malformed one is ignored."""
+        state, trial, settings = self.state, self.state.trial, self.settings
+        kind, content = (
+            0 <= relay < settings.relay_count and messages.unpack(payload, len(settings.routes))
+        ) or (None, None)
+        if kind == messages.SUMS and trial and settings.relay_index in trial.voters:
+            state.fleet_wait.record_open(now, relay, content.open_tries)
+            self._add_peer_sums(relay, content)
+        elif kind == messages.VOTER_REPORT and trial and len(content.posteriors) == len(self.kinds):
+            trial.accept_report(now, relay, content)
+        elif kind == messages.LOADS:
+            replaced = state.record_peer_loads(relay, now, content)
+            # An ejected unit is used again when another relay reports several good answers in a row from it.
+            for unit in [state.units[unit_id] for unit_id in content if unit_id in replaced]:
+                streak, last_streak = content[unit.id][3], replaced[unit.id][3]
+                if streak >= RECOVERY_SUCCESS_STREAK and streak != last_streak:
+                    unit.ejected_until = min(unit.ejected_until, now)
+        elif kind == messages.SUSPICIONS and not self.small_fleet and content.zone_code == self.zone_code:
+            for unit_id, failed in [entry for entry in content.units if entry[0] in state.units]:
+                self._suspect(now, state.units[unit_id], relay, failed > 0)
+        return self.take_results()
 
     def stage(
         self,
@@ -207,479 +384,767 @@
         cap: float,
         since: int,
     ) -> list[Result]:
-        i, vote = self.i, self.i.vote
+        """Adopts where the newest build stands, and how a vote's call ended."""
+        state, vote = self.state, self.state.vote
         if answers_vote:
             counted = status == face.COUNTED
-            vote.pause = 0 if counted else min(max(2 * vote.pause, self.beat), self.s.vote_life // 4)
-            vote.said = vote.said if counted else None
-            vote.not_before = now + (self.s.vote_timeout if status == face.VOID else vote.pause)
+            max_backoff = self.settings.vote_ttl // 4
+            vote.backoff = 0 if counted else min(max(2 * vote.backoff, self.timer_interval), max_backoff)
+            vote.last_vote = vote.last_vote if counted else None
+            vote.not_before = now + (self.settings.vote_timeout if status == face.VOID else vote.backoff)
         if status == face.COUNTED:
-            i.grouped, same = False, i.news is not None and i.news.build == build
-            if not same or i.news.standing == face.RELEASED:
-                i.cap = Cap(1.0 if same else self.s.stage_caps[0])
-            self._cap(now)
-            i.cap.told(cap, now + self.s.drain_grace)
-            if i.case and same and build == i.case.build and stage > i.news.stage:
-                # A stage that went on in spite of one slow machine: the next is judged without its word.
-                i.case.weights = self.first[:] if self._posteriors()[SLOW] >= CALM else i.case.weights
-                i.case.timed = 0.0
-            i.news = News(build, stage, standing, cap, now - since)
-            self._open_case(build)
-        return self.results()
+            state.groups_current, same = False, state.release is not None and state.release.build == build
+            if not same or state.release.standing == face.RELEASED:
+                state.cap = ExposureCap(1.0 if same else self.settings.stage_caps[0])
+            self._apply_cap(now)
+            state.cap.update(cap, now + self.settings.drain_grace)
+            if state.trial and same and build == state.trial.build and stage > state.release.stage:
+                # The last stage was passed in spite of one slow machine: the next starts without its
+                # evidence.
+                state.trial.log_weights = (
+                    self.initial_log_weights[:]
+                    if self._posteriors()[SLOW] >= MAX_CALM_POSTERIOR
+                    else state.trial.log_weights
+                )
+                state.trial.timed = 0.0
+            state.release = ReleaseStatus(build, stage, standing, cap, now - since)
+            self._open_trial(build)
+        return self.take_results()
 
     def complaint(self, now: int, unit: int, since: int, route: str) -> list[Result]:
-        case, told = self.i.case, self.i.units.get(unit)
-        if case and told and told.build == case.build and told.since < now - since:
-            case.complain(self.places[route])
-            self._weigh(self.places[route], 0, 0, 0, 0.0, 1)
-        return self.results()
+        """Counts a complaint as evidence if the unit already ran the build on trial at that time."""
+        trial, found = self.state.trial, self.state.units.get(unit)
+        if trial and found and found.build == trial.build and found.started_at < now - since:
+            trial.add_complaint(self.route_indexes[route])
+            self._update_posterior(self.route_indexes[route], 0, 0, 0, 0.0, 1)
+        return self.take_results()
 
-    def _become(self, rq: Req, state: str) -> None:
+    def _set_req_state(self, rq: Req, state: str) -> None:
         rq.state = state
-        if state == ENDED and not rq.out():
-            self.i.reqs.pop(rq.id, None)
+        if state == ENDED and not rq.has_open_try():
+            self.state.reqs.pop(rq.id, None)
 
-    def _try_or_end(self, now: int, rq: Req, may: bool) -> None:
-        if not may or not (unit := self._pick(now, rq)):
+    def _try_or_give_up(self, now: int, rq: Req, may: bool) -> None:
+        if not may or not (unit := self._choose_unit(now, rq)):
             return self._give_up(now, rq)
-        rq.tries.append(Try(len(rq.tries), unit, now, now - unit.since < self.s.warm_after // 2))
-        self._become(rq, TRYING)
-        if self._ramp(now, unit) < 1.0:
-            self.shares.take(now, face.COLD_WORK, str(unit.id))
-        unit.begin(now, now - self.s.tip_after - self.s.tick)
-        self.i.open += 1
-        if self._on_trial(unit.build):
-            self._tries_at(unit.build, rq.place).add(now)
-        self.out.append((face.SEND, rq.id, unit.id, rq.due - now))
-
-    def _jam(self, now: int) -> float:
-        """How long tries wait at all relays, of the shortest objective, where every route's answers are late
-        as well: else a few silent units may hold them. One relay's own answers tell it too late."""
-        told = self.i.case and not self.few and self.i.case.agreed(now - WORD_LASTS * self.tell_every, AGREED)
-        return min(told.wait, STRAIN_CLIP) if told and min(told.usual) > JAM else 0.0
-
-    def _hopeless(self, now: int, place: int) -> bool:
-        """A route that is late at all units holds places that others need: a few of its reqs find out."""
-        told = self.i.case and self.i.case.agreed(now - WORD_LASTS * self.tell_every, AGREED)
-        return bool(told) and told.usual[place] == max(told.usual) > HOPELESS and self.i.chance.share() > HOPE
+        on_new_unit = now - unit.started_at < self.settings.warm_up_time // 2
+        rq.tries.append(Try(len(rq.tries), unit, now, on_new_unit))
+        self._set_req_state(rq, TRYING)
+        if self._capacity_share(now, unit) < 1.0:
+            self.budgets.consume(now, face.COLD_WORK, str(unit.id))
+        unit.begin_try(now, now - self.settings.overload_window - self.settings.tick)
+        self.state.open_tries += 1
+        if self._is_on_trial(unit.build):
+            self._trial_window(unit.build, rq.route_index).add(now)
+        self.pending_results.append((face.SEND, rq.id, unit.id, rq.deadline - now))
+
+    def _quorum_report(self, now: int) -> messages.VoterReport | None:
+        """What two voters' recent reports agree on."""
+        since = now - REPORT_LIFETIME * self.report_interval
+        return self.state.trial.quorum_report(since, AGREEING_RELAYS)
+
+    def _fleet_overload(self, now: int) -> float:
+        """Returns how long tries wait at all relays over the shortest objective; 0 without an overload.
+
+        An overload makes the answers of every route late; a few silent units also hold tries open. This
+        relay's own answers would show it too late.
+        """
+        report = self.state.trial and not self.small_fleet and self._quorum_report(now)
+        overloaded = report and min(report.latency_ratios) > OVERLOAD_ROUTE_RATIO
+        return min(report.wait_ratio, MAX_LATENCY_LOAD) if overloaded else 0.0
+
+    def _expected_late(self, now: int, route_index: int) -> bool:
+        """Returns whether a req should be shed since its route is late at all units.
+
+        Otherwise such reqs hold places that others need. A few are tried to notice an improvement.
+        """
+        report = self.state.trial and self._quorum_report(now)
+        return (
+            bool(report)
+            and report.latency_ratios[route_index] == max(report.latency_ratios) > LATE_ROUTE_RATIO
+            and self.state.rng.fraction() > LATE_ROUTE_PROBE_SHARE
+        )
 
     def _give_up(self, now: int, rq: Req) -> None:
-        anywhere = rq.route.repeat == known.DEDUPED and rq.route.group == known.GROUP_ALL
-        harmless = rq.route.repeat == known.RETRIABLE or anywhere or not rq.ran()
-        back = int(self.s.longest_return * COME_BACK_SHARE) if self.s.may_name_return else 0
-        self.out.append((face.SHED, rq.id, back) if harmless else (face.ERROR, rq.id))
-        self._become(rq, ENDED)
+        """Sheds a req if a retry by the client does no harm; else ends it with an error."""
+        deduped_everywhere = (
+            rq.route.repeat_policy == config.DEDUPED and rq.route.dedup_group == config.GROUP_ALL
+        )
+        harmless = (
+            rq.route.repeat_policy == config.RETRIABLE
+            or deduped_everywhere
+            or not rq.tries_that_may_have_run()
+        )
+        retry_after = (
+            int(self.settings.max_retry_after * RETRY_AFTER_SHARE)
+            if self.settings.may_send_retry_after
+            else 0
+        )
+        self.pending_results.append((face.SHED, rq.id, retry_after) if harmless else (face.ERROR, rq.id))
+        self._set_req_state(rq, ENDED)
 
     def _may_send(self, now: int, rq: Req, unit: Unit) -> bool:
-        # One unsent takes no other's place; more would ask on and on for a budget that is used up.
-        may = now < rq.due - self.s.tick and len(rq.tries) < self.s.max_tries + rq.unsent
-        return may and self._stands(now, rq, unit, None) and self._cold_room(now, unit)
+        # One try that was never sent does not count; were more not counted, a req would go on asking for a
+        # budget that is used up.
+        within_limits = (
+            now < rq.deadline - self.settings.tick
+            and len(rq.tries) < self.settings.max_tries + rq.had_unsent_try
+        )
+        return (
+            within_limits and self._may_still_send(now, rq, unit, None) and self._cold_unit_allows(now, unit)
+        )
 
-    def _stands(self, now: int, rq: Req, unit: Unit, this: Try | None) -> bool:
-        """What has to hold from the decision to the last byte of this try."""
-        s, route, ran = self.s, rq.route, rq.ran(this)
+    def _may_still_send(self, now: int, rq: Req, unit: Unit, attempt: Try | None) -> bool:
+        """Checks the rules that have to hold from the decision on a try to its last byte."""
+        settings, route, ran = self.settings, rq.route, rq.tries_that_may_have_run(attempt)
         if rq.state == ENDED or (
-            ran and (route.repeat == known.NON_RETRIABLE or (rq.out(this) and not s.may_duplicate))
+            ran
+            and (
+                route.repeat_policy == config.NON_RETRIABLE
+                or (rq.has_open_try(attempt) and not settings.may_duplicate)
+            )
         ):
             return False
         if (
             ran
-            and route.repeat == known.DEDUPED
+            and route.repeat_policy == config.DEDUPED
             and (
-                now > ran[0].sent + route.memory - s.tick
-                or any(one.unit.apart(unit, route.group) for one in ran)
+                now > ran[0].sent_at + route.dedup_window - settings.tick
+                or any(earlier.unit.in_other_dedup_group(unit, route.dedup_group) for earlier in ran)
             )
         ):
             return False
-        return unit.health == face.READY and self._exposure_room(now, rq, unit)
+        return unit.health == face.READY and self._cap_allows(now, rq, unit)
 
-    def _ramp(self, now: int, unit: Unit) -> float:
-        return min(1.0, 1 - (1 - self.s.cold_share) * (1 - max(now - unit.since, 0) / self.s.warm_after))
+    def _capacity_share(self, now: int, unit: Unit) -> float:
+        """Returns the share of a warm unit's capacity that a unit has now; negative before it can serve."""
+        cold_part = 1 - max(now - unit.started_at, 0) / self.settings.warm_up_time
+        return min(1.0, 1 - (1 - self.settings.start_capacity) * cold_part)
 
-    def _cold_room(self, now: int, unit: Unit) -> bool:
-        """Rule 4: this relay's share of a cold unit's budget, safe if every other relay does the same."""
-        ramp = self._ramp(now, unit)
-        if ramp <= 0.0 or ramp >= 1.0:  # nothing yet, whatever the fleet's budget says, or all
+    def _cold_unit_allows(self, now: int, unit: Unit) -> bool:
+        """Keeps rule 4: this relay's share of a cold unit's capacity, safe if all relays use theirs."""
+        ramp = self._capacity_share(now, unit)
+        if ramp <= 0.0 or ramp >= 1.0:  # nothing yet, whatever the fleet's budget allows, or everything
             return ramp >= 1.0
-        if (told := self.shares.could(now, face.COLD_WORK, str(unit.id))) is not None:
-            return told
-        # Answers, not reqs, tell what a warm unit can do; while all are cold, earlier ones: the budget holds
-        # answers down. Parts add up to it at any number of relays: where one is under a try, chance by unit,
-        # start and relay decides who sends when. All cold, what fell due untold or before would bunch.
-        i, s, over = self.i, self.s, ANSWERED_OVER * self.s.tip_after
-        usual, alike = i.answered.since(now - over) / ANSWERED_OVER, i.alike(unit)
-        if all_cold := i.eldest > now - s.warm_after:
-            usual, alike = i.work.answers * s.tip_after, i.work.took(unit.size, over)
-        part = COLD_SAFETY * s.overload_factor * usual / alike
-        chance = hashed(unit.id + unit.since, s.me) / (1 << 32)
+        if (allowed := self.budgets.allows(now, face.COLD_WORK, str(unit.id))) is not None:
+            return allowed
+        # What a warm unit can do is estimated from answers, not from reqs. While all units are cold the
+        # budget itself holds answers down, so earlier answers count. The relays' parts add up to the budget,
+        # however many relays there are: where a part is less than one try, a number hashed from unit, start
+        # and relay decides who sends when. While all are cold, a part that fell due before the start was
+        # learned, or more than a window ago, lapses: otherwise the relays would send all of it at once.
+        state, settings = self.state, self.settings
+        answer_period = ANSWER_RATE_WINDOWS * settings.overload_window
+        answers = state.recent_answers.count_since(now - answer_period) / ANSWER_RATE_WINDOWS
+        sharing_units = state.equivalent_units(unit)
+        if all_cold := state.earliest_start > now - settings.warm_up_time:
+            answers = state.warm_throughput.answers * settings.overload_window
+            sharing_units = state.warm_throughput.time_of_one_unit(unit.size, answer_period)
+        part = COLD_CAPACITY_SAFETY * settings.overload_factor * answers / sharing_units
+        offset = hash_pair(unit.id + unit.started_at, settings.relay_index) / (1 << 32)
         earned, lapsed = (
-            part * max(by - unit.since, 0) / s.tip_after * (s.cold_share + self._ramp(by, unit)) / 2 + chance
-            for by in (now, max(unit.told, now - s.tip_after))
-        )
-        unit.sent = max(unit.sent, int(lapsed) * all_cold)
-        sent = unit.sends.since(now - s.tip_after - s.tick)
-        return sent + 1 <= max(1.0, part * ramp) and unit.sent + 1 <= earned
-
-    def _on_trial(self, build: int) -> bool:
-        news = self.i.news
-        if news is None:
-            return build > min((unit.build for unit in self.i.ready), default=build)
-        return build > news.build or (build == news.build and news.standing != face.RELEASED)
-
-    def _tries_at(self, build: int, place: int) -> Window:
-        return self.i.tried.setdefault((build, self.scopes[place]), Window())
-
-    def _cap(self, now: int) -> float:
-        for place in self.scopes if self.i.cap.falls(now) else ():
-            self._tries_at(self.i.news.build, place).clear()
-        return self.i.cap.now
-
-    def _exposure_room(self, now: int, rq: Req, unit: Unit) -> bool:
-        """Rule 5: the windowed count of tries at a build on trial stays within the cap last told."""
-        i, s, news = self.i, self.s, self.i.news
-        kept = i.keys.get(rq.key, 0)  # from a build that was withdrawn a key may go anywhere
-        kept *= news is None or (kept >= news.build and news.standing in (face.ON_TRIAL, face.RELEASED))
-        if kept > unit.build or not self._on_trial(unit.build):
-            return kept <= unit.build
-        named = news is not None and news.build == unit.build
-        cap, stage = (self._cap(now), news.stage) if named else (s.stage_caps[0], 0)
+            part
+            * max(at - unit.started_at, 0)
+            / settings.overload_window
+            * (settings.start_capacity + self._capacity_share(at, unit))
+            / 2
+            + offset
+            for at in (now, max(unit.start_learned_at, now - settings.overload_window))
+        )
+        unit.sends_since_start = max(unit.sends_since_start, int(lapsed) * all_cold)
+        recent = unit.recent_sends.count_since(now - settings.overload_window - settings.tick)
+        return recent + 1 <= max(1.0, part * ramp) and unit.sends_since_start + 1 <= earned
+
+    def _is_on_trial(self, build: int) -> bool:
+        release = self.state.release
+        if release is None:
+            return build > min((unit.build for unit in self.state.ready_units), default=build)
+        return build > release.build or (build == release.build and release.standing != face.RELEASED)
+
+    def _trial_window(self, build: int, route_index: int) -> Window:
+        """Returns the window of tries at a build on trial that count against the cap with a route's."""
+        return self.state.trial_tries.setdefault((build, self.cap_scopes[route_index]), Window())
+
+    def _apply_cap(self, now: int) -> float:
+        """Returns the cap that binds now. Where a lower one begins to bind, tries are counted anew."""
+        for index in self.cap_scopes if self.state.cap.apply_due(now) else ():
+            self._trial_window(self.state.release.build, index).clear()
+        return self.state.cap.current
+
+    def _cap_allows(self, now: int, rq: Req, unit: Unit) -> bool:
+        """Keeps rule 5: the windowed count of tries at a build on trial stays within the reported cap."""
+        state, settings, release = self.state, self.settings, self.state.release
+        # A key that was served by a build that was since withdrawn may go anywhere.
+        sticky_build = state.sticky_builds.get(rq.key, 0)
+        sticky_build *= release is None or (
+            sticky_build >= release.build and release.standing in (face.ON_TRIAL, face.RELEASED)
+        )
+        if sticky_build > unit.build or not self._is_on_trial(unit.build):
+            return sticky_build <= unit.build
+        reported = release is not None and release.build == unit.build
+        cap, stage = (self._apply_cap(now), release.stage) if reported else (settings.stage_caps[0], 0)
         if (
             cap == 0
-            or (named and news.standing != face.ON_TRIAL and news.cap == 0)
-            or (stage < s.shielded and rq.route.repeat != known.RETRIABLE)
+            or (reported and release.standing != face.ON_TRIAL and release.cap == 0)
+            or (stage < settings.protected_stages and rq.route.repeat_policy != config.RETRIABLE)
         ):
             return False
-        tried = self._tries_at(unit.build, rq.place).since(now - s.cap_window - s.tick)
-        took = i.took[self.scopes[rq.place]].since(now - s.cap_window + s.tick)
-        return tried + 1 <= s.cap_free + cap * took
-
-    def _pick(self, now: int, rq: Req) -> Unit | None:
-        i = self.i
-        if not i.grouped:
-            i.group(self._on_trial, self.s.zone if self.s.crossing_price else None)
-        order, many = [i.others, i.trial], i.trial.many
-        # A failed req goes to the earlier build; the few machines on trial can't take what all relays retry.
-        if 0 < many < len(i.ready) and not rq.tries:
-            found, tried = self._posteriors(), i.news is not None and i.news.standing == face.ON_TRIAL
-            if not tried or found[FAILING] + found.get(WRONG, 0.0) >= DOUBT:
-                order = [i.whole] if rq.route.repeat == known.RETRIABLE else order
-            # Where keys stay, these are drawn: all would be bound there by and by, and refused past the cap.
+        window = self._trial_window(unit.build, rq.route_index)
+        tries = window.count_since(now - settings.cap_window - settings.tick)
+        reqs = state.recent_reqs[self.cap_scopes[rq.route_index]].count_since(
+            now - settings.cap_window + settings.tick
+        )
+        return tries + 1 <= settings.cap_free_tries + cap * reqs
+
+    def _choose_unit(self, now: int, rq: Req) -> Unit | None:
+        state = self.state
+        if not state.groups_current:
+            state.regroup(self._is_on_trial, self.settings.zone if self.settings.cross_zone_price else None)
+        groups, trial_size = [state.established_units, state.trial_units], state.trial_units.size
+        # A failed req is tried at the earlier build: the few machines on trial cannot serve all retries.
+        if 0 < trial_size < len(state.ready_units) and not rq.tries:
+            posteriors, on_trial = (
+                self._posteriors(),
+                state.release is not None and state.release.standing == face.ON_TRIAL,
+            )
+            if not on_trial or posteriors[FAILING] + posteriors.get(WRONG, 0.0) >= MAX_TRIAL_USE_POSTERIOR:
+                groups = [state.all_units] if rq.route.repeat_policy == config.RETRIABLE else groups
+            # Sticky keys are drawn by key: drawn by req, all keys would in time be bound to the build on
+            # trial, and be refused beyond its cap.
             elif (
-                at := hashed(rq.key + i.case.build, self.s.me) * len(i.ready) >> 32
-                if self.s.keys_stay and rq.key is not None
-                else i.chance.below(len(i.ready))
-            ) < many and self._usable(now, rq, i.trial.at(at)):
-                # Machines on trial get their even part: more would queue and pass for slowness; less would
-                # leave the build unjudged. What a cold one can't take goes to the earlier build.
-                one = self._two_choices(now, rq, i.trial, False)
-                two = self._two_choices(now, rq, i.others, False)
-                if one and (not two or self._cost(now, one) <= TRIAL_DEARER * self._cost(now, two)):
-                    return one
-        found = (self._two_choices(now, rq, group, full) for full in (False, True) for group in order)
-        return next(filter(None, found), None)
-
-    def _two_choices(self, now: int, rq: Req, group: Group, thorough: bool) -> Unit | None:
-        # A full site answers late: its relays send a part elsewhere, as long as that is answered in time.
-        cross = group.far and 0 < self.i.crossing > self.i.chance.share()
-        near = None if cross else self._better(now, rq, group.near, thorough)
-        if near and self._cost(now, near) * self.i.typical[rq.place] <= FAR_AFTER * rq.route.objective:
-            return near
-        far = self._better(now, rq, group.far, thorough)
+                index := hash_pair(rq.key + state.trial.build, self.settings.relay_index)
+                * len(state.ready_units)
+                >> 32
+                if self.settings.sticky_keys and rq.key is not None
+                else state.rng.below(len(state.ready_units))
+            ) < trial_size and self._is_usable(now, rq, state.trial_units.unit_at(index)):
+                # Machines on trial get their proportional part: more would queue there and look like
+                # slowness, less would leave the build unjudged. What a cold one cannot take goes to the
+                # earlier build.
+                trial_unit = self._choose_in_group(now, rq, state.trial_units, False)
+                other_unit = self._choose_in_group(now, rq, state.established_units, False)
+                if trial_unit and (
+                    not other_unit
+                    or self._cost(now, trial_unit) <= MAX_TRIAL_COST_RATIO * self._cost(now, other_unit)
+                ):
+                    return trial_unit
+        choices = (
+            self._choose_in_group(now, rq, group, check_all)
+            for check_all in (False, True)
+            for group in groups
+        )
+        return next(filter(None, choices), None)
+
+    def _choose_in_group(self, now: int, rq: Req, group: UnitGroup, check_all: bool) -> Unit | None:
+        """Prefers the own zone. A full zone sends a part of its reqs elsewhere, while they are answered in
+        time.
+        """
+        cross = group.remote and 0 < self.state.remote_share > self.state.rng.fraction()
+        local = None if cross else self._choose_of_two(now, rq, group.local, check_all)
+        if (
+            local
+            and self._cost(now, local) * self.state.typical_latency[rq.route_index]
+            <= REMOTE_AFTER_SHARE * rq.route.objective
+        ):
+            return local
+        remote = self._choose_of_two(now, rq, group.remote, check_all)
         if cross:
-            return far or self._better(now, rq, group.near, thorough)
-        closer = near and far and self._cost(now, far) * FAR_BETTER >= self._cost(now, near)
-        return near if closer else far or near
+            return remote or self._choose_of_two(now, rq, group.local, check_all)
+        stay = local and remote and self._cost(now, remote) * REMOTE_COST_ADVANTAGE >= self._cost(now, local)
+        return local if stay else remote or local
+
+    def _choose_of_two(self, now: int, rq: Req, units: list[Unit], check_all: bool) -> Unit | None:
+        """Returns the cheaper of two randomly drawn usable units.
 
-    def _better(self, now: int, rq: Req, units: list[Unit], thorough: bool) -> Unit | None:
-        """Two random choices among those that may and should serve; a full look only when draws fail."""
-        if thorough:
+        `check_all`: looks at all units, and accepts ejected ones or ones tried before if there are no others.
+        """
+        if check_all:
             allowed = [unit for unit in units if self._may_send(now, rq, unit)]
-            untried = [unit for unit in allowed if not rq.tried(unit)]
-            units = [unit for unit in untried if not self._aside(now, rq, unit)] or untried or allowed
-        pair = [self._draw(now, rq, units, thorough) for _ in (1, 2)]
+            untried = [unit for unit in allowed if not rq.was_tried_at(unit)]
+            units = [unit for unit in untried if not self._is_avoided(now, rq, unit)] or untried or allowed
+        pair = [self._draw(now, rq, units, check_all) for _ in (1, 2)]
         return min((unit for unit in pair if unit), key=lambda unit: self._cost(now, unit), default=None)
 
-    def _draw(self, now: int, rq: Req, units: list[Unit], any_does: bool) -> Unit | None:
-        drawn = (units[self.i.chance.below(len(units))] for _ in range(DRAWS if units else 0))
-        return next((unit for unit in drawn if any_does or self._usable(now, rq, unit)), None)
+    def _draw(self, now: int, rq: Req, units: list[Unit], accept_any: bool) -> Unit | None:
+        drawn = (units[self.state.rng.below(len(units))] for _ in range(MAX_DRAWS if units else 0))
+        return next((unit for unit in drawn if accept_any or self._is_usable(now, rq, unit)), None)
 
-    def _usable(self, now: int, rq: Req, unit: Unit) -> bool:
-        return self._may_send(now, rq, unit) and not self._aside(now, rq, unit) and not rq.tried(unit)
+    def _is_usable(self, now: int, rq: Req, unit: Unit) -> bool:
+        return (
+            self._may_send(now, rq, unit)
+            and not self._is_avoided(now, rq, unit)
+            and not rq.was_tried_at(unit)
+        )
 
     def _cost(self, now: int, unit: Unit) -> float:
-        return math.sqrt(unit.pace) * (unit.open + unit.heard[0] + 1) / self._ramp(now, unit)
-
-    def _leave_silent(self, now: int) -> None:
-        """A silent unit's reqs are tried elsewhere while they can be in time; a long req alone runs on."""
-        for rq, one in [(rq, rq.tries[-1]) for rq in self.i.reqs.values() if rq.tries]:
-            if one.out and self.i.strain < STRAIN and self._unheard(now, rq, one.unit):
-                self._doubt(now, one.unit, self.s.me, False)
-            may = one.out and one.number + 1 < self.s.max_tries and rq.route.repeat != known.NON_RETRIABLE
-            if may and now - one.sent > SILENT_AFTER * rq.route.objective and self._aside(now, rq, one.unit):
-                self._set_aside(now, one.unit)
-                self.out += [(face.CANCEL, rq.id, one.number)] if self.s.may_cancel else []
-
-    def _aside(self, now: int, rq: Req, unit: Unit) -> bool:
-        # A silent unit gives no outcome until a time-out: leaving this long unanswered is telling. One open
-        # try can't tell it from a slow answer; on trial only a longer wait tells it from a slow build.
-        return unit.aside_until > now or ((self.few or unit.open > 1) and self._unheard(now, rq, unit))
-
-    def _unheard(self, now: int, rq: Req, unit: Unit) -> bool:
-        most = max(rq.route.objective / 2, 4 * self.i.typical[rq.place]) * (1 + self._on_trial(unit.build))
-        return unit.unanswered is not None and now - unit.unanswered > most
-
-    def _doubt(self, now: int, unit: Unit, relay: int, erred: bool) -> None:
-        """One relay's doubt is told to all and proves nothing. Errors at two of a site set a unit aside; so
-        does no word at half of those that it should have answered: fewer tell of a slow one. For relays that
-        meet a unit too seldom to know it; a site that is cut off accuses to itself alone."""
-        i, s, mine = self.i, self.s, relay == self.s.me
-        if self.few or (mine and now - unit.doubts.get(relay, (0, erred))[0] < s.tip_after):
+        """Estimates a unit's latency from its open tries, its latency ratio and how warm it is."""
+        load = unit.open_tries + unit.peer_counts[0] + 1
+        return math.sqrt(unit.latency_ratio) * load / self._capacity_share(now, unit)
+
+    def _retry_at_silent_units(self, now: int) -> None:
+        """Cancels tries at silent units while their reqs can still be answered in time elsewhere.
+
+        A long req alone does not make its unit silent.
+        """
+        for rq, attempt in [(rq, rq.tries[-1]) for rq in self.state.reqs.values() if rq.tries]:
+            if (
+                attempt.open
+                and self.state.latency_load < TARGET_LATENCY_LOAD
+                and self._is_silent(now, rq, attempt.unit)
+            ):
+                self._suspect(now, attempt.unit, self.settings.relay_index, False)
+            may_retry = (
+                attempt.open
+                and attempt.number + 1 < self.settings.max_tries
+                and rq.route.repeat_policy != config.NON_RETRIABLE
+            )
+            if (
+                may_retry
+                and now - attempt.sent_at > RETRY_AFTER_SILENCE_SHARE * rq.route.objective
+                and self._is_avoided(now, rq, attempt.unit)
+            ):
+                self._eject(now, attempt.unit)
+                self.pending_results += (
+                    [(face.CANCEL, rq.id, attempt.number)] if self.settings.may_cancel else []
+                )
+
+    def _is_avoided(self, now: int, rq: Req, unit: Unit) -> bool:
+        """Returns whether a unit is ejected or silent.
+
+        In a large fleet a single open try does not show silence: the relay has no other answers to tell a
+        silent unit from a slow one.
+        """
+        return unit.ejected_until > now or (
+            (self.small_fleet or unit.open_tries > 1) and self._is_silent(now, rq, unit)
+        )
+
+    def _is_silent(self, now: int, rq: Req, unit: Unit) -> bool:
+        """Returns whether a unit has owed an answer for long, which shows earlier than a time-out.
+
+        For a build on trial the limit is twice as long, as its units may merely be slow.
+        """
+        max_wait = max(
+            rq.route.objective / 2,
+            SILENCE_TYPICAL_LATENCIES * self.state.typical_latency[rq.route_index],
+        ) * (1 + self._is_on_trial(unit.build))
+        return unit.waiting_since is not None and now - unit.waiting_since > max_wait
+
+    def _suspect(self, now: int, unit: Unit, relay: int, failed: bool) -> None:
+        """Records a relay's suspicion of a unit, sends on an own one, and ejects the unit if enough agree.
+
+        One relay's suspicion proves nothing. Failures at two relays of a zone eject a unit; so does silence
+        towards half of the relays that it should have answered, as fewer may mean a slow one. This serves
+        relays that meet a unit too seldom to know it. Only the own zone's suspicions count, since a zone that
+        is cut off suspects all others.
+        """
+        state, settings, own = self.state, self.settings, relay == self.settings.relay_index
+        if self.small_fleet or (
+            own and now - unit.suspicions.get(relay, (0, failed))[0] < settings.overload_window
+        ):
             return
-        unit.doubt(relay, now, erred, now - DOUBTS_LAST * s.tip_after)
-        i.doubted += [(unit.id, erred)] if mine and s.may_tell else []
-        if unit.aside_until > now or self._on_trial(unit.build):
-            return  # in a jam hundreds of relays doubt every unit: what changes nothing is not reckoned
-        met = i.answered.since(now - ANSWERED_OVER * s.tip_after) / ANSWERED_OVER
+        unit.record_suspicion(relay, now, failed, now - SUSPICION_LIFETIME * settings.overload_window)
+        state.unsent_suspicions += [(unit.id, failed)] if own and settings.may_message_peers else []
+        if unit.ejected_until > now or self._is_on_trial(unit.build):
+            return  # saves the work below in an overload, when hundreds of relays suspect every unit
+        answers = (
+            state.recent_answers.count_since(now - ANSWER_RATE_WINDOWS * settings.overload_window)
+            / ANSWER_RATE_WINDOWS
+        )
         recent = [
-            erred
-            for at, erred in takewhile(
-                lambda told: now - told[0] < s.tip_after, reversed(unit.doubts.values())
+            failed
+            for at, failed in takewhile(
+                lambda entry: now - entry[0] < settings.overload_window, reversed(unit.suspicions.values())
             )
         ]
-        silent = len(recent) >= max(AGREED, UNHEARD * met * s.relays / max(len(i.ready), 1))
-        if silent or sum(recent) >= AGREED:
-            self._set_aside(now, unit)
-
-    def _learn(self, now: int, rq: Req, done: Try, status: str, lag: int) -> None:
-        i, s, unit, good, trial = self.i, self.s, done.unit, status == face.OK, self._on_trial(done.build)
-        if status not in (face.TIMEOUT, face.UNREACHED, face.CANCELLED, face.UNSENT) or not unit.open:
-            unit.unanswered = now if unit.open else None
-        if good and s.keys_stay and rq.key is not None and (trial or done.build > i.oldest):
-            i.keys[rq.key] = max(done.build, i.keys.get(rq.key, 0))
-        if done.build != unit.build or status == face.UNSENT:
+        silent = len(recent) >= max(
+            AGREEING_RELAYS,
+            SILENT_SUSPICION_SHARE * answers * settings.relay_count / max(len(state.ready_units), 1),
+        )
+        if silent or sum(recent) >= AGREEING_RELAYS:
+            self._eject(now, unit)
+
+    def _learn(self, now: int, rq: Req, attempt: Try, status: str, lag: int) -> None:
+        state, settings, unit, good, trial = (
+            self.state,
+            self.settings,
+            attempt.unit,
+            status == face.OK,
+            self._is_on_trial(attempt.build),
+        )
+        no_answer = (face.TIMEOUT, face.UNREACHABLE, face.CANCELLED, face.UNSENT)
+        if status not in no_answer or not unit.open_tries:
+            unit.waiting_since = now if unit.open_tries else None
+        if (
+            good
+            and settings.sticky_keys
+            and rq.key is not None
+            and (trial or attempt.build > state.oldest_build)
+        ):
+            state.sticky_builds[rq.key] = max(attempt.build, state.sticky_builds.get(rq.key, 0))
+        if attempt.build != unit.build or status == face.UNSENT:
             return
-        if status == face.AT_FAULT:
-            # It tells of the client alone, unless an earlier build serves what one on trial calls at fault.
-            rq.owed = done if trial else rq.owed
+        if status == face.CLIENT_FAULT:
+            # This is evidence on the client alone, unless the earlier build serves what one on trial rejects.
+            rq.pending_failure = attempt if trial else rq.pending_failure
             return
-        if self.s.crossing_price and status in (face.OK, face.TIMEOUT, face.CANCELLED):
-            late = lag > FAR_AFTER * rq.route.objective
-            change = late - FAR_DUE if unit.zone == self.s.zone else -2 * late
-            i.crossing = min(max(i.crossing + CROSS_GAIN * change, 0.0), 1.0)
-        # A time-out shorter than a usual answer tells of the client's patience, unless none has any more.
-        patient = min(rq.route.objective / 2, PATIENCE * rq.route.timeout)
-        if status == face.CANCELLED or (status == face.TIMEOUT and lag < patient):
-            return None if status == face.TIMEOUT else self._count(rq, done, status, lag)
-        unit.failing += FAIL_GAIN * ((not good) - unit.failing)
-        unit.clean = (unit.clean % CLEAN_WRAP + 1) * good
-        unit.seen, unit.failed = unit.seen * SEEN_FADE + 1, unit.failed * SEEN_FADE + (not good)
+        if self.settings.cross_zone_price and status in (face.OK, face.TIMEOUT, face.CANCELLED):
+            late = lag > REMOTE_AFTER_SHARE * rq.route.objective
+            change = late - EXPECTED_LATE_SHARE if unit.zone == self.settings.zone else -2 * late
+            state.remote_share = min(max(state.remote_share + REMOTE_SHARE_GAIN * change, 0.0), 1.0)
+        # A time-out shorter than a usual answer shows the client's impatience, unless all clients are so.
+        patient_after = min(rq.route.objective / 2, PATIENT_TIMEOUT_SHARE * rq.route.timeout)
+        if status == face.CANCELLED or (status == face.TIMEOUT and lag < patient_after):
+            return None if status == face.TIMEOUT else self._count(rq, attempt, status, lag)
+        unit.failure_rate += FAILURE_RATE_GAIN * ((not good) - unit.failure_rate)
+        unit.success_streak = (unit.success_streak % SUCCESS_STREAK_WRAP + 1) * good
+        unit.recent_outcomes, unit.recent_failures = (
+            unit.recent_outcomes * OUTCOME_DECAY + 1,
+            unit.recent_failures * OUTCOME_DECAY + (not good),
+        )
         if status == face.FAILED and trial:
-            rq.owed = done
+            rq.pending_failure = attempt
         else:
-            self._count(rq, done, status, lag)
+            self._count(rq, attempt, status, lag)
         if good or status == face.TIMEOUT:
-            i.strain += STRAIN_GAIN * (min(lag / rq.route.objective, STRAIN_CLIP) - i.strain)
+            ratio = min(lag / rq.route.objective, MAX_LATENCY_LOAD)
+            state.latency_load += LATENCY_LOAD_GAIN * (ratio - state.latency_load)
         blamed = not good and not trial
-        unit.pace += PACE_GAIN * (max(lag / i.typical[rq.place], PACE_OF_FAILURE * blamed) - unit.pace)
+        unit.latency_ratio += LATENCY_GAIN * (
+            max(lag / state.typical_latency[rq.route_index], FAILURE_LATENCY_RATIO * blamed)
+            - unit.latency_ratio
+        )
         if good:
-            i.typical[rq.place] += PACE_GAIN / 4 * (lag - i.typical[rq.place])
-            unit.aside_for = unit.aside_for * 3 // 4
-            i.answer(now, unit, s.warm_after)
-        elif status in (face.UNREACHED, face.TIMEOUT) or (unit.failing > ASIDE_FAILING and blamed):
-            # Errors of a build on trial are the judge's to weigh: setting its machines aside would starve it.
-            self._set_aside(now, unit)
-        if status in (face.FAILED, face.UNREACHED, face.TIMEOUT):
-            self._doubt(now, unit, self.s.me, status == face.FAILED)
-
-    def _set_aside(self, now: int, unit: Unit) -> None:
-        if unit.aside_until > now or 3 * (1 + sum([one.aside_until > now for one in self.i.ready])) > len(
-            self.i.ready
+            state.typical_latency[rq.route_index] += (
+                LATENCY_GAIN / 4 * (lag - state.typical_latency[rq.route_index])
+            )
+            unit.ejection_time = unit.ejection_time * 3 // 4
+            state.record_answer(now, unit, settings.warm_up_time)
+        elif status in (face.UNREACHABLE, face.TIMEOUT) or (
+            unit.failure_rate > EJECTION_FAILURE_RATE and blamed
         ):
+            # Failures of a build on trial are evidence for the posterior: ejecting its units would end it.
+            self._eject(now, unit)
+        if status in (face.FAILED, face.UNREACHABLE, face.TIMEOUT):
+            self._suspect(now, unit, self.settings.relay_index, status == face.FAILED)
+
+    def _eject(self, now: int, unit: Unit) -> None:
+        """Ejects a unit, longer each time, but never more than a third of the ready units."""
+        if unit.ejected_until > now:
+            return
+        ejected = sum([other.ejected_until > now for other in self.state.ready_units])
+        if MIN_READY_PER_EJECTED * (1 + ejected) > len(self.state.ready_units):
             return
-        unit.aside_for = min(max(2 * unit.aside_for, self.s.tip_after), 8 * self.s.tip_after)
-        unit.aside_until, unit.failing = now + unit.aside_for, RESTED_FAILING
-
-    def _members(self) -> list[tuple[str, int | None, float, float]]:
-        """Each kind's members: where it shows (None: everywhere), how strongly, its part of the prior."""
-        found = [(FAILING, None, FAIL_ALL), (SLOW, None, SLOWER)]
-        found += [(FAILING, place, FAIL_ROUTE) for place in range(len(self.s.routes))]
-        found += [(WRONG, None, WRONG_SHARE * self.s.complaint_share)] if self.s.complaint_share else []
-        kinds = [kind for kind, *_ in found]
-        total = sum(PRIORS[kind] for kind in PRIORS if kind in kinds)
-        return [(*one, PRIORS[one[0]] / total / kinds.count(one[0])) for one in found]
-
-    def _open_case(self, build: int) -> None:
-        i = self.i
-        if i.case is None or build > i.case.build:
-            i.turn_over(i.news is not None and i.news.standing == face.RELEASED)
-            # The pool: few, however many relays there are, with spares for the dead and the cut off.
-            ranked = sorted(range(self.s.relays), key=lambda relay: hashed(build, relay))
-            pool = ranked[: min(self.s.votes_back, MOST_POOL) + POOL_SPARE]
-            i.case = Case(build, sum(one.build < build for one in i.ready), len(i.newer), self.first[:], pool)
-
-    def _count(self, rq: Req, done: Try, status: str, lag: int) -> None:
-        """An outcome as evidence, but for connections that failed or broke. A time-out tells of latency."""
-        i, case = self.i, self.i.case
-        uncounted = status in (face.UNREACHED, face.RESET, face.BUSY) or done.fresh
-        if uncounted or case is None or done.build > case.build:
+        unit.ejection_time = min(
+            max(2 * unit.ejection_time, self.settings.overload_window),
+            MAX_EJECTION_WINDOWS * self.settings.overload_window,
+        )
+        unit.ejected_until, unit.failure_rate = now + unit.ejection_time, FAILURE_RATE_AFTER_EJECTION
+
+    def _hypotheses(self) -> list[tuple[str, int | None, float, float]]:
+        """Returns each hypothesis: kind, route index (None: all routes), strength and prior."""
+        members = [(FAILING, None, FAILING_EVERYWHERE_RATE), (SLOW, None, SLOW_LOG_LATENCY_SHIFT)]
+        members += [(FAILING, index, FAILING_ROUTE_RATE) for index in range(len(self.settings.routes))]
+        members += (
+            [(WRONG, None, WRONG_ANSWER_RATE * self.settings.complaint_share)]
+            if self.settings.complaint_share
+            else []
+        )
+        kinds = [kind for kind, *_ in members]
+        total = sum(KIND_PRIORS[kind] for kind in KIND_PRIORS if kind in kinds)
+        return [(*member, KIND_PRIORS[member[0]] / total / kinds.count(member[0])) for member in members]
+
+    def _open_trial(self, build: int) -> None:
+        """Starts collecting evidence on a build that is newer than the last."""
+        state = self.state
+        if state.trial is None or build > state.trial.build:
+            state.start_new_sums(state.release is not None and state.release.standing == face.RELEASED)
+            # Few relays vote, however many there are, with spares for those that are dead or cut off.
+            ranked = sorted(range(self.settings.relay_count), key=lambda relay: hash_pair(build, relay))
+            voters = ranked[: min(self.settings.votes_to_roll_back, MAX_POOLED_VOTES) + SPARE_VOTERS]
+            state.trial = BuildTrial(
+                build,
+                sum(unit.build < build for unit in state.ready_units),
+                len(state.newer_sums),
+                self.initial_log_weights[:],
+                voters,
+            )
+
+    def _count(self, rq: Req, attempt: Try, status: str, lag: int) -> None:
+        """Counts an outcome as evidence, unless its connection failed or broke.
+
+        A time-out counts as a latency.
+        """
+        state, trial = self.state, self.state.trial
+        uncounted = status in (face.UNREACHABLE, face.RESET, face.BUSY) or attempt.on_new_unit
+        if uncounted or trial is None or attempt.build > trial.build:
             return
-        failed, timed, logs = int(status == face.FAILED), 0, 0.0
-        if not failed and self._ramp(done.sent, done.unit) >= 1.0:
-            timed, logs = 1, math.log(max(lag, 1))
-        case.changed.add(rq.place)
-        if done.build < case.build:
-            case.earlier[rq.place].add(1, failed, timed, logs, logs * logs)
-            i.base[rq.place].add(1, failed, timed, logs, logs * logs)
-        elif not (failed and self._machine_to_blame(done.sent + lag, done.unit)):
-            for sums in (case.own[rq.place], i.newer[rq.place]):
-                sums.add(1, failed, timed, logs, logs * logs)
-            self._weigh(rq.place, 1, failed, timed, logs)
-
-    def _machine_to_blame(self, now: int, unit: Unit) -> bool:
-        """Fellows as old as it are sound; while none is known well, an earlier build's machine fails too, or
-        did before it drained: after a release nothing else tells sick machines from the build."""
-        machines, since = self._machines(unit.build), now - DOUBTS_LAST * self.s.tip_after
-        near = [one for one in machines if one.zone == self.s.zone]  # those that the relays heeded here meet
-        erred = sum(one.erred(since) for one in near)
-        if unit in near and unit.erred(since, self.s.me) and 3 * erred <= len(near):
-            return True  # errors of one machine hang together: the first at all relays counts
-        as_old = unit.since + SAME_AGE * self.s.warm_after  # what changes with a machine's age is its warming
+        failed, timed, log_latency = int(status == face.FAILED), 0, 0.0
+        if not failed and self._capacity_share(attempt.sent_at, attempt.unit) >= 1.0:
+            timed, log_latency = 1, math.log(max(lag, 1))
+        trial.changed_routes.add(rq.route_index)
+        if attempt.build < trial.build:
+            for sums in (trial.earlier_sums[rq.route_index], state.baseline[rq.route_index]):
+                sums.add(1, failed, timed, log_latency, log_latency * log_latency)
+        elif not (failed and self._is_machine_fault(attempt.sent_at + lag, attempt.unit)):
+            for sums in (trial.own_sums[rq.route_index], state.newer_sums[rq.route_index]):
+                sums.add(1, failed, timed, log_latency, log_latency * log_latency)
+            self._update_posterior(rq.route_index, 1, failed, timed, log_latency)
+
+    def _is_machine_fault(self, now: int, unit: Unit) -> bool:
+        """Returns whether a failure at a unit is to be blamed on its machine, not on its build.
+
+        It is if enough machines of that build and age are healthy. While none is known well enough, it is if
+        a machine of an earlier build fails too, or did before it drained: after a release nothing else tells
+        a faulty machine from a faulty build.
+        """
+        machines = self._units_of_build(unit.build)
+        since = now - SUSPICION_LIFETIME * self.settings.overload_window
+        # Only those of the own zone, whose suspicions count here.
+        local = [machine for machine in machines if machine.zone == self.settings.zone]
+        suspected = sum(machine.had_failure_since(since) for machine in local)
+        if (
+            unit in local
+            and unit.had_failure_since(since, self.settings.relay_index)
+            and FAULTY_MACHINE_SHARE * suspected <= len(local)
+        ):
+            return True  # failures of one machine are correlated: the first one at all relays counts
+        # Only a machine's warming up changes with its age.
+        as_old_since = unit.started_at + SAME_AGE_SHARE * self.settings.warm_up_time
         fellows = [
-            one.ended()
-            for one in machines
-            if one is not unit and one.since <= as_old and one.ended()[0] >= SOUND_SEEN
+            machine.recent_counts()
+            for machine in machines
+            if machine is not unit
+            and machine.started_at <= as_old_since
+            and machine.recent_counts()[0] >= MIN_FELLOW_OUTCOMES
         ]
-        sound = [bad <= max(unit.failing > ASIDE_FAILING, 2 * FAIL_FLOOR * seen) for seen, bad in fellows]
-        if sound:
-            return sum(sound) >= SOUND_FELLOWS * len(sound)
-        return any(one.ended()[1] >= FAILS_TOO for one in self.i.units.values() if one.build < unit.build)
-
-    def _machines(self, build: int) -> list[Unit]:
-        return [unit for unit in self.i.ready if unit.build == build]
-
-    def _steps(self, place: int, count: int, failed: int, timed: int, logs: float, wrong: int) -> list[float]:
-        """For each member, log fi - log f0 of one outcome of a batch at its mean, or of complaints."""
-        base = self.i.base[place]
-        fail0 = max(FAIL_FLOOR, (base.failed + FAIL_FLOOR) / (base.count + 1))
-        mean, spread = base.usual(SPREAD_FLOOR) if base.timed >= BASE_ENOUGH else (0.0, 0.0)
-        # The paper's outcomes are independent; a machine's hang together: they count as no more than a few.
-        paces = [math.log(max(unit.pace, 0.1)) for unit in self.i.ready if unit.build < self.i.case.build]
-        unlike = max(
-            posterior.variance(paces) - UNLIKE_NOISE,
-            UNLIKE_FLOOR,
-            0.0 if self.few else spread**2 - SPREAD_FLOOR**2,
-        )  # too seldom seen to tell
-        most = spread * spread / unlike * max(self.i.case.warm, 1)
-        temper = (most / (most + self.i.case.timed)) ** 2 if most else 0.0
-        steps, part = [], failed / max(count, 1)
-        for kind, where, strength, _ in self.members:
-            step = 0.0
-            if kind == FAILING and count and where in (None, place):
-                fail1 = fail0 + (1 - fail0) * strength
-                step = part * math.log(fail1 / fail0) + (1 - part) * math.log((1 - fail1) / (1 - fail0))
+        healthy = [
+            failures <= max(unit.failure_rate > EJECTION_FAILURE_RATE, 2 * MIN_FAILURE_RATE * outcomes)
+            for outcomes, failures in fellows
+        ]
+        if healthy:
+            return sum(healthy) >= HEALTHY_FELLOW_SHARE * len(healthy)
+        return any(
+            machine.recent_counts()[1] >= MIN_EARLIER_BUILD_FAILURES
+            for machine in self.state.units.values()
+            if machine.build < unit.build
+        )
+
+    def _units_of_build(self, build: int) -> list[Unit]:
+        return [unit for unit in self.state.ready_units if unit.build == build]
+
+    def _log_likelihood_ratios(
+        self, route_index: int, count: int, failed: int, timed: int, log_latency: float, complaints: int
+    ) -> list[float]:
+        """Returns, for each hypothesis, log fi - log f0 of one outcome of a batch at its mean, or of
+        complaints.
+
+        `log_latency` is summed over the timed outcomes.
+        """
+        baseline = self.state.baseline[route_index]
+        sound_rate = max(MIN_FAILURE_RATE, (baseline.failed + MIN_FAILURE_RATE) / (baseline.count + 1))
+        mean, spread = (
+            baseline.latency_mean_and_spread(MIN_LOG_LATENCY_SPREAD)
+            if baseline.timed >= MIN_BASELINE_OUTCOMES
+            else (0.0, 0.0)
+        )
+        # The paper's outcomes are independent, those of one machine are not: they count as no more than a
+        # few. The more the earlier build's machines differ, the fewer. Where a relay meets each machine too
+        # seldom to know that, the spread of all latencies stands for it.
+        log_ratios = [
+            math.log(max(unit.latency_ratio, 0.1))
+            for unit in self.state.ready_units
+            if unit.build < self.state.trial.build
+        ]
+        machine_variance = max(
+            posterior.variance(log_ratios) - MACHINE_VARIANCE_NOISE,
+            MIN_MACHINE_VARIANCE,
+            0.0 if self.small_fleet else spread**2 - MIN_LOG_LATENCY_SPREAD**2,
+        )
+        max_independent = spread * spread / machine_variance * max(self.state.trial.warm_units, 1)
+        discount = (
+            (max_independent / (max_independent + self.state.trial.timed)) ** 2 if max_independent else 0.0
+        )
+        log_likelihood_ratios, failed_share = [], failed / max(count, 1)
+        for kind, only_route, strength, _ in self.hypotheses:
+            log_ratio = 0.0
+            if kind == FAILING and count and only_route in (None, route_index):
+                bad_rate = sound_rate + (1 - sound_rate) * strength
+                log_ratio = failed_share * math.log(bad_rate / sound_rate) + (1 - failed_share) * math.log(
+                    (1 - bad_rate) / (1 - sound_rate)
+                )
             elif kind == SLOW and timed and spread:
-                away = min(max((logs / timed - mean) / spread, -SPREAD_CLIP), SPREAD_CLIP)
-                step = temper * timed / count * strength / spread * (away - strength / spread / 2)
+                deviation = min(max((log_latency / timed - mean) / spread, -MAX_DEVIATION), MAX_DEVIATION)
+                log_ratio = discount * timed / count * strength / spread * (deviation - strength / spread / 2)
             elif kind == WRONG:
-                wrong0, wrong1 = FALSE_COMPLAINTS, strength + FALSE_COMPLAINTS
-                step = wrong * math.log(wrong1 / wrong0) + (count > 0) * math.log((1 - wrong1) / (1 - wrong0))
-            steps.append(step)
-        return steps
-
-    def _weigh(self, place: int, count: int, failed: int, timed: int, logs: float, wrong: int = 0) -> None:
-        """The recursion, a batch counting as `count` outcomes at its mean, complaints as one."""
-        steps = self._steps(place, count, failed, timed, logs, wrong)
-        for _ in range(count or min(wrong, 1)):
-            posterior.step(self.i.case.weights, steps, self.priors, CHANGE)
-        self.i.case.counted, self.i.case.timed = self.i.case.counted + count, self.i.case.timed + timed
+                sound_wrong, bad_wrong = FALSE_COMPLAINT_RATE, strength + FALSE_COMPLAINT_RATE
+                log_ratio = complaints * math.log(bad_wrong / sound_wrong) + (count > 0) * math.log(
+                    (1 - bad_wrong) / (1 - sound_wrong)
+                )
+            log_likelihood_ratios.append(log_ratio)
+        return log_likelihood_ratios
+
+    def _update_posterior(
+        self,
+        route_index: int,
+        count: int,
+        failed: int,
+        timed: int,
+        log_latency: float,
+        complaints: int = 0,
+    ) -> None:
+        """Applies the recursion: a batch counts as `count` outcomes at its mean, complaints as one."""
+        ratios = self._log_likelihood_ratios(route_index, count, failed, timed, log_latency, complaints)
+        trial = self.state.trial
+        for _ in range(count or min(complaints, 1)):
+            posterior.update_log_weights(trial.log_weights, ratios, self.priors, CHANGE_PROBABILITY)
+        trial.outcome_count, trial.timed = trial.outcome_count + count, trial.timed + timed
 
     def _posteriors(self) -> dict[str, float]:
-        parts = [
-            (member[0], math.exp(weight))
-            for member, weight in zip(self.members, self.i.case.weights[1:], strict=True)
+        """Returns the posterior of each kind, the sum of its hypotheses'."""
+        weights = [
+            (hypothesis[0], math.exp(log_weight))
+            for hypothesis, log_weight in zip(self.hypotheses, self.state.trial.log_weights[1:], strict=True)
         ]
-        return {kind: sum(part for one, part in parts if one == kind) for kind in self.kinds}
+        return {kind: sum(weight for member, weight in weights if member == kind) for kind in self.kinds}
 
     def _consider_vote(self, now: int) -> None:
-        i, s, vote, news = self.i, self.s, self.i.vote, self.i.news
+        state, settings, vote, release = self.state, self.settings, self.state.vote, self.state.release
         if (
-            news is None
-            or i.case is None
-            or i.case.build != news.build
-            or (self.pooled and s.me not in i.case.voters)
+            release is None
+            or state.trial is None
+            or state.trial.build != release.build
+            or (self.only_voters_vote and settings.relay_index not in state.trial.voters)
         ):
             return
-        verdict = self._verdict(now, news)
-        wanted = (news.build, news.stage if verdict in (face.VOTE_ON, face.VOTE_HOLD) else 0, verdict)
-        stands = vote.said == wanted and now < vote.cast + s.vote_life * 2 // 3
-        nothing = verdict == face.NO_VOTE and (vote.said is None or vote.said[2] == face.NO_VOTE)
-        if now < vote.not_before or stands or nothing:
+        verdict = self._verdict(now, release)
+        stage = release.stage if verdict in (face.VOTE_ADVANCE, face.VOTE_HOLD) else 0
+        wanted = (release.build, stage, verdict)
+        stands = vote.last_vote == wanted and now < vote.cast_at + settings.vote_ttl * 2 // 3
+        nothing_to_withdraw = verdict == face.NO_VOTE and (
+            vote.last_vote is None or vote.last_vote[2] == face.NO_VOTE
+        )
+        if now < vote.not_before or stands or nothing_to_withdraw:
             return
-        vote.said, vote.cast, vote.not_before = wanted, now, now + s.vote_timeout + self.beat
-        self.out.append((face.VOTE, news.build, news.stage, verdict))
-        if s.me in i.case.voters:
-            what = f"vote {verdict} on build {news.build} stage {news.stage}"
-            self.note(what, i.case.counted, self._posteriors())
-
-    def _verdict(self, now: int, news: News) -> int:
-        machines = [unit.since for unit in self._machines(news.build)]
-        self.i.case.warm = sum(now - since >= self.s.warm_after for since in machines)
-        (found, counted), alone = self._found(now), len(machines) < 2
-        # One machine's slowness can't tell it from the build: it holds for a while, then a second one is due.
-        if news.standing in (face.ON_TRIAL, face.RELEASED) and any(
-            part > 1 / (1 + ODDS) and not (alone and kind == SLOW) for kind, part in found.items()
+        vote.last_vote, vote.cast_at = wanted, now
+        vote.not_before = now + settings.vote_timeout + self.timer_interval
+        self.pending_results.append((face.VOTE, release.build, release.stage, verdict))
+        if settings.relay_index in state.trial.voters:
+            text = f"vote {verdict} on build {release.build} stage {release.stage}"
+            self.add_note(text, state.trial.outcome_count, self._posteriors())
+
+    def _verdict(self, now: int, release: ReleaseStatus) -> int:
+        starts = [unit.started_at for unit in self._units_of_build(release.build)]
+        self.state.trial.warm_units = sum(
+            now - started_at >= self.settings.warm_up_time for started_at in starts
+        )
+        (posteriors, outcome_count), single = self._pooled_posteriors(now), len(starts) < 2
+        # Slowness of a single machine cannot be told from that of its build: it holds the vote back for a
+        # while, until a second machine is due.
+        if release.standing in (face.ON_TRIAL, face.RELEASED) and any(
+            probability > 1 / (1 + ROLL_BACK_ODDS) and not (single and kind == SLOW)
+            for kind, probability in posteriors.items()
         ):
-            return face.VOTE_BACK
-        if news.standing != face.ON_TRIAL or self.s.control == known.CLOCKED:
-            held = news.standing == face.ON_TRIAL and max(found.values()) >= CALM
-            return face.VOTE_HOLD if held else face.NO_VOTE
-        ran = now - max(machines, default=now)
-        waited = alone and ran >= 3 * RUN_BEFORE_ON
-        calm = all(part < CALM or (waited and kind == SLOW) for kind, part in found.items())
-        due = int(self.s.stage_shares[news.stage] * self.i.case.places + 0.5)
-        there = len(machines) >= due or now - news.began >= 3 * RUN_BEFORE_ON
-        # Silence tells nothing before reqs that count and are in time have ended.
-        enough = counted >= ENOUGH or ran >= max(2 * RUN_BEFORE_ON, self.s.warm_after // 2 + self.shortest)
-        return face.VOTE_ON if calm and there and enough and ran >= RUN_BEFORE_ON else face.NO_VOTE
-
-    def _tell(self, now: int) -> None:
-        i, case, s = self.i, self.i.case, self.s
-        i.told += 1
-        if s.may_tell and i.doubted:
-            self.out.append((face.TELL, "all", messages.pack_doubts(self.site, i.doubted)))
-            i.doubted = i.doubted[messages.DOUBTED :]
-        if s.may_tell and self.few and i.told % s.relays == 0:
-            busiest = sorted(i.ready, key=lambda unit: -unit.open)  # a message may not hold them all
-            loads = [(unit.id, unit.open, unit.seen, unit.failed, unit.clean) for unit in busiest]
-            self.out.append((face.TELL, "all", messages.pack_loads(loads)))
-        if case is None or now < i.tell_at or not s.may_tell:
+            return face.VOTE_ROLL_BACK
+        if release.standing != face.ON_TRIAL or self.settings.release_control == config.CLOCKED:
+            hold = release.standing == face.ON_TRIAL and max(posteriors.values()) >= MAX_CALM_POSTERIOR
+            return face.VOTE_HOLD if hold else face.NO_VOTE
+        max_wait = MAX_WAIT_RUN_TIMES * MIN_RUN_TIME_US
+        run_time = now - max(starts, default=now)
+        waited = single and run_time >= max_wait
+        calm = all(
+            probability < MAX_CALM_POSTERIOR or (waited and kind == SLOW)
+            for kind, probability in posteriors.items()
+        )
+        due = int(self.settings.stage_shares[release.stage] * self.state.trial.earlier_units + 0.5)
+        machines_run = len(starts) >= due or now - release.stage_began_at >= max_wait
+        # Without outcomes there is no evidence before reqs that count and are in time can have ended.
+        enough = outcome_count >= MIN_TRIAL_OUTCOMES or run_time >= max(
+            2 * MIN_RUN_TIME_US, self.settings.warm_up_time // 2 + self.shortest_objective
+        )
+        advance = calm and machines_run and enough and run_time >= MIN_RUN_TIME_US
+        return face.VOTE_ADVANCE if advance else face.NO_VOTE
+
+    def _send_messages(self, now: int) -> None:
+        state, trial, settings = self.state, self.state.trial, self.settings
+        state.timer_count += 1
+        if settings.may_message_peers and state.unsent_suspicions:
+            payload = messages.pack_suspicions(self.zone_code, state.unsent_suspicions)
+            self.pending_results.append((face.TELL, "all", payload))
+            state.unsent_suspicions = state.unsent_suspicions[messages.MAX_SUSPICIONS :]
+        if settings.may_message_peers and self.small_fleet and state.timer_count % settings.relay_count == 0:
+            # The busiest first, as a datagram may not hold them all.
+            busiest = sorted(state.ready_units, key=lambda unit: -unit.open_tries)
+            loads = [
+                (
+                    unit.id,
+                    unit.open_tries,
+                    unit.recent_outcomes,
+                    unit.recent_failures,
+                    unit.success_streak,
+                )
+                for unit in busiest
+            ]
+            self.pending_results.append((face.TELL, "all", messages.pack_loads(loads)))
+        if trial is None or now < state.next_report_at or not settings.may_message_peers:
             return
-        i.tell_at = now + self.tell_every
-        if case.changed:
-            bodies = messages.pack_sums(i.epoch, i.told, case.build, case.complained, case.rows(), i.open)
-            self.out += [(face.TELL, one, body) for one in case.voters if one != s.me for body in bodies]
-        if s.me in case.voters:
-            late, parts = i.lateness(s.routes, BASE_ENOUGH), tuple(self._posteriors().values())
-            wait = i.flow.wait(now, LOADS_LAST) / self.shortest
-            word = messages.Word(i.epoch, i.told, case.build, case.counted, parts, late, wait)
-            self.out.append((face.TELL, "all", messages.pack_word(word)))
-            case.take(now, s.me, word)
-
-    def _found(self, now: int) -> tuple[dict[str, float], int]:
-        """Posteriors, and what they rest on: of two voters' words, while own outcomes are too few."""
-        case, found = self.i.case, self._posteriors()
-        told = case.agreed(now - WORD_LASTS * self.tell_every, AGREED)
-        if self.s.me in case.voters or case.counted >= ENOUGH or told is None:
-            return found, case.counted
-        return dict(zip(found, told.posteriors, strict=True)), told.counted
-
-    def _hear(self, relay: int, told: messages.Told) -> None:
-        i, case = self.i, self.i.case
-        wrong, rows = case.gain(relay, told)
-        self._weigh(0, 0, 0, 0, 0.0, wrong)
-        for place, (count, failed, timed, logs, *earlier) in rows:
-            i.base[place].add(*earlier)
-            i.flow.ended += count + earlier[0]
+        state.next_report_at = now + self.report_interval
+        if trial.changed_routes:
+            payloads = messages.pack_sums(
+                state.epoch,
+                state.timer_count,
+                trial.build,
+                trial.complaint_count,
+                trial.take_changed_rows(),
+                state.open_tries,
+            )
+            self.pending_results += [
+                (face.TELL, voter, payload)
+                for voter in trial.voters
+                if voter != settings.relay_index
+                for payload in payloads
+            ]
+        if settings.relay_index in trial.voters:
+            ratios, posteriors = (
+                state.latency_ratios(settings.routes, MIN_BASELINE_OUTCOMES),
+                tuple(self._posteriors().values()),
+            )
+            wait_ratio = state.fleet_wait.estimate(now, PEER_LOAD_LIFETIME_US) / self.shortest_objective
+            report = messages.VoterReport(
+                state.epoch,
+                state.timer_count,
+                trial.build,
+                trial.outcome_count,
+                posteriors,
+                ratios,
+                wait_ratio,
+            )
+            self.pending_results.append((face.TELL, "all", messages.pack_report(report)))
+            trial.accept_report(now, settings.relay_index, report)
+
+    def _pooled_posteriors(self, now: int) -> tuple[dict[str, float], int]:
+        """Returns the posteriors and the number of outcomes that they rest on.
+
+        A relay that is no voter and has too few outcomes of its own uses those that two voters agree on.
+        """
+        trial, posteriors = self.state.trial, self._posteriors()
+        report = self._quorum_report(now)
+        if (
+            self.settings.relay_index in trial.voters
+            or trial.outcome_count >= MIN_TRIAL_OUTCOMES
+            or report is None
+        ):
+            return posteriors, trial.outcome_count
+        return dict(zip(posteriors, report.posteriors, strict=True)), report.outcome_count
+
+    def _add_peer_sums(self, relay: int, sums: messages.RelaySums) -> None:
+        state, trial = self.state, self.state.trial
+        complaints, rows = trial.take_new_evidence(relay, sums)
+        self._update_posterior(0, 0, 0, 0, 0.0, complaints)
+        for index, (count, failed, timed, log_latency, *earlier) in rows:
+            state.baseline[index].add(*earlier)
+            state.fleet_wait.ended_tries += count + earlier[0]
             if count > 0:
-                i.newer[place].add(count, failed, timed, logs, logs * logs / max(timed, 1))
-                self._weigh(place, count, failed, timed, logs)
+                state.newer_sums[index].add(
+                    count, failed, timed, log_latency, log_latency * log_latency / max(timed, 1)
+                )
+                self._update_posterior(index, count, failed, timed, log_latency)
--- a/laurelcourse/settings.py
+++ b/laurelcourse/settings.py
@@ -1,208 +1,244 @@
-"""The settings that the module reads, decoded once at start. Times are whole microseconds."""
+"""The settings that the decision module reads, decoded once at start. Times are whole microseconds."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
-RETRIABLE, DEDUPED, NON_RETRIABLE = "retriable", "deduped", "non-retriable"
-ANY, SHARE, CLOCKED = "any", "share", "clocked"
-GROUP_ALL, GROUP_ZONE, GROUP_CELL = "all", "zone", "cell"
-BY_ROUTE = "per_lane"
-MOST = 1 << 45  # of a number in the settings: a thousand years in milliseconds
-REPEATS = {"idempotent": RETRIABLE, "deduplicated": DEDUPED, "at_most_once": NON_RETRIABLE}
-CONTROLS = {"single": ANY, "majority": SHARE, "clocked": CLOCKED}
-GROUPS = {word: word for word in (GROUP_ALL, GROUP_ZONE, GROUP_CELL)}
-SCOPES = {word: word for word in ("all", BY_ROUTE)}
+# What a second run of a req does.
+RETRIABLE = "retriable"  # no harm
+DEDUPED = "deduped"  # nothing, while its group of units remembers the first run
+NON_RETRIABLE = "non-retriable"  # harm
+
+# Whose votes move a build: any few relays, a share of all, or the platform's clock unless a vote holds it.
+ANY = "any"
+SHARE = "share"
+CLOCKED = "clocked"
+
+# Which units remember the same runs of a deduped route.
+GROUP_ALL = "all"
+GROUP_ZONE = "zone"
+GROUP_CELL = "cell"
+
+CAP_PER_ROUTE = "per_lane"
+MAX_NUMBER = 1 << 45  # of a number in the settings: a thousand years in milliseconds
+
+REPEAT_POLICIES = {"idempotent": RETRIABLE, "deduplicated": DEDUPED, "at_most_once": NON_RETRIABLE}
+RELEASE_CONTROLS = {"single": ANY, "majority": SHARE, "clocked": CLOCKED}
+DEDUP_GROUPS = {word: word for word in (GROUP_ALL, GROUP_ZONE, GROUP_CELL)}
+CAP_SCOPES = {word: word for word in ("all", CAP_PER_ROUTE)}
 
 
 class Route(NamedTuple):
+    """One class of reqs."""
+
     name: str
-    objective: int
+    objective: int  # latency objective
     timeout: int
-    earnings: float
-    late_share: float
-    repeat: str
-    group: str
-    memory: int
+    worth: float  # of a req answered within the objective
+    late_share: float  # of the worth that a late answer still has
+    repeat_policy: str
+    dedup_group: str
+    dedup_window: int  # time for which units remember a run
 
 
 class Settings(NamedTuple):
-    me: int
-    relays: int
+    """What the platform tells a relay about itself and its rules."""
+
+    relay_index: int
+    relay_count: int
     zone: str
     routes: tuple[Route, ...]
-    tick: int
+    tick: int  # resolution of the platform's clock
     max_tries: int
-    may_duplicate: bool
+    may_duplicate: bool  # a second try may start while the first is open
     may_probe: bool
-    may_tell: bool
-    may_name_return: bool
-    longest_return: int
-    must_ask: bool
-    ask_within: int
-    drain_grace: int
-    cold_share: float
-    warm_after: int
+    may_message_peers: bool
+    may_send_retry_after: bool
+    max_retry_after: int
+    must_poll: bool  # the directory answers calls and pushes nothing
+    max_poll_interval: int
+    drain_grace: int  # time after which nothing may be sent to a unit reported as draining
+    start_capacity: float  # share of a warm unit's capacity that a unit has as it starts
+    warm_up_time: int
     overload_factor: float
-    tip_after: int
-    cap_by_route: bool
-    cap_free: float
+    overload_window: int  # time over which a cold unit's overload is counted
+    cap_per_route: bool
+    cap_free_tries: float  # tries at a build on trial that are allowed beside the capped share
     cap_window: int
     stage_caps: tuple[float, ...]
-    stage_shares: tuple[float, ...]
-    shielded: int
-    keys_stay: bool
-    control: str
-    bake: int
-    vote_life: int
+    stage_shares: tuple[float, ...]  # share of units that run the build on trial, by stage
+    protected_stages: int  # first stages in which the build on trial gets retriable reqs only
+    sticky_keys: bool  # a key that met a newer build may not meet an older one
+    release_control: str
+    min_stage_time: int
+    vote_ttl: int
     vote_timeout: int
-    votes_on: int
-    votes_back: int
-    complaint_share: float
-    crossing_price: float
+    votes_to_advance: int
+    votes_to_roll_back: int
+    complaint_share: float  # of wrong answers that clients complain of
+    cross_zone_price: float
     may_cancel: bool = True
 
 
 class SettingsError(Exception):
-    """What is wrong with a field, named by its path."""
+    """A field of the settings is missing or unusable; the message names it by its path."""
+
 
+class SettingsTree:
+    """A nested mapping, read by dotted path. Numbers and lists may also stand in it as text.
 
-class Tree:
-    """A nested mapping, read by path; numbers and lists may also stand in it as text."""
+    Each method raises SettingsError if the field is missing or unreadable.
+    """
 
-    def __init__(self, root: Mapping, name: str = "") -> None:
-        self.root, self.name = root, name
+    def __init__(self, root: Mapping, prefix: str = "") -> None:
+        self.root, self.prefix = root, prefix
 
-    def branch(self, path: str) -> "Tree":
-        found = self.value(path)
-        if not isinstance(found, Mapping):
+    def branch(self, path: str) -> "SettingsTree":
+        """Returns the mapping at a path as a tree of its own."""
+        value = self.value(path)
+        if not isinstance(value, Mapping):
             raise self.unreadable(path)
-        return Tree(found, f"{self.name}{path}.")
+        return SettingsTree(value, f"{self.prefix}{path}.")
 
     def value(self, path: str) -> object:
-        found: object = self.root
+        """Returns what stands at a path, as it is."""
+        value: object = self.root
         for part in path.split("."):
             try:
-                found = found[int(part) if isinstance(found, list) else part]
+                value = value[int(part) if isinstance(value, list) else part]
             except (KeyError, IndexError, TypeError, ValueError):
-                raise SettingsError(f"lacks the field '{self.name}{path}'") from None
-        return found
+                raise SettingsError(f"lacks the field '{self.prefix}{path}'") from None
+        return value
 
     def unreadable(self, path: str) -> SettingsError:
-        return SettingsError(f"has an unreadable '{self.name}{path}'")
+        """Returns the error for a field whose value cannot be used."""
+        return SettingsError(f"has an unreadable '{self.prefix}{path}'")
 
     def items(self, path: str) -> list:
-        found = self.value(path)
-        if not isinstance(found, list):
+        """Returns a list."""
+        value = self.value(path)
+        if not isinstance(value, list):
             raise self.unreadable(path)
-        return found
+        return value
 
     def text(self, path: str) -> str:
-        found = self.value(path)
-        if not isinstance(found, str):
+        """Returns a text."""
+        value = self.value(path)
+        if not isinstance(value, str):
             raise self.unreadable(path)
-        return found
+        return value
 
     def flag(self, path: str) -> bool:
+        """Returns whether a field says yes."""
         return self.value(path) in (True, "true", "1")
 
     def number(self, path: str) -> float:
+        """Returns a finite number of bounded size."""
         try:
             value = float(self.value(path))
         except (TypeError, ValueError):
             raise self.unreadable(path) from None
-        if not abs(value) <= MOST:
+        if not abs(value) <= MAX_NUMBER:
             raise self.unreadable(path)
         return value
 
-    def whole(self, path: str, least: int | None = None) -> int:
-        return self._least(path, round(self.number(path)), least, least)
+    def integer(self, path: str, minimum: int | None = None) -> int:
+        """Returns a number rounded to an integer."""
+        return self._checked(path, round(self.number(path)), minimum, minimum)
 
-    def micros(self, path: str, least: int | None = None) -> int:
-        """Milliseconds as told, in microseconds; `least` in microseconds too."""
-        return self._least(path, round(self.number(path) * 1000), least, (least or 0) / 1000)
+    def microseconds(self, path: str, minimum: int | None = None) -> int:
+        """Returns a time given in milliseconds as microseconds; `minimum` is in microseconds too."""
+        return self._checked(path, round(self.number(path) * 1000), minimum, (minimum or 0) / 1000)
 
-    def _least(self, path: str, value: int, least: int | None, told: float | None) -> int:
-        if least is not None and value < least:
-            raise SettingsError(f"has '{self.name}{path}' under {told:g}, the least that can be served with")
+    def _checked(self, path: str, value: int, minimum: int | None, shown_minimum: float | None) -> int:
+        if minimum is not None and value < minimum:
+            raise SettingsError(
+                f"has '{self.prefix}{path}' under {shown_minimum:g}, the least that can be served with"
+            )
         return value
 
     def numbers(self, path: str) -> tuple[float, ...]:
-        found = self.value(path)
-        parts = found.split(",") if isinstance(found, str) else found
+        """Returns a list of numbers, none negative, or the same as text separated by commas."""
+        value = self.value(path)
+        parts = value.split(",") if isinstance(value, str) else value
         try:
-            read = tuple(float(part) for part in parts if part != "")
+            numbers = tuple(float(part) for part in parts if part != "")
         except (TypeError, ValueError):
             raise self.unreadable(path) from None
-        if not read or not all(0 <= value <= MOST for value in read):
+        if not numbers or not all(0 <= number <= MAX_NUMBER for number in numbers):
             raise self.unreadable(path)
-        return read
+        return numbers
 
     def one_of(self, path: str, words: Mapping[str, str]) -> str:
+        """Returns what one of several words stands for."""
         word = self.text(path)
         if word not in words:
             raise self.unreadable(path)
         return words[word]
 
 
-def route(tree: Tree, at: str) -> Route:
-    repeat = tree.one_of(at + "effect", REPEATS)
-    # Where and for how long a repeat is dropped must be known; of other routes the page says nothing.
-    group = tree.one_of(at + "group", GROUPS) if repeat == DEDUPED else GROUP_ALL
+def decode_route(tree: SettingsTree, prefix: str) -> Route:
+    """Returns the route whose fields stand under a path. Raises SettingsError."""
+    repeat_policy = tree.one_of(prefix + "effect", REPEAT_POLICIES)
+    # Only for deduped routes does the platform state where and for how long a repeat is dropped.
+    dedup_group = tree.one_of(prefix + "group", DEDUP_GROUPS) if repeat_policy == DEDUPED else GROUP_ALL
     return Route(
-        name=tree.text(at + "name"),
-        objective=tree.micros(at + "aim", 1000),
-        timeout=tree.micros(at + "deadline"),
-        earnings=max(tree.number(at + "worth"), 0.0),
-        late_share=tree.number(at + "late_share"),
-        repeat=repeat,
-        group=group,
-        memory=tree.micros(at + "memory_span") if repeat == DEDUPED else 0,
+        name=tree.text(prefix + "name"),
+        objective=tree.microseconds(prefix + "aim", 1000),
+        timeout=tree.microseconds(prefix + "deadline"),
+        worth=max(tree.number(prefix + "worth"), 0.0),
+        late_share=tree.number(prefix + "late_share"),
+        repeat_policy=repeat_policy,
+        dedup_group=dedup_group,
+        dedup_window=tree.microseconds(prefix + "memory_span") if repeat_policy == DEDUPED else 0,
     )
 
 
-def decode(tree: Tree) -> Settings:
+def decode(tree: SettingsTree) -> Settings:
+    """Returns the decision module's settings. Raises SettingsError."""
     if not tree.items("classes"):
-        raise SettingsError(f"has no route in '{tree.name}classes'")
+        raise SettingsError(f"has no route in '{tree.prefix}classes'")
     caps, shares = tree.numbers("domain.most_shares"), tree.numbers("domain.rings")
     if len(caps) != len(shares):
         raise SettingsError(
-            f"has a cap for {len(caps)} stages in '{tree.name}domain.most_shares', but "
-            f"{len(shares)} in '{tree.name}domain.rings'"
+            f"has a cap for {len(caps)} stages in '{tree.prefix}domain.most_shares', but "
+            f"{len(shares)} in '{tree.prefix}domain.rings'"
         )
-    must_ask = tree.text("discovery") == "ask"
+    must_poll = tree.text("discovery") == "ask"
     return Settings(
-        me=tree.whole("me", 0),
-        relays=tree.whole("balancers", 1),
+        relay_index=tree.integer("me", 0),
+        relay_count=tree.integer("balancers", 1),
         zone=tree.text("locality"),
-        routes=tuple(route(tree, f"classes.{place}.") for place in range(len(tree.items("classes")))),
-        tick=tree.micros("tick", 1),
-        max_tries=tree.whole("limits.max_attempts"),
+        routes=tuple(decode_route(tree, f"classes.{index}.") for index in range(len(tree.items("classes")))),
+        tick=tree.microseconds("tick", 1),
+        max_tries=tree.integer("limits.max_attempts"),
         may_duplicate=tree.flag("limits.may_duplicate"),
         may_probe=tree.flag("limits.probes"),
-        may_tell=tree.flag("limits.peer_messages"),
-        may_name_return=tree.flag("limits.retry_after"),
-        longest_return=tree.micros("limits.max_retry_after") if tree.flag("limits.retry_after") else 0,
-        must_ask=must_ask,
-        ask_within=tree.micros("obligations.must_ask_in") if must_ask else 0,
-        drain_grace=tree.micros("obligations.stop_sending_within"),
-        cold_share=tree.number("obligations.start_capacity"),
-        warm_after=tree.micros("obligations.warm_after", 1),
+        may_message_peers=tree.flag("limits.peer_messages"),
+        may_send_retry_after=tree.flag("limits.retry_after"),
+        max_retry_after=(
+            tree.microseconds("limits.max_retry_after") if tree.flag("limits.retry_after") else 0
+        ),
+        must_poll=must_poll,
+        max_poll_interval=tree.microseconds("obligations.must_ask_in") if must_poll else 0,
+        drain_grace=tree.microseconds("obligations.stop_sending_within"),
+        start_capacity=tree.number("obligations.start_capacity"),
+        warm_up_time=tree.microseconds("obligations.warm_after", 1),
         overload_factor=tree.number("obligations.overload_factor"),
-        tip_after=tree.micros("obligations.tip_after", 1),
-        cap_by_route=tree.one_of("domain.cap_scope", SCOPES) == BY_ROUTE,
-        cap_free=tree.number("domain.free"),
-        cap_window=tree.micros("domain.counted_over"),
+        overload_window=tree.microseconds("obligations.tip_after", 1),
+        cap_per_route=tree.one_of("domain.cap_scope", CAP_SCOPES) == CAP_PER_ROUTE,
+        cap_free_tries=tree.number("domain.free"),
+        cap_window=tree.microseconds("domain.counted_over"),
         stage_caps=caps,
         stage_shares=shares,
-        shielded=tree.whole("domain.shielded"),
-        keys_stay=tree.flag("domain.keys_stay"),
-        control=tree.one_of("domain.decided_by", CONTROLS),
-        bake=tree.micros("domain.least_stage"),
-        vote_life=tree.micros("domain.ballot_ttl"),
-        vote_timeout=tree.micros("domain.api_timeout"),
-        votes_on=tree.whole("domain.to_advance"),
-        votes_back=tree.whole("domain.back_votes"),
+        protected_stages=tree.integer("domain.shielded"),
+        sticky_keys=tree.flag("domain.keys_stay"),
+        release_control=tree.one_of("domain.decided_by", RELEASE_CONTROLS),
+        min_stage_time=tree.microseconds("domain.least_stage"),
+        vote_ttl=tree.microseconds("domain.ballot_ttl"),
+        vote_timeout=tree.microseconds("domain.api_timeout"),
+        votes_to_advance=tree.integer("domain.to_advance"),
+        votes_to_roll_back=tree.integer("domain.back_votes"),
         complaint_share=tree.number("domain.complaint_share"),
-        crossing_price=tree.number("prices.cross_zone"),
+        cross_zone_price=tree.number("prices.cross_zone"),
         may_cancel="cancel" in tree.branch("limits").root and tree.flag("limits.cancel"),
     )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -34,39 +34,39 @@
 
 
 SETTINGS = Settings(
-    me=0,
-    relays=3,
+    relay_index=0,
+    relay_count=3,
     zone="a",
     tick=5000,
     max_tries=3,
     may_duplicate=True,
     may_probe=True,
-    may_tell=True,
-    may_name_return=True,
-    longest_return=SECOND,
-    must_ask=False,
-    ask_within=10 * SECOND,
+    may_message_peers=True,
+    may_send_retry_after=True,
+    max_retry_after=SECOND,
+    must_poll=False,
+    max_poll_interval=10 * SECOND,
     routes=(route("read", RETRIABLE), route("mark", DEDUPED, "zone"), route("once", NON_RETRIABLE)),
     drain_grace=SECOND,
-    cold_share=0.3,
-    warm_after=4 * SECOND,
+    start_capacity=0.3,
+    warm_up_time=4 * SECOND,
     overload_factor=3.0,
-    tip_after=SECOND,
-    cap_by_route=False,
-    cap_free=2,
+    overload_window=SECOND,
+    cap_per_route=False,
+    cap_free_tries=2,
     cap_window=2 * SECOND,
     stage_caps=(0.1, 1.0),
     stage_shares=(0.1, 1.0),
-    shielded=1,
-    keys_stay=False,
-    control="any",
-    bake=SECOND,
-    vote_life=4 * SECOND,
+    protected_stages=1,
+    sticky_keys=False,
+    release_control="any",
+    min_stage_time=SECOND,
+    vote_ttl=4 * SECOND,
     vote_timeout=SECOND,
-    votes_on=1,
-    votes_back=1,
+    votes_to_advance=1,
+    votes_to_roll_back=1,
     complaint_share=0.3,
-    crossing_price=0.0,
+    cross_zone_price=0.0,
 )
 
 
@@ -79,7 +79,7 @@
         self.first = self.one.start(self.now)
 
     def list(
-        self, *units: tuple[int, str, int, int], how: str = face.WHOLE, health: str = face.READY
+        self, *units: tuple[int, str, int, int], how: str = face.FULL_LIST, health: str = face.READY
     ) -> None:
         """Units as (number, zone, build, seconds since its start)."""
         entries = [
--- a/tests/test_crossing_lists.py
+++ b/tests/test_crossing_lists.py
@@ -16,20 +16,20 @@
 from conftest import SECOND, Relay, Served
 
 from laurelcourse import interface as face
-from laurelcourse.net import forms
+from laurelcourse.net import payloads
 from laurelcourse.net.counters import Counters
 from laurelcourse.net.deployer import Deployer
 from laurelcourse.net.http import Response
 from laurelcourse.net.limits import limits
-from laurelcourse.net.lists import Lists
+from laurelcourse.net.membership import MembershipFilter
 from laurelcourse.net.scheduler import Clock, Scheduler
-from laurelcourse.settings import Tree
+from laurelcourse.settings import SettingsTree
 from laurelcourse.standins.base import STAND_IN, until
 from laurelcourse.standins.deployer import DeployerStand
 from laurelcourse.standins.directory import DirectoryStand
 from laurelcourse.standins.postgres import UnitStand, sql
 from laurelcourse.standins.settings import OUTSIDE
-from laurelcourse.state import Cap
+from laurelcourse.state import ExposureCap
 
 LEAST_GRACE = 0.5  # seconds that some customers give a relay to leave a drained unit
 HELD, GRACE = 5.0, 1.0  # a watch waits so long, and its answer may come so much later
@@ -470,8 +470,8 @@
 def test_a_stream_that_breaks_behind_each_state_is_opened_ever_more_slowly() -> None:
     """One break costs a first pause alone, also behind a stream that has stood for a while."""
     stand, scheduler, told = Breaking([0.0] * 6 + [0.6, 0.0]), Scheduler(Clock(), lambda: None), []
-    found = limits(Tree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))._replace(
-        silence=400_000, pause_first=20_000, pause_most=SECOND
+    found = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))._replace(
+        silence=400_000, backoff_first=20_000, backoff_max=SECOND
     )
     deployer = Deployer(
         scheduler,
@@ -485,7 +485,7 @@
         while len(told) < 9 and time.monotonic() < over:
             scheduler.sleep(5000)
 
-    scheduler.spawn(deployer.keep_hearing)
+    scheduler.spawn(deployer.follow)
     task = scheduler.spawn(work)
     scheduler.run(lambda: task.dead)
     stand.close()
@@ -552,13 +552,13 @@
 
 def test_a_lower_cap_told_again_binds_no_later() -> None:
     """A stream opened anew tells the state once more: the grace runs from when it was told first."""
-    cap = Cap(1.0)
-    cap.told(0.1, 500)
-    cap.told(0.1, 900)
-    assert not cap.falls(499) and cap.falls(500) and cap.now == 0.1
-    cap.told(0.5, 1500)
-    cap.told(0.1, 2000)
-    assert not cap.falls(1999) and cap.falls(2000)
+    cap = ExposureCap(1.0)
+    cap.update(0.1, 500)
+    cap.update(0.1, 900)
+    assert not cap.apply_due(499) and cap.apply_due(500) and cap.current == 0.1
+    cap.update(0.5, 1500)
+    cap.update(0.1, 2000)
+    assert not cap.apply_due(1999) and cap.apply_due(2000)
 
 
 @pytest.mark.parametrize(
@@ -566,21 +566,21 @@
     [
         {},
         {"drain_grace": SECOND // 2},
-        {"drain_grace": 4 * SECOND, "ask_within": 2 * SECOND},
+        {"drain_grace": 4 * SECOND, "max_poll_interval": 2 * SECOND},
         {"drain_grace": SECOND // 2, "tick": 400_000},
     ],
 )
 def test_a_broken_watch_is_asked_for_within_the_grace(relay: Callable[..., Relay], changed: dict) -> None:
     """However many fell silent before: what it misses counts 1 s after its wait and grace are over."""
-    one = relay(must_ask=True, **changed)
+    one = relay(must_poll=True, **changed)
     for _ in range(9):
         broken = one.now
-        one.one.directory(one.now, face.BROKEN, [])
+        one.one.directory(one.now, face.WATCH_BROKEN, [])
         found = []
         while (face.WATCH,) not in found:
-            one.now = one.one.wake_at
+            one.now = one.one.next_wake_at
             found = one.one.timer(one.now, "beat")
-        assert 0 < one.now - broken <= max(one.one.s.drain_grace, 2 * one.one.s.tick)
+        assert 0 < one.now - broken <= max(one.one.settings.drain_grace, 2 * one.one.settings.tick)
 
 
 def test_an_entry_that_lacks_fields_hides_none_of_the_others(started: Callable[..., Served]) -> None:
@@ -637,18 +637,22 @@
     }
     other = usual | {"id": "s-2", "host_port": "h:2", "phase": "leaving"}
     ready = [usual, other | {"phase": "active"}]
-    before = forms.members({"revision": 40, "complete": True, "members": ready})
-    lists = Lists(before, 6 * SECOND)
-    one.one.directory(one.now, face.WHOLE, [entry for entry, _ in before.entries])
-    unit, fellow = one.one.i.units.values()
-    unit.begin(one.now, 0)
+    before = payloads.parse_unit_list({"revision": 40, "complete": True, "members": ready})
+    lists = MembershipFilter(before, 6 * SECOND)
+    one.one.directory(one.now, face.FULL_LIST, [entry for entry, _ in before.entries])
+    unit, fellow = one.one.state.units.values()
+    unit.begin_try(one.now, 0)
     entry = {name: value for name, value in (usual | changed).items() if value is not None or not absent}
-    found = lists.take(0, forms.members({"revision": 41, "complete": False, "members": [entry, other]}))
-    assert found.bare == (("s-1",) if health == face.DRAINING and "phase" not in changed else ())
+    found = lists.filter(
+        0, payloads.parse_unit_list({"revision": 41, "complete": False, "members": [entry, other]})
+    )
+    assert found.incomplete == (("s-1",) if health == face.DRAINING and "phase" not in changed else ())
     one.one.directory(one.now, face.CHANGES, [listed for listed, _ in found.entries])
     assert (unit.health, fellow.health) == (health, face.DRAINING)
-    assert (unit.build, unit.since, unit.sent) == (7, 1000 * since, 1)
-    older = lists.take(SECOND, forms.members({"revision": 40, "complete": True, "members": [usual, other]}))
+    assert (unit.build, unit.started_at, unit.sends_since_start) == (7, 1000 * since, 1)
+    older = lists.filter(
+        SECOND, payloads.parse_unit_list({"revision": 40, "complete": True, "members": [usual, other]})
+    )
     assert older.entries[0][0].health == health
 
 
@@ -664,20 +668,20 @@
 READY, LEFT = face.READY, face.DRAINING
 
 
-def told(revision: int, **health: str) -> forms.Members:
+def told(revision: int, **health: str) -> payloads.UnitList:
     entries = [face.Listed(int(unit[1:]), "a", 0, 1, how, 1.0, 1) for unit, how in health.items()]
-    return forms.Members(revision, True, [(one, ("h", 1)) for one in entries])
+    return payloads.UnitList(revision, True, [(one, ("h", 1)) for one in entries])
 
 
 def test_a_complete_list_of_a_directory_that_numbers_anew_brings_units_and_takes_back_no_drain() -> None:
-    lists = Lists(told(90, u1=READY, u2=READY), 6 * SECOND)
-    lists.take(0, told(91, u1=LEFT, u2=READY))
-    found = lists.take(SECOND, told(2, u1=READY, u3=READY))
-    assert found.whole and {entry.unit: entry.health for entry, _ in found.entries} == {1: LEFT, 3: READY}
+    lists = MembershipFilter(told(90, u1=READY, u2=READY), 6 * SECOND)
+    lists.filter(0, told(91, u1=LEFT, u2=READY))
+    found = lists.filter(SECOND, told(2, u1=READY, u3=READY))
+    assert found.complete and {entry.unit: entry.health for entry, _ in found.entries} == {1: LEFT, 3: READY}
     # Changes by the new numbers count from the first on, when they are for the worse.
-    worse = lists.take(2 * SECOND, told(3, u3=LEFT)._replace(whole=False))
+    worse = lists.filter(2 * SECOND, told(3, u3=LEFT)._replace(complete=False))
     assert worse.entries[0][0].health == LEFT
-    later = lists.take(8 * SECOND, told(4, u1=READY, u3=READY))
+    later = lists.filter(8 * SECOND, told(4, u1=READY, u3=READY))
     assert {entry.health for entry, _ in later.entries} == {READY}
 
 
@@ -701,14 +705,14 @@
         if chunked
         else b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     )
-    whole = forms.members(json.loads(body))
+    whole = payloads.parse_unit_list(json.loads(body))
     for cut in range(len(raw)):
         found = Response(1 << 18)
         found.feed(raw[:cut])
-        found.ended()
+        found.end_of_stream()
         assert not found.done
         found.feed(raw[cut:])
-        assert found.done and forms.members(forms.decoded(found.take())) == whole
+        assert found.done and payloads.parse_unit_list(payloads.parse_json(found.take())) == whole
 
 
 ORDER = [
@@ -725,10 +729,10 @@
 
 def test_states_are_in_the_order_in_which_a_build_comes_to_them() -> None:
     told = [
-        forms.state({"build": build, "stage": stage, "phase": phase, "cap": 1, "age_ms": 0})
+        payloads.parse_build_state({"build": build, "stage": stage, "phase": phase, "cap": 1, "age_ms": 0})
         for build, stage, phase in ORDER
     ]
-    assert sorted(reversed(told), key=forms.progress) == told
+    assert sorted(reversed(told), key=payloads.progress) == told
 
 
 @pytest.mark.parametrize(
@@ -746,7 +750,9 @@
     told: tuple, known: tuple, lifts: bool
 ) -> None:
     one, two = (
-        forms.state(dict(zip(("build", "stage", "phase", "cap"), state, strict=True)) | {"age_ms": 0})
+        payloads.parse_build_state(
+            dict(zip(("build", "stage", "phase", "cap"), state, strict=True)) | {"age_ms": 0}
+        )
         for state in (told, known)
     )
-    assert forms.lifts(one, two) == lifts
+    assert payloads.lifts_cap(one, two) == lifts
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -12,14 +12,14 @@
 from test_crossing_lists import Agent, Asker, drain, left_at
 
 from laurelcourse import interface as face
-from laurelcourse.net import forms
-from laurelcourse.net.calls import answer
+from laurelcourse.net import payloads
 from laurelcourse.net.connection import Connection
 from laurelcourse.net.http import HttpError
+from laurelcourse.net.http_client import read_response
 from laurelcourse.net.limits import limits
-from laurelcourse.net.lists import Lists
+from laurelcourse.net.membership import MembershipFilter
 from laurelcourse.net.scheduler import Clock, Scheduler
-from laurelcourse.settings import Tree
+from laurelcourse.settings import SettingsTree
 from laurelcourse.standins.base import until
 from laurelcourse.standins.settings import OUTSIDE
 
@@ -104,14 +104,14 @@
 def test_an_answer_that_came_while_the_relay_stood_still_is_taken() -> None:
     """Patience with an agent is short: a relay that got no CPU for longer must not call it silent."""
     settings = {"classes": [{"deadline": 1000}], "limits": {"connect_timeout": 100, "conn_idle": 1000}}
-    few = limits(Tree({"limits": {"sockets": 64, "memory_mb": 16}, "settings": settings}))
+    few = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 16}, "settings": settings}))
     scheduler = Scheduler(Clock(), lambda: None)
     ours, theirs = socket.socketpair()
     conn, ends = Connection(scheduler, ours, few), []
 
     def ask_for() -> None:
         try:
-            ends.append(answer(conn, scheduler.now() + SECOND // 50, few.body).take())
+            ends.append(read_response(conn, scheduler.now() + SECOND // 50, few.max_body).take())
         except HttpError as error:
             ends.append(error)
 
@@ -132,13 +132,13 @@
 
 def test_an_older_list_brings_back_nothing_that_a_newer_one_left_out() -> None:
     """A unit absent from a complete list has been removed: an agent that lags behind must not undo that."""
-    lists = Lists(forms.Members(40, True, [heard(1), heard(2)]), 6 * SECOND)
-    lists.take(0, forms.Members(50, True, [heard(2)]))
-    found = lists.take(SECOND, forms.Members(45, True, [heard(1), heard(2)]))
+    lists = MembershipFilter(payloads.UnitList(40, True, [heard(1), heard(2)]), 6 * SECOND)
+    lists.filter(0, payloads.UnitList(50, True, [heard(2)]))
+    found = lists.filter(SECOND, payloads.UnitList(45, True, [heard(1), heard(2)]))
     assert {entry.unit: entry.health for entry, _ in found.entries} == {1: face.GONE, 2: face.READY}
     # One that starts anew is another life, and so is what a newer list names again.
-    again = forms.Members(51, False, [heard(1)])
-    assert lists.take(2 * SECOND, again) == again
+    again = payloads.UnitList(51, False, [heard(1)])
+    assert lists.filter(2 * SECOND, again) == again
 
 
 def ask(one: Relay, key: int | None = 9, route: str = "read") -> tuple:
@@ -148,10 +148,10 @@
 
 def test_a_key_that_a_later_build_has_answered_goes_to_no_lower_one_on_trial(relay: type) -> None:
     """Machines of the next build come before its news: the build of the last news is a lower one then."""
-    one = relay(keys_stay=True, stage_caps=(1.0, 1.0), cap_free=99)
+    one = relay(sticky_keys=True, stage_caps=(1.0, 1.0), cap_free_tries=99)
     one.list((1, "a", 5, 90), (2, "a", 6, 90), (3, "a", 7, 90))
     one.news(6, cap=1.0)
-    one.one.i.keys[9] = 7
+    one.one.state.sticky_builds[9] = 7
     for _ in range(40):
         sent = ask(one)
         assert sent[:3:2] == (face.SEND, 3)
@@ -160,7 +160,7 @@
 
 def test_a_key_stays_with_the_highest_build_that_has_answered_it(relay: type) -> None:
     """A lower build's answer may come last, of a try sent before the higher one answered."""
-    one = relay(keys_stay=True, stage_caps=(1.0, 1.0), cap_free=99)
+    one = relay(sticky_keys=True, stage_caps=(1.0, 1.0), cap_free_tries=99)
     one.list((2, "a", 6, 90))
     one.news(6, cap=1.0)
     slow = ask(one)
@@ -169,16 +169,16 @@
     assert (slow[2], quick[2]) == (2, 3)
     one.end(quick, 0, face.OK)
     one.end(slow, 0, face.OK)
-    assert one.one.i.keys == {9: 7}
+    assert one.one.state.sticky_builds == {9: 7}
 
 
 def test_a_key_answered_by_a_build_that_was_withdrawn_is_served_while_the_next_is_on_trial(
     relay: type,
 ) -> None:
     """'That build' is the one on trial: else such a key has nowhere to go but to the next one's places."""
-    one = relay(keys_stay=True, cap_free=0, stage_caps=(0.0, 1.0))
+    one = relay(sticky_keys=True, cap_free_tries=0, stage_caps=(0.0, 1.0))
     one.list((1, "a", 5, 90), (3, "a", 7, 90))
-    one.one.i.keys[9] = 6
+    one.one.state.sticky_builds[9] = 6
     one.news(6, standing=face.WITHDRAWN, cap=0.0)
     assert ask(one)[:3:2] == (face.SEND, 1)
     one.news(7, cap=0.0)
@@ -187,7 +187,7 @@
 
 def test_a_key_that_a_released_build_answers_goes_to_no_earlier_machine_that_is_left(relay: type) -> None:
     """'While the phase is 0 or 2': what the build answers once it is released counts as well."""
-    one = relay(keys_stay=True)
+    one = relay(sticky_keys=True)
     one.list((1, "a", 5, 90), (2, "a", 6, 90))
     one.news(6, standing=face.RELEASED, cap=1.0)
     answered = False
@@ -204,25 +204,25 @@
     """What falls is judged by what 'warm units of like size take' (WIRE 15.4). The warm ones are busy, so
     that the guard alone bounds what the cold one gets; all relays in one, at 60% of what the fleet can do."""
     rate, fellows = 1000, 9
-    one = relay(relays=1, may_tell=False)
+    one = relay(relay_count=1, may_message_peers=False)
     entries = [
-        face.Listed(unit, "a", 0, 1, face.READY, sizes[unit > 1], face.LONG_AGO)
+        face.Listed(unit, "a", 0, 1, face.READY, sizes[unit > 1], face.START_UNKNOWN_US)
         for unit in range(1, fellows + 2)
     ]
-    one.one.directory(one.now, face.WHOLE, entries)
+    one.one.directory(one.now, face.FULL_LIST, entries)
     for _ in range(5 * rate):
         one.now += SECOND // rate
-        one.one.i.answered.add(one.now)
-    one.one.directory(one.now, face.CHANGES, [entries[0]._replace(since=one.now)])
+        one.one.state.recent_answers.add(one.now)
+    one.one.directory(one.now, face.CHANGES, [entries[0]._replace(started_at=one.now)])
     for unit in range(2, fellows + 2):
-        one.one.i.units[unit].open += 50
+        one.one.state.units[unit].open_tries += 50
     began, sent = one.now, 0
     while one.now < began + SECOND:
         one.now += SECOND // rate
-        one.one.i.answered.add(one.now)
+        one.one.state.recent_answers.add(one.now)
         asked = ask(one, None)
         sent += asked[2] == 1
         one.one.outcome(one.now, asked[1], 0, asked[2], face.OK, 5000, True, {})
     part = sizes[0] / (sizes[0] + fellows * sizes[1]) if sizes[0] else 1 / (fellows + 1)
-    may = one.one.s.overload_factor * rate / 0.6 * part * 0.3  # the least that it can do as it starts
+    may = one.one.settings.overload_factor * rate / 0.6 * part * 0.3  # the least that it can do as it starts
     assert 2 <= sent <= may + 2 * may**0.5 + 2, (sent, may)
--- a/tests/test_crossing_restarts.py
+++ b/tests/test_crossing_restarts.py
@@ -123,8 +123,8 @@
 
     def ask() -> None:
         assert rig.ask() == face.OK
-        ((_, conn),) = rig.pool.places[0].idle
-        assert len(conn.buffer.data) == rig.limits.buffer_usual
+        ((_, conn),) = rig.pool.endpoints[0].idle
+        assert len(conn.buffer.data) == rig.limits.usual_buffer
 
     rig.run(ask)
     assert not rig.faults
