--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -15,12 +15,12 @@
 
 from laurelcourse import interface as face
 from laurelcourse import messages
-from laurelcourse.chance import Chance
 from laurelcourse.fronts.postgres import wire
 from laurelcourse.net import config as configuration
 from laurelcourse.net.limits import limits
+from laurelcourse.prng import Prng
 from laurelcourse.rules import Balancer
-from laurelcourse.settings import DEDUPED, NON_RETRIABLE, RETRIABLE, Route, Settings, Tree
+from laurelcourse.settings import DEDUPED, NON_RETRIABLE, RETRIABLE, Route, Settings, SettingsTree
 from laurelcourse.standins.base import RELAY, STAND_IN
 from laurelcourse.standins.postgres import LARGER, sql
 from laurelcourse.standins.settings import OUTSIDE, outside
@@ -31,19 +31,19 @@
 
 MS, SECOND = 1000, 1_000_000
 DRAWS, AT_ONCE = 140, 20
-RAN = {face.BUSY: False, face.UNREACHED: False, face.UNSENT: False}
+RAN = {face.BUSY: False, face.UNREACHABLE: False, face.UNSENT: False}
 
 
-class Draw(Chance):
+class Draw(Prng):
     def one_of(self, *values: object) -> object:
         return values[self.below(len(values))]
 
     def between(self, low: float, high: float) -> float:
         """Log-uniform, as the bench draws a wide range."""
-        return low * (high / low) ** self.share()
+        return low * (high / low) ** self.fraction()
 
     def chance(self, share: float) -> bool:
-        return self.share() < share
+        return self.fraction() < share
 
 
 def drawn(c: Draw) -> Settings:
@@ -71,39 +71,39 @@
     caps[0] *= not c.chance(0.1)
     relays = c.one_of(1, 3, 7, 30, 500)
     return Settings(
-        me=c.below(relays),
-        relays=relays,
+        relay_index=c.below(relays),
+        relay_count=relays,
         zone="a",
         tick=c.one_of(1, 2, 5, 10) * MS,
         routes=tuple(route(f"r{place}") for place in range(c.one_of(1, 3, 6, 20))),
         max_tries=c.one_of(1, 2, 3, 6) * (not c.chance(0.05)),
         may_duplicate=c.chance(0.5),
         may_probe=True,
-        may_tell=c.chance(0.6),
-        may_name_return=c.chance(0.5),
-        longest_return=SECOND,
-        must_ask=c.chance(0.3),
-        ask_within=int(c.one_of(0, 0.5, 10) * SECOND),
+        may_message_peers=c.chance(0.6),
+        may_send_retry_after=c.chance(0.5),
+        max_retry_after=SECOND,
+        must_poll=c.chance(0.3),
+        max_poll_interval=int(c.one_of(0, 0.5, 10) * SECOND),
         drain_grace=int(c.one_of(0, 0.3, 2, 5) * SECOND),
-        cold_share=c.one_of(0.15, 0.3, 1.0),
-        warm_after=int(c.between(0.5, 30) * SECOND),
+        start_capacity=c.one_of(0.15, 0.3, 1.0),
+        warm_up_time=int(c.between(0.5, 30) * SECOND),
         overload_factor=c.between(1.5, 4),
-        tip_after=int(c.between(0.3, 3) * SECOND),
-        cap_by_route=c.chance(0.5),
-        cap_free=c.one_of(0.0, 1.0, 5.0),
+        overload_window=int(c.between(0.3, 3) * SECOND),
+        cap_per_route=c.chance(0.5),
+        cap_free_tries=c.one_of(0.0, 1.0, 5.0),
         stage_caps=tuple(caps),
         cap_window=int(c.between(0.2, 10) * SECOND),
         stage_shares=tuple(shares),
-        shielded=c.below(stages + 1),
-        keys_stay=c.chance(0.3),
-        control=c.one_of("any", "share", "clocked"),
-        bake=int(c.between(0.5, 5) * SECOND),
-        vote_life=int(c.one_of(0, 0.5, 6) * SECOND),
+        protected_stages=c.below(stages + 1),
+        sticky_keys=c.chance(0.3),
+        release_control=c.one_of("any", "share", "clocked"),
+        min_stage_time=int(c.between(0.5, 5) * SECOND),
+        vote_ttl=int(c.one_of(0, 0.5, 6) * SECOND),
         vote_timeout=int(c.one_of(0.05, 2) * SECOND),
-        votes_on=c.one_of(0, 1, 2 * relays),
-        votes_back=c.below(2 * relays),
+        votes_to_advance=c.one_of(0, 1, 2 * relays),
+        votes_to_roll_back=c.below(2 * relays),
         complaint_share=c.one_of(0.0, 0.3),
-        crossing_price=c.one_of(0.0, 0.1),
+        cross_zone_price=c.one_of(0.0, 0.1),
         may_cancel=c.chance(0.7),
     )
 
@@ -125,7 +125,7 @@
     """What an instance was told, and the five rules as the wire's page words them."""
 
     def __init__(self, s: Settings) -> None:
-        self.s, self.reqs = s, {}
+        self.settings, self.reqs = s, {}
         self.units: dict[int, face.Listed] = {}
         self.left: dict[int, int] = {}  # since when a unit is told to be draining or gone
         self.news: tuple[int, int, int] | None = None
@@ -154,13 +154,13 @@
 
     def cap(self, now: int) -> float:
         """The cap last told; one that is lower than those told within the grace does not bind yet."""
-        before = [cap for at, cap in self.caps if at <= now - self.s.drain_grace]
-        return max(before[-1:] + [cap for at, cap in self.caps if at > now - self.s.drain_grace])
+        before = [cap for at, cap in self.caps if at <= now - self.settings.drain_grace]
+        return max(before[-1:] + [cap for at, cap in self.caps if at > now - self.settings.drain_grace])
 
     def told(self, now: int, build: int, stage: int, standing: int, cap: float) -> None:
         self.settle(now)
         if self.news is None or self.news[0] != build:
-            self.caps, self.counted_from = [(-math.inf, self.s.stage_caps[0])], -math.inf
+            self.caps, self.counted_from = [(-math.inf, self.settings.stage_caps[0])], -math.inf
         elif self.news[2] == face.RELEASED:
             self.caps = [(-math.inf, 1.0)]
         self.caps.append((now, cap))
@@ -168,41 +168,43 @@
 
     def settle(self, now: int) -> None:
         """Notes when a lower cap began to bind: attempts are counted anew from then."""
-        for at in sorted(at + self.s.drain_grace for at, _ in self.caps if at > -math.inf):
+        for at in sorted(at + self.settings.drain_grace for at, _ in self.caps if at > -math.inf):
             if self.counted_from < at <= now and self.cap(at) < self.cap(at - 1):
                 self.counted_from = at
 
     def exposure(self, now: int, rq: Asked, build: int) -> None:
-        s, named = self.s, build == self.news[0]
+        s, named = self.settings, build == self.news[0]
         self.settle(now)
         cap, stage = (self.cap(now), self.news[1]) if named else (s.stage_caps[0], 0)
         since = max(now - s.cap_window, self.counted_from - 1 if named else -math.inf)
-        scope = [place for place in range(len(s.routes)) if place == rq.place or not s.cap_by_route]
+        scope = [place for place in range(len(s.routes)) if place == rq.place or not s.cap_per_route]
         tried = sum(at > since and one == build and place in scope for at, one, place in self.tried)
         took = sum(at > now - s.cap_window and place in scope for at, place in self.took)
-        assert tried + 1 <= s.cap_free + cap * took + 1e-9, "rule 5: over the cap"
+        assert tried + 1 <= s.cap_free_tries + cap * took + 1e-9, "rule 5: over the cap"
         assert cap > 0, "rule 5: a cap of 0"
-        assert stage >= s.shielded or rq.route.repeat == RETRIABLE, "rule 5: an effect in a shielded stage"
+        assert stage >= s.protected_stages or rq.route.repeat_policy == RETRIABLE, (
+            "rule 5: an effect in a shielded stage"
+        )
         self.tried.append((now, build, rq.place))
 
     def sent(self, now: int, rq: Asked, unit: int) -> None:
-        s, ran, listed = self.s, rq.ran(), self.units[unit]
+        s, ran, listed = self.settings, rq.ran(), self.units[unit]
         assert not rq.final, "rule 1: sent after the final answer"
         # An attempt counts once its last byte has come.
         written = [one for one in rq.tries if one[2] != face.UNSENT]
         assert len(written) < s.max_tries, "over the most tries"
         assert now < rq.due, "sent when the time is over"
-        assert not ran or rq.route.repeat != NON_RETRIABLE, "rule 2: may run twice"
+        assert not ran or rq.route.repeat_policy != NON_RETRIABLE, "rule 2: may run twice"
         assert s.may_duplicate or not rq.out(), "rule 2: two at once"
-        for at, where, _ in ran if rq.route.repeat == DEDUPED else ():
-            assert now <= at + rq.route.memory, "rule 2: no longer remembered"
+        for at, where, _ in ran if rq.route.repeat_policy == DEDUPED else ():
+            assert now <= at + rq.route.dedup_window, "rule 2: no longer remembered"
             apart = {"all": False, "zone": where.zone != listed.zone, "cell": where.cell != listed.cell}
-            assert not apart[rq.route.group], "rule 2: outside the group"
+            assert not apart[rq.route.dedup_group], "rule 2: outside the group"
         if unit in self.left:
             assert now <= self.left[unit] + s.drain_grace, "rule 3: sent to one that leaves"
         if self.on_trial(listed.build):
             self.exposure(now, rq, listed.build)
-        elif s.keys_stay and rq.key in self.keys and self.news and self.news[2] != face.GOING_BACK:
+        elif s.sticky_keys and rq.key in self.keys and self.news and self.news[2] != face.ROLLING_BACK:
             held = self.keys[rq.key]
             assert held != self.news[0] or listed.build >= held or (self.news[2] == face.WITHDRAWN), (
                 "rule 5: a key to an earlier build"
@@ -210,7 +212,9 @@
         rq.tries.append([now, listed, ""])
 
     def shed(self, rq: Asked) -> None:
-        harmless = rq.route.repeat == RETRIABLE or (rq.route.repeat == DEDUPED and rq.route.group == "all")
+        harmless = rq.route.repeat_policy == RETRIABLE or (
+            rq.route.repeat_policy == DEDUPED and rq.route.dedup_group == "all"
+        )
         assert harmless or not rq.ran(), "rule 2: shed though it may have run"
 
 
@@ -219,10 +223,10 @@
 
     def __init__(self, seed: int) -> None:
         self.c = Draw(seed)
-        self.s = drawn(self.c)
+        self.settings = drawn(self.c)
         self.now, self.heap, self.made, self.seen = 1000 * SECOND, [], 0, set()
-        self.one, self.rules = Balancer(self.s, seed, self.now), Rules(self.s)
-        self.build, self.stage, self.standing, self.share = 6, 0, face.ON_TRIAL, self.s.stage_caps[0]
+        self.one, self.rules = Balancer(self.settings, seed, self.now), Rules(self.settings)
+        self.build, self.stage, self.standing, self.share = 6, 0, face.ON_TRIAL, self.settings.stage_caps[0]
         self.fleet = {
             name: face.Listed(
                 name,
@@ -231,7 +235,7 @@
                 self.c.one_of(5, 5, 6),
                 face.READY,
                 1.0,
-                face.LONG_AGO,
+                face.START_UNKNOWN_US,
             )
             for name in range(1, self.c.one_of(2, 4, 12))
         }
@@ -269,14 +273,14 @@
                 face.FAILED,
                 face.FAILED,
                 face.BUSY,
-                face.UNREACHED,
+                face.UNREACHABLE,
                 face.RESET,
                 face.TIMEOUT,
-                face.AT_FAULT,
+                face.CLIENT_FAULT,
                 face.UNSENT,
             )
         )
-        quick = status in (face.BUSY, face.UNREACHED, face.UNSENT)
+        quick = status in (face.BUSY, face.UNREACHABLE, face.UNSENT)
         took = took // 50 if quick else took
         if status == face.TIMEOUT or took >= left:
             took, status = left, face.TIMEOUT
@@ -295,7 +299,7 @@
         self.call("outcome", req, number, unit.unit, status, self.now - sent, bool(rq.final), {})
 
     def cancel(self, req: str, number: int) -> None:
-        assert self.s.may_cancel, "called off where that is not allowed"
+        assert self.settings.may_cancel, "called off where that is not allowed"
         assert number < len(self.rules.reqs[req].tries)
         self.at(MS, self.ended, req, number, face.CANCELLED)
 
@@ -316,17 +320,23 @@
         self.at(delay, self.call, "timer", token)
 
     def watch(self) -> None:
-        assert self.s.must_ask
+        assert self.settings.must_poll
         self.at(20 * MS, self.lists, self.c.chance(0.3))
 
     def tell(self, relay: int | str, payload: bytes) -> None:
-        assert self.s.may_tell and len(payload) <= 256 and (relay == "all" or 0 <= relay < self.s.relays)
-        assert messages.unpack(payload, len(self.s.routes)) is not None
-        if self.s.relays > 1 and self.c.chance(0.5):
-            self.at(5 * MS, self.call, "peer", self.c.below(self.s.relays), payload)
+        assert (
+            self.settings.may_message_peers
+            and len(payload) <= 256
+            and (relay == "all" or 0 <= relay < self.settings.relay_count)
+        )
+        assert messages.unpack(payload, len(self.settings.routes)) is not None
+        if self.settings.relay_count > 1 and self.c.chance(0.5):
+            self.at(5 * MS, self.call, "peer", self.c.below(self.settings.relay_count), payload)
 
     def vote(self, build: int, stage: int, verdict: int) -> None:
-        assert verdict != (face.VOTE_ON if self.s.control == "clocked" else face.VOTE_HOLD)
+        assert verdict != (
+            face.VOTE_ADVANCE if self.settings.release_control == "clocked" else face.VOTE_HOLD
+        )
         self.at(50 * MS, self.voted, build, stage, verdict)
 
     def note(self, text: str) -> None:
@@ -336,12 +346,18 @@
 
     def voted(self, build: int, stage: int, verdict: int) -> None:
         status = self.c.one_of(
-            face.COUNTED, face.COUNTED, face.COUNTED, face.REFUSED, face.BROKE, face.VOID, face.UNANSWERED
+            face.COUNTED,
+            face.COUNTED,
+            face.COUNTED,
+            face.REFUSED,
+            face.CALL_FAILED,
+            face.VOID,
+            face.UNANSWERED,
         )
         if status == face.COUNTED and build == self.build:
-            if verdict == face.VOTE_ON and stage == self.stage and self.standing == face.ON_TRIAL:
+            if verdict == face.VOTE_ADVANCE and stage == self.stage and self.standing == face.ON_TRIAL:
                 self.moves(True)
-            elif verdict == face.VOTE_BACK and self.standing != face.WITHDRAWN:
+            elif verdict == face.VOTE_ROLL_BACK and self.standing != face.WITHDRAWN:
                 self.moves(False)
         self.tells(status)
 
@@ -357,42 +373,42 @@
         """The platform goes a step on or back; going back the cap falls, at once or by and by."""
         if self.standing in (face.RELEASED, face.WITHDRAWN) and on:
             self.build, self.stage, self.standing = self.build + 1, 0, face.ON_TRIAL
-        elif self.standing == face.GOING_BACK:
+        elif self.standing == face.ROLLING_BACK:
             self.standing = face.WITHDRAWN
         elif not on:
-            self.standing = face.GOING_BACK
-        elif self.stage + 1 < len(self.s.stage_caps):
+            self.standing = face.ROLLING_BACK
+        elif self.stage + 1 < len(self.settings.stage_caps):
             self.stage += 1
         else:
             self.standing = face.RELEASED
-        caps = {face.ON_TRIAL: self.s.stage_caps[self.stage], face.RELEASED: 1.0}
+        caps = {face.ON_TRIAL: self.settings.stage_caps[self.stage], face.RELEASED: 1.0}
         self.share = caps.get(self.standing, 0.0)
-        if self.standing == face.GOING_BACK and self.c.chance(0.5):
-            self.share = self.s.stage_caps[self.stage] * 0.3
+        if self.standing == face.ROLLING_BACK and self.c.chance(0.5):
+            self.share = self.settings.stage_caps[self.stage] * 0.3
         for name in self.fleet if self.standing == face.ON_TRIAL else ():
-            if self.c.chance(self.s.stage_shares[self.stage]):
-                self.fleet[name] = self.fleet[name]._replace(build=self.build, since=self.now)
+            if self.c.chance(self.settings.stage_shares[self.stage]):
+                self.fleet[name] = self.fleet[name]._replace(build=self.build, started_at=self.now)
 
     def lists(self, broken: bool = False) -> None:
-        how = face.BROKEN if broken else self.c.one_of(face.CHANGES, face.WHOLE, face.CACHED)
+        how = face.WATCH_BROKEN if broken else self.c.one_of(face.CHANGES, face.FULL_LIST, face.CACHED)
         entries = [one for one in self.fleet.values() if how != face.CHANGES or self.c.chance(0.4)]
-        if how in (face.WHOLE, face.CACHED):
+        if how in (face.FULL_LIST, face.CACHED):
             entries = [one for one in entries if one.health != face.GONE]
-        if how != face.BROKEN:
+        if how != face.WATCH_BROKEN:
             self.rules.listed(self.now, how != face.CHANGES, entries)
-        self.call("directory", how, [] if how == face.BROKEN else entries)
+        self.call("directory", how, [] if how == face.WATCH_BROKEN else entries)
 
     def shifts(self) -> None:
         """A unit drains, leaves, comes back or starts anew, perhaps with another build."""
         name = self.c.one_of(*self.fleet)
         health = self.c.one_of(face.READY, face.READY, face.DRAINING, face.GONE)
         build = self.c.one_of(self.fleet[name].build, self.build, self.build + 1)
-        since = self.now - self.c.one_of(0, SECOND) if self.c.chance(0.5) else self.fleet[name].since
-        self.fleet[name] = self.fleet[name]._replace(health=health, build=build, since=since)
+        since = self.now - self.c.one_of(0, SECOND) if self.c.chance(0.5) else self.fleet[name].started_at
+        self.fleet[name] = self.fleet[name]._replace(health=health, build=build, started_at=since)
 
     def asks(self) -> None:
-        place = self.c.below(len(self.s.routes))
-        route, req = self.s.routes[place], f"q{self.made}"
+        place = self.c.below(len(self.settings.routes))
+        route, req = self.settings.routes[place], f"q{self.made}"
         left = int(route.timeout * self.c.between(0.3, 1))
         key = self.c.below(6) if self.c.chance(0.7) else None
         self.rules.reqs[req] = rq = Asked(route, place, key, self.now + left)
@@ -400,9 +416,9 @@
         self.rules.took.append((self.now, place))
         self.call("new_req", req, route.name, "", key, left, self.c.chance(0.2))
         if self.c.chance(0.05):
-            self.at(left * self.c.share(), self.leaves, req)
+            self.at(left * self.c.fraction(), self.leaves, req)
         if self.c.chance(0.1):
-            self.at(left * self.c.share(), self.streams, req)
+            self.at(left * self.c.fraction(), self.streams, req)
 
     def leaves(self, req: str) -> None:
         if not self.rules.reqs[req].final:
@@ -427,18 +443,20 @@
         ):
             burst = c.between(0.1, 1)
             for _ in range(int(c.between(least + 1, most))):
-                self.at(self.span * c.share() * burst, work)
+                self.at(self.span * c.fraction() * burst, work)
         for _ in range(c.below(20)):
-            self.at(self.span * c.share(), lambda: (self.moves(c.chance(0.7)), self.tells()))
+            self.at(self.span * c.fraction(), lambda: (self.moves(c.chance(0.7)), self.tells()))
         for _ in range(c.below(4)):
             self.at(
-                self.span * c.share(),
-                lambda: self.call("complaint", c.one_of(*self.fleet), SECOND, self.s.routes[0].name),
+                self.span * c.fraction(),
+                lambda: self.call("complaint", c.one_of(*self.fleet), SECOND, self.settings.routes[0].name),
             )
         while self.heap and (self.now < self.end or self.live):
             self.now, _, work, args = heapq.heappop(self.heap)
             work(*args)
-        assert self.wakes < 50 + 2 * (self.now - self.end + self.span) / (10 * self.s.tick), "too many timers"
+        assert self.wakes < 50 + 2 * (self.now - self.end + self.span) / (10 * self.settings.tick), (
+            "too many timers"
+        )
         assert all(rq.final for rq in self.rules.reqs.values()), "rule 1: no answer"
 
 
@@ -636,9 +654,9 @@
 @pytest.mark.parametrize("name", ["q", LONG_NAME, "r\u00e4ttning", "prix/\u00e9t\u00e9", "a.b:c"])
 def test_a_routes_name_is_found_in_a_statement(name: str) -> None:
     words = sql("read").replace("c=read", f"c={name}").encode()
-    found = wire.statement(words)
+    found = wire.parse_statement(words)
     assert (found.route, found.left_ms) == (name, 2000)
-    assert found.waiting(7)[5:-1] == words.replace(b"2000", b"7")
+    assert found.with_wait(7)[5:-1] == words.replace(b"2000", b"7")
 
 
 def test_a_configuration_as_large_as_any_keeps_its_messages_short() -> None:
@@ -648,8 +666,8 @@
     assert all(len(one) <= 256 for one in sums) and sorted(place for one in heard for place in one) == list(
         range(20)
     )
-    word = messages.pack_word(messages.Word(1, 2, 3, 9, (0.5, 0.2, 0.1), (0.5,) * 20, 0.1))
-    assert len(word) <= 256 and len(messages.unpack(word, 20)[1].usual) == 20
+    word = messages.pack_report(messages.VoterReport(1, 2, 3, 9, (0.5, 0.2, 0.1), (0.5,) * 20, 0.1))
+    assert len(word) <= 256 and len(messages.unpack(word, 20)[1].latency_ratios) == 20
 
 
 FAR, LEAST, MOST_REAL = 1 << 60, 1e-300, 3.4028234663852886e38  # beyond each field; least; most of 32 bits
@@ -683,33 +701,39 @@
             ),
         ),
         (
-            lambda: messages.pack_word(messages.Word(1, 2, 60_000, FAR, (7.0, -1.0), (FAR, LEAST), math.inf)),
+            lambda: messages.pack_report(
+                messages.VoterReport(1, 2, 60_000, FAR, (7.0, -1.0), (FAR, LEAST), math.inf)
+            ),
             (1, 2, 60_000, 65_535, (1.0, 0.0), (2 ** (127 / 8), 0.0), 2 ** (127 / 8)),
         ),
         (lambda: messages.pack_loads([(9, FAR, 1.6, math.inf, -3)]), {9: [255, 2, 255, 0]}),
-        (lambda: messages.pack_doubts(7, [(9, FAR), (8, True)]), (7, [(9, 255), (8, 1)])),
+        (lambda: messages.pack_suspicions(7, [(9, FAR), (8, True)]), (7, [(9, 255), (8, 1)])),
     ],
     ids=["complaints", "sums", "word", "loads", "doubts"],
 )
 def test_what_is_beyond_a_field_is_told_as_its_end(packed: Callable[[], bytes], told: object) -> None:
     found = packed()
-    assert len(found) <= messages.MOST and messages.unpack(found, 2)[1] == told
+    assert len(found) <= messages.MAX_BYTES and messages.unpack(found, 2)[1] == told
 
 
 def test_a_relay_tells_more_complaints_than_a_field_holds() -> None:
     """As before: what it counted of reqs, and each beat's other work, are not lost for them."""
-    one, other = (balancer(me=me, relays=2) for me in (0, 1))
+    one, other = (balancer(relay_index=me, relay_count=2) for me in (0, 1))
     now, build = 100 * SECOND, 65_535  # the highest that there is (wire, 4)
     for relay in (one, other):
-        relay.directory(now, face.WHOLE, [face.Listed(1, "a", 0, build, face.READY, 1.0, face.LONG_AGO)])
-    one.i.case.complained = 65_535
+        relay.directory(
+            now, face.FULL_LIST, [face.Listed(1, "a", 0, build, face.READY, 1.0, face.START_UNKNOWN_US)]
+        )
+    one.state.trial.complaint_count = 65_535
     one.complaint(now, 1, 0, "read")
     told = []
     while not told and now < 110 * SECOND:
         now += 10 * MS
         told = [found[2] for found in one.timer(now, "beat") if found[0] == face.TELL and found[1] == 1]
     other.peer(now, 0, told[0])
-    assert messages.unpack(told[0], 3)[1][2:4] == (build, 65_535) and len(other.i.case.heard) == 2
+    assert (
+        messages.unpack(told[0], 3)[1][2:4] == (build, 65_535) and len(other.state.trial.received_rows) == 2
+    )
 
 
 # numbers that follow a setting: what they are under the reference's settings, and at the ends
@@ -726,41 +750,44 @@
     "changed, beat, idle, few",
     [
         ({}, 50, 500, True),
-        ({"relays": 20}, 50, 500, False),
+        ({"relay_count": 20}, 50, 500, False),
         ({"objective": 50 * MS, "tick": MS}, 10, 100, True),
         ({"objective": 20 * SECOND}, 1000, 1000, False),
-        ({"objective": 20 * SECOND, "vote_life": 3 * SECOND}, 500, 500, False),
-        ({"vote_life": 0}, 50, 50, True),
-        ({"tick": 10 * MS, "vote_life": SECOND}, 100, 166, True),
+        ({"objective": 20 * SECOND, "vote_ttl": 3 * SECOND}, 500, 500, False),
+        ({"vote_ttl": 0}, 50, 50, True),
+        ({"tick": 10 * MS, "vote_ttl": SECOND}, 100, 166, True),
     ],
 )
 def test_beats_follow_ticks_objectives_and_votes(changed: dict, beat: int, idle: int, few: bool) -> None:
     one = balancer(**changed)
-    assert (one.beat // MS, one.idle_beat // MS, one.few) == (beat, idle, few)
+    assert (one.timer_interval // MS, one.idle_timer_interval // MS, one.small_fleet) == (beat, idle, few)
 
 
 @pytest.mark.parametrize("objective, silent_on", [(50 * MS, 6.5), (SECOND, 6.5), (20 * SECOND, 22.25)])
 def test_a_build_goes_on_unheard_only_after_its_reqs_must_have_ended(
     objective: int, silent_on: float
 ) -> None:
-    one, now = balancer(objective=objective, me=0, relays=1, stage_shares=(0.5, 1.0)), 100 * SECOND
+    one, now = (
+        balancer(objective=objective, relay_index=0, relay_count=1, stage_shares=(0.5, 1.0)),
+        100 * SECOND,
+    )
     listed = [
         face.Listed(name, "a", 0, build, face.READY, 1.0, since)
-        for name, build, since in ((1, 5, face.LONG_AGO), (2, 5, face.LONG_AGO), (3, 6, now))
+        for name, build, since in ((1, 5, face.START_UNKNOWN_US), (2, 5, face.START_UNKNOWN_US), (3, 6, now))
     ]
-    one.directory(now, face.WHOLE, listed)
+    one.directory(now, face.FULL_LIST, listed)
     one.stage(now, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.1, 0)
     votes = []
     while not votes and now < 200 * SECOND:
         now += 10 * MS
         votes = [result for result in one.timer(now, "beat") if result[0] == face.VOTE]
-    assert votes == [(face.VOTE, 6, 0, face.VOTE_ON)]
+    assert votes == [(face.VOTE, 6, 0, face.VOTE_ADVANCE)]
     assert silent_on <= (now - 100 * SECOND) / SECOND <= silent_on + 1.1
 
 
 @pytest.mark.parametrize("complaint_share", [0.0, 0.3])
 @pytest.mark.parametrize(
-    "control, verdict", [("share", face.VOTE_ON), ("any", face.VOTE_ON), ("clocked", None)]
+    "control, verdict", [("share", face.VOTE_ADVANCE), ("any", face.VOTE_ADVANCE), ("clocked", None)]
 )
 def test_a_build_is_calm_unheard_however_many_routes_share_its_prior(
     control: str, verdict: int | None, complaint_share: float
@@ -769,18 +796,18 @@
     for many in range(1, 21):
         one, now = (
             balancer(
-                me=0,
-                relays=1,
-                control=control,
+                relay_index=0,
+                relay_count=1,
+                release_control=control,
                 complaint_share=complaint_share,
-                may_tell=False,
-                vote_life=60 * SECOND,
+                may_message_peers=False,
+                vote_ttl=60 * SECOND,
             ),
             100 * SECOND,
         )
-        routes = tuple(one.s.routes[0]._replace(name=f"r{place}") for place in range(many))
-        one = Balancer(one.s._replace(routes=routes), 7, now)
-        one.directory(now, face.WHOLE, fleet(u1=5, u2=5, u3=6, u4=6))
+        routes = tuple(one.settings.routes[0]._replace(name=f"r{place}") for place in range(many))
+        one = Balancer(one.settings._replace(routes=routes), 7, now)
+        one.directory(now, face.FULL_LIST, fleet(u1=5, u2=5, u3=6, u4=6))
         one.stage(now, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.1, 0)
         votes = [
             found
@@ -798,28 +825,28 @@
 def test_a_machines_fellows_are_as_old_by_the_warm_up_time(
     warm_after: float, beside: float, blamed: bool
 ) -> None:
-    one, now = balancer(warm_after=int(warm_after * SECOND)), 100 * SECOND
+    one, now = balancer(warm_up_time=int(warm_after * SECOND)), 100 * SECOND
     one.directory(
         now,
-        face.WHOLE,
+        face.FULL_LIST,
         [
             face.Listed(1, "a", 0, 6, face.READY, 1.0, now - 50 * SECOND),
             face.Listed(2, "a", 0, 6, face.READY, 1.0, now - 50 * SECOND + int(beside * SECOND)),
         ],
     )
-    one.i.units[2].seen = 40.0
-    assert one._machine_to_blame(now, one.i.units[1]) is blamed
+    one.state.units[2].recent_outcomes = 40.0
+    assert one._is_machine_fault(now, one.state.units[1]) is blamed
 
 
 def test_a_lower_cap_told_again_binds_no_later() -> None:
     """News repeats itself: as the answer to a vote, and each time that the platform tells it."""
-    one, now = balancer(cap_free=0.0, cap_window=60 * SECOND, drain_grace=2 * SECOND), 100 * SECOND
-    one.directory(now, face.WHOLE, [face.Listed(1, "a", 0, 6, face.READY, 1.0, face.LONG_AGO)])
+    one, now = balancer(cap_free_tries=0.0, cap_window=60 * SECOND, drain_grace=2 * SECOND), 100 * SECOND
+    one.directory(now, face.FULL_LIST, [face.Listed(1, "a", 0, 6, face.READY, 1.0, face.START_UNKNOWN_US)])
     one.stage(now, 6, 1, face.ON_TRIAL, False, face.COUNTED, 1.0, 0)
     sent = []
     for step in range(40):
         now += SECOND // 10
-        one.stage(now, 6, 1, face.GOING_BACK, False, face.COUNTED, 0.1, 0)
+        one.stage(now, 6, 1, face.ROLLING_BACK, False, face.COUNTED, 0.1, 0)
         sent.append(one.new_req(now, f"q{step}", "read", "", None, SECOND, False)[-1][0] == face.SEND)
         if sent[-1]:
             one.outcome(now, f"q{step}", 0, 1, face.OK, MS, True, {})
@@ -847,7 +874,7 @@
         while heap and heap[0][0] <= at:
             now, *ended = heapq.heappop(heap)
             heed(now, one.outcome(now, *ended, ended[3] == face.OK, {}))
-        if at >= one.wake_at:
+        if at >= one.next_wake_at:
             heed(at, one.timer(at, "beat"))
         heed(at, one.new_req(at, f"{step}/{route}/{key}", route, "", key, left, False))
     return found
@@ -856,7 +883,7 @@
 def fleet(**builds: int) -> list[face.Listed]:
     """Units that have run for long, by the names u1, u2 ... with their builds."""
     return [
-        face.Listed(int(name[1:]), "a", 0, build, face.READY, 1.0, face.LONG_AGO)
+        face.Listed(int(name[1:]), "a", 0, build, face.READY, 1.0, face.START_UNKNOWN_US)
         for name, build in builds.items()
     ]
 
@@ -864,26 +891,28 @@
 @pytest.mark.parametrize("allowed", [True, False])
 def test_a_silent_units_reqs_are_called_off_only_where_that_is_allowed(allowed: bool) -> None:
     one = balancer(may_cancel=allowed)
-    one.directory(100 * SECOND, face.WHOLE, fleet(u1=5, u2=5, u3=5, u4=5))
+    one.directory(100 * SECOND, face.FULL_LIST, fleet(u1=5, u2=5, u3=5, u4=5))
     found = played(
         one,
         [(100 * SECOND + step * 20 * MS, "read", None, 3 * SECOND) for step in range(200)],
         lambda unit: (face.OK, (20 if unit > 1 else 60_000) * MS),
     )
     assert any(verb == face.CANCEL for _, verb, *_ in found) is allowed
-    assert one.i.units[1].aside_until > 0
+    assert one.state.units[1].ejected_until > 0
 
 
 @pytest.mark.parametrize("longer", [1.2, 3.0])
 def test_a_silent_unit_is_set_aside_whatever_part_of_the_objective_clients_wait(longer: float) -> None:
     """They wait for a third of the route's time; at ten reqs a second tries at a unit are alone."""
-    one, left = balancer(relays=50), int(0.34 * longer * SECOND)
+    one, left = balancer(relay_count=50), int(0.34 * longer * SECOND)
     one = Balancer(
-        one.s._replace(routes=tuple(route._replace(timeout=int(longer * SECOND)) for route in one.s.routes)),
+        one.settings._replace(
+            routes=tuple(route._replace(timeout=int(longer * SECOND)) for route in one.settings.routes)
+        ),
         7,
         0,
     )
-    one.directory(0, face.WHOLE, fleet(u1=5, u2=5, u3=5, u4=5, u5=5))
+    one.directory(0, face.FULL_LIST, fleet(u1=5, u2=5, u3=5, u4=5, u5=5))
     found = played(
         one,
         [(step * 100 * MS, "read", None, left) for step in range(400)],
@@ -897,10 +926,12 @@
 def test_what_earns_little_is_served_while_there_is_room(worth: float, beside: float) -> None:
     """A hundred reqs a second, each answered in a tenth of its objective; at first some find no room."""
     one = balancer()
-    routes = tuple(route._replace(earnings=beside) for route in one.s.routes[1:])
-    one = Balancer(one.s._replace(routes=(one.s.routes[0]._replace(earnings=worth), *routes)), 7, 0)
-    one.directory(0, face.WHOLE, fleet(**{f"u{unit}": 5 for unit in range(1, 11)}))
-    names = [route.name for route in one.s.routes]
+    routes = tuple(route._replace(worth=beside) for route in one.settings.routes[1:])
+    one = Balancer(
+        one.settings._replace(routes=(one.settings.routes[0]._replace(worth=worth), *routes)), 7, 0
+    )
+    one.directory(0, face.FULL_LIST, fleet(**{f"u{unit}": 5 for unit in range(1, 11)}))
+    names = [route.name for route in one.settings.routes]
     found = played(
         one,
         [(step * 10 * MS, names[step % 3], None, 3 * SECOND) for step in range(600)],
@@ -915,13 +946,20 @@
     """One machine of 34 is on trial, at a cap of twice its part; each key's further reqs stay there."""
     refused, there = 0, 0
     for me in range(6):
-        one = balancer(keys_stay=True, relays=50, me=me, stage_caps=(0.06, 1.0), cap_free=3.0, may_tell=False)
-        one.directory(0, face.WHOLE, fleet(**{f"u{unit}": 5 + (unit == 34) for unit in range(1, 35)}))
+        one = balancer(
+            sticky_keys=True,
+            relay_count=50,
+            relay_index=me,
+            stage_caps=(0.06, 1.0),
+            cap_free_tries=3.0,
+            may_message_peers=False,
+        )
+        one.directory(0, face.FULL_LIST, fleet(**{f"u{unit}": 5 + (unit == 34) for unit in range(1, 35)}))
         one.stage(0, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.06, 0)
         c = Draw(me)
         found = played(
             one,
-            [(step * 10 * MS, "read", int(keys ** c.share()), 3 * SECOND) for step in range(1000)],
+            [(step * 10 * MS, "read", int(keys ** c.fraction()), 3 * SECOND) for step in range(1000)],
             lambda unit: (face.OK, 20 * MS),
         )
         refused += sum(verb == face.SHED for _, verb, *_ in found)
@@ -931,8 +969,8 @@
 
 def test_keys_served_by_a_released_build_stay_with_it_too() -> None:
     """The earlier machines are listed for a while after the release."""
-    one, at = balancer(keys_stay=True), {}
-    one.directory(0, face.WHOLE, fleet(u1=5, u2=5, u3=6))
+    one, at = balancer(sticky_keys=True), {}
+    one.directory(0, face.FULL_LIST, fleet(u1=5, u2=5, u3=6))
     one.stage(0, 6, 1, face.RELEASED, False, face.COUNTED, 1.0, 0)
     found = played(
         one,
@@ -947,13 +985,22 @@
 
 
 @pytest.mark.parametrize(
-    "votes_on, votes_back, bad", [(1, 1, False), (1, 1, True), (5, 1, False), (1, 5, True), (20, 1, False)]
+    "votes_to_advance, votes_to_roll_back, bad",
+    [(1, 1, False), (1, 1, True), (5, 1, False), (1, 5, True), (20, 1, False)],
 )
-def test_as_many_relays_vote_as_a_move_needs(votes_on: int, votes_back: int, bad: bool) -> None:
+def test_as_many_relays_vote_as_a_move_needs(
+    votes_to_advance: int, votes_to_roll_back: int, bad: bool
+) -> None:
     voted = Counter()
     for me in range(9):
-        one = balancer(relays=9, me=me, votes_on=votes_on, votes_back=votes_back, stage_caps=(1.0, 1.0))
-        one.directory(0, face.WHOLE, fleet(u1=5, u2=5, u3=6, u4=6))
+        one = balancer(
+            relay_count=9,
+            relay_index=me,
+            votes_to_advance=votes_to_advance,
+            votes_to_roll_back=votes_to_roll_back,
+            stage_caps=(1.0, 1.0),
+        )
+        one.directory(0, face.FULL_LIST, fleet(u1=5, u2=5, u3=6, u4=6))
         one.stage(0, 6, 0, face.ON_TRIAL, False, face.COUNTED, 1.0, 0)
         found = played(
             one,
@@ -961,30 +1008,30 @@
             lambda unit: (face.FAILED if bad and unit > 2 else face.OK, 20 * MS),
         )
         voted.update({rest[-1] for _, verb, *rest in found if verb == face.VOTE})
-    need = max(votes_on, votes_back)
-    assert voted[face.VOTE_BACK if bad else face.VOTE_ON] == (3 if need == 1 else 9)
+    need = max(votes_to_advance, votes_to_roll_back)
+    assert voted[face.VOTE_ROLL_BACK if bad else face.VOTE_ADVANCE] == (3 if need == 1 else 9)
 
 
 @pytest.mark.parametrize("warm_after", [0.5, 4.5, 20, 30])
 def test_a_build_that_fails_goes_back_however_long_machines_warm(warm_after: float) -> None:
-    one = balancer(warm_after=int(warm_after * SECOND), stage_caps=(1.0, 1.0), relays=1, me=0)
-    young = [unit._replace(since=0) if unit.unit > 2 else unit for unit in fleet(u1=5, u2=5, u3=6, u4=6)]
-    one.directory(0, face.WHOLE, young)
+    one = balancer(warm_up_time=int(warm_after * SECOND), stage_caps=(1.0, 1.0), relay_count=1, relay_index=0)
+    young = [unit._replace(started_at=0) if unit.unit > 2 else unit for unit in fleet(u1=5, u2=5, u3=6, u4=6)]
+    one.directory(0, face.FULL_LIST, young)
     one.stage(0, 6, 0, face.ON_TRIAL, False, face.COUNTED, 1.0, 0)
     found = played(
         one,
         [(step * 20 * MS, "read", None, 3 * SECOND) for step in range(1000)],
         lambda unit: (face.FAILED if unit > 2 else face.OK, 20 * MS),
     )
-    assert next(rest[-1] for _, verb, *rest in found if verb == face.VOTE) == face.VOTE_BACK
+    assert next(rest[-1] for _, verb, *rest in found if verb == face.VOTE) == face.VOTE_ROLL_BACK
 
 
 def test_limits_follow_the_settings() -> None:
-    found = limits(Tree(root()))
-    assert (found.patience, found.idle, found.connect) == (5 * SECOND, 29 * SECOND, 250 * MS)
+    found = limits(SettingsTree(root()))
+    assert (found.write_timeout, found.max_idle, found.connect_timeout) == (5 * SECOND, 29 * SECOND, 250 * MS)
     slow = [(f"settings.classes.{place}.deadline", 20_000.0) for place in range(3)]
-    found = limits(Tree(root(*slow, ("settings.limits.conn_idle", 1000.0))))
-    assert found.patience > 20 * SECOND and found.idle == 900 * MS
+    found = limits(SettingsTree(root(*slow, ("settings.limits.conn_idle", 1000.0))))
+    assert found.write_timeout > 20 * SECOND and found.max_idle == 900 * MS
 
 
 # and a process of each kind that answers
--- a/tests/test_crossing_stop.py
+++ b/tests/test_crossing_stop.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import Served
 
-from laurelcourse.net.stopping import DRAINING, LEAVING, Stop
+from laurelcourse.net.shutdown import DRAINING, LEAVING, Shutdown
 from laurelcourse.standins.base import RELAY, until
 from laurelcourse.standins.postgres import HELLO, LARGER, PgClient, pg, sql
 
@@ -262,7 +262,7 @@
 
 @pytest.mark.parametrize("accepted, closes", [(0, 450), (149, 450), (150, 450), (250, 550), (400, 600)])
 def test_a_quiet_door_stays_for_as_long_as_the_page_lets_connections_come(accepted: int, closes: int) -> None:
-    stop = Stop(300, 600, 450)
+    stop = Shutdown(300, 600, 450)
     assert stop.begin(0)
     assert stop.step(closes - 1, accepted, 1) == LEAVING and stop.step(closes, accepted, 1) == DRAINING
 
--- a/tests/test_crossing_tries.py
+++ b/tests/test_crossing_tries.py
@@ -14,13 +14,13 @@
 
 from laurelcourse import interface as face
 from laurelcourse.fronts.postgres.exchange import Exchange
-from laurelcourse.net.choices import Choices
 from laurelcourse.net.counters import Counters
+from laurelcourse.net.dispatcher import Dispatcher
 from laurelcourse.net.limits import limits
 from laurelcourse.net.pool import Pool
 from laurelcourse.net.scheduler import Clock, Mailbox, Scheduler
-from laurelcourse.net.tries import OUTCOME, Tries
-from laurelcourse.settings import Tree
+from laurelcourse.net.tries import OUTCOME, TryRunner
+from laurelcourse.settings import SettingsTree
 from laurelcourse.standins.base import STAND_IN, exactly, until
 from laurelcourse.standins.postgres import IDLE, PgClient, UnitStand, pg, sql
 from laurelcourse.standins.settings import OUTSIDE
@@ -28,7 +28,7 @@
 SECOND = 1_000_000
 COMPLETED, SHED, ERRORED = ("TDCZ", ""), ("EZ", "53300"), ("EZ", "58000")
 WARM = ((1, "a", 5, 90), (2, "a", 5, 90), (3, "b", 5, 90), (4, "b", 5, 90))
-REQ = SimpleNamespace(req="r", waiting=lambda left: pg(b"Q", sql().encode() + b"\0"))
+REQ = SimpleNamespace(req="r", with_wait=lambda left: pg(b"Q", sql().encode() + b"\0"))
 
 
 class HeldUnit(UnitStand):
@@ -231,15 +231,18 @@
     """Tries at one unit, in this process: at which crossing which guard answers what is up to the test."""
 
     def __init__(self, scheduler: Scheduler, unit: UnitStand, guard: Callable[[str, int], bool]) -> None:
-        found = limits(Tree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))
+        found = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))
         self.scheduler, self.unit, self.counters = scheduler, unit, Counters()
         exchange = Exchange(scheduler, found, True, self.counters)
         self.pool = Pool(scheduler, found, exchange.greet, self.counters)
-        self.tries = Tries(scheduler, self.pool, exchange, self.counters, guard)
-        self.box, self.listed = Mailbox(scheduler), face.Listed(7, "a", 0, 1, face.READY, 1.0, face.LONG_AGO)
+        self.tries = TryRunner(scheduler, self.pool, exchange, self.counters, guard)
+        self.box, self.listed = (
+            Mailbox(scheduler),
+            face.Listed(7, "a", 0, 1, face.READY, 1.0, face.START_UNKNOWN_US),
+        )
 
     def list(self, **changed: object) -> None:
-        self.pool.listed([(self.listed._replace(**changed), (STAND_IN, self.unit.port))], True)
+        self.pool.update_units([(self.listed._replace(**changed), (STAND_IN, self.unit.port))], True)
 
     def run(self, work: Callable[[], None]) -> None:
         task = self.scheduler.spawn(work)
@@ -263,8 +266,8 @@
     """The looks before it: as its connection is begun, and before its first byte."""
     asked, found = iter(answers), []
     one = Pooled(scheduler, UnitStand(), lambda req, number: next(asked))
-    one.pool.rests.wary = True
-    one.pool.limits = one.tries.limits = one.tries.limits._replace(wary=100_000)
+    one.pool.idle_limit.is_wary = True
+    one.pool.limits = one.tries.limits = one.tries.limits._replace(last_byte_delay=100_000)
 
     def work() -> None:
         one.list()
@@ -303,7 +306,7 @@
 
     def work() -> None:
         one.list()
-        one.tries.begin(0, 7, 5 * SECOND, SimpleNamespace(req="r", waiting=lambda left: large), one.box)
+        one.tries.begin(0, 7, 5 * SECOND, SimpleNamespace(req="r", with_wait=lambda left: large), one.box)
         scheduler.sleep(200_000)
         may[0] = False
         unit.go.set()
@@ -327,7 +330,7 @@
         found.append(one.box.get()[:2])
 
     one.run(work)
-    assert found == [(7, face.UNSENT)] and unit.queries == [] and not one.pool.open
+    assert found == [(7, face.UNSENT)] and unit.queries == [] and not one.pool.open_count
 
 
 class Full:
@@ -348,7 +351,7 @@
 
 @pytest.mark.parametrize("unit", [HeldUnit, Full])
 @pytest.mark.parametrize(
-    "changed", [{"health": face.GONE}, {"build": 2}, {"since": 5}], ids=["gone", "build", "restart"]
+    "changed", [{"health": face.GONE}, {"build": 2}, {"started_at": 5}], ids=["gone", "build", "restart"]
 )
 def test_a_try_that_waits_for_a_unit_that_went_is_decided_anew_at_once(
     scheduler: Scheduler, unit: type, changed: dict
@@ -357,7 +360,7 @@
     if unit is HeldUnit:
         stand.go.clear()
     one = Pooled(scheduler, stand, lambda req, number: True)
-    one.pool.limits = one.tries.limits = one.pool.limits._replace(connect=4 * SECOND)
+    one.pool.limits = one.tries.limits = one.pool.limits._replace(connect_timeout=4 * SECOND)
 
     def work() -> None:
         one.list()
@@ -369,26 +372,26 @@
     one.run(work)
     if unit is HeldUnit:
         stand.go.set()
-    assert found == [face.UNSENT, True] and one.pool.open == 0 and not one.pool.units
+    assert found == [face.UNSENT, True] and one.pool.open_count == 0 and not one.pool.unit_by_connection
 
 
-class Awaited(face.NoShares):
+class Awaited(face.NoBudgets):
     """No connection is left at first, and reqs wait for one."""
 
     room = False
 
-    def could(self, now: int, name: str, key: str = "") -> bool:
+    def allows(self, now: int, name: str, key: str = "") -> bool:
         return self.room
 
-    take = could
+    consume = allows
 
-    def waits(self, name: str) -> bool:
+    def waits_when_exhausted(self, name: str) -> bool:
         return True
 
 
 @pytest.mark.parametrize(
     "changed, may",
-    [({}, True), ({"health": face.GONE}, True), ({"build": 2}, True), ({"since": 5}, True), ({}, False)],
+    [({}, True), ({"health": face.GONE}, True), ({"build": 2}, True), ({"started_at": 5}, True), ({}, False)],
     ids=["same", "gone", "build", "restart", "barred"],
 )
 def test_no_connection_is_begun_to_a_unit_that_went_while_a_budget_was_waited_for(
@@ -396,7 +399,7 @@
 ) -> None:
     stand, found, allowed = UnitStand(), [], [True]
     one = Pooled(scheduler, stand, lambda req, number: allowed[0])
-    one.pool.shares = shares = Awaited()
+    one.pool.budgets = shares = Awaited()
 
     def crossing() -> None:
         one.list(**changed)
@@ -415,7 +418,7 @@
 
 
 @pytest.mark.parametrize(
-    "changed", [{"health": face.GONE}, {"build": 2}, {"since": 5}], ids=["gone", "build", "restart"]
+    "changed", [{"health": face.GONE}, {"build": 2}, {"started_at": 5}], ids=["gone", "build", "restart"]
 )
 def test_no_connection_is_begun_to_a_unit_that_went_right_behind_the_decision(
     scheduler: Scheduler, changed: dict
@@ -436,13 +439,13 @@
 
 
 def test_what_a_fault_of_the_guard_leaves_open_is_not_sent(scheduler: Scheduler) -> None:
-    choices = Choices(scheduler, conftest.SETTINGS, 7, Counters())
+    choices = Dispatcher(scheduler, conftest.SETTINGS, 7, Counters())
     assert not choices.may_write("unheard", 0) and choices.counters.counts["module_faults"] == 1
 
 
 def late(relay: type, **changed: object) -> tuple:
     """A relay whose req's first try waits for its connection at unit 1, of the build on trial."""
-    one = relay(shielded=0, **changed)
+    one = relay(protected_stages=0, **changed)
     one.list((1, "a", 5, 90))
     one.news(5, stage=1, cap=1.0)
     return one, one.req("mark", 9 * SECOND)[-1]
@@ -483,17 +486,17 @@
 def test_a_try_at_a_build_on_trial_counts_from_its_bytes(relay: type) -> None:
     """Those decided on before a lower cap bound, or so long ago that they count no more, count when written;
     one that may not be is not counted."""
-    one, _ = late(relay, cap_free=3)
+    one, _ = late(relay, cap_free_tries=3)
     one.req()
-    window = one.one._tries_at(5, 0)
+    window = one.one._trial_window(5, 0)
     assert [one.one.may_write(one.now, name, 0) for name in ("r1", "r2")] == [True, True]
     assert list(window.times) == [one.now] * 2
     one.now += 2000
     assert one.one.may_write(one.now, "r1", 0) and one.one.may_write(one.now, "r1", 0)
     assert list(window.times) == [one.now - 2000, one.now]  # its last byte is no second try
-    one.now += one.one.s.cap_window + 2 * one.one.s.tick
+    one.now += one.one.settings.cap_window + 2 * one.one.settings.tick
     one.news(5, stage=1, cap=0.0001)
-    one.now += one.one.s.drain_grace
+    one.now += one.one.settings.drain_grace
     for _ in range(3):
         assert one.req()[-1][0] == face.SEND
     assert [one.one.may_write(one.now, name, 0) for name in ("r1", "r2", "r3")] == [False, False, True]
@@ -515,44 +518,46 @@
 ) -> None:
     """Not one of the further tries that reqs earn, nor, once, of those that a req may have; not for ever."""
     one, taken = relay(), []
-    one.one.heed(one.now, SimpleNamespace(could=lambda *_: None, take=lambda *told: taken.append(told[1:])))
+    one.one.heed(
+        one.now, SimpleNamespace(allows=lambda *_: None, consume=lambda *told: taken.append(told[1:]))
+    )
     one.list(*WARM)
     results = one.req("read")
-    left = one.one.i.retries
+    left = one.one.state.retry_tokens
     for number, status in enumerate(statuses):
         assert results[-1][0] == face.SEND
         results = one.end(results[-1], number, status, 1000)
     assert [found[0] for found in results if found[0] != face.TELL] == [face.SHED]
-    assert (left - one.one.i.retries, taken) == (further, [(face.RESENDS,)] * further)
+    assert (left - one.one.state.retry_tokens, taken) == (further, [(face.RESENDS,)] * further)
 
 
 def test_what_was_not_sent_tells_nothing(relay: type) -> None:
     """Neither that a silent unit spoke, nor whether another build serves what failed on the one on trial."""
-    one = relay(cap_free=1000)
+    one = relay(cap_free_tries=1000)
     one.list(*WARM, (7, "a", 6, 90))
     one.news(6)
     sent = ()
     while not sent or sent[2] < 7:
         sent = one.req()[-1]
-    unit = one.one.i.units[7]
-    one.one.i.reqs[sent[1]].tries[0].unit.open += 1
-    since = unit.unanswered
+    unit = one.one.state.units[7]
+    one.one.state.reqs[sent[1]].tries[0].unit.open_tries += 1
+    since = unit.waiting_since
     again = one.end(sent, 0, face.FAILED)[-1]
-    unit.open -= 1
-    elsewhere = one.one.i.units[again[2]]
-    elsewhere.open, elsewhere.unanswered = elsewhere.open + 1, since
+    unit.open_tries -= 1
+    elsewhere = one.one.state.units[again[2]]
+    elsewhere.open_tries, elsewhere.waiting_since = elsewhere.open_tries + 1, since
     third = one.end(again, 1, face.UNSENT)[-1]
-    assert elsewhere.unanswered == since
+    assert elsewhere.waiting_since == since
     one.end(third, 2, face.FAILED)
-    assert one.one.i.case.counted == 0
+    assert one.one.state.trial.outcome_count == 0
 
 
 def test_a_key_that_the_new_build_answers_meanwhile_goes_to_no_earlier_one(relay: type) -> None:
-    one = relay(keys_stay=True)
+    one = relay(sticky_keys=True)
     one.list((1, "a", 5, 90))
     assert one.one.new_req(one.now, "r", "read", "", 9, SECOND, False)[-1][:3] == (face.SEND, "r", 1)
     one.list((1, "a", 5, 90), (7, "a", 6, 90))
     one.news(6)
     assert one.one.may_write(one.now, "r", 0)
-    one.one.i.keys[9] = 6
+    one.one.state.sticky_builds[9] = 6
     assert not one.one.may_write(one.now, "r", 0)
--- a/tests/test_crossing_units.py
+++ b/tests/test_crossing_units.py
@@ -19,12 +19,12 @@
 from laurelcourse.fronts.postgres.exchange import Exchange
 from laurelcourse.net.connection import Connection
 from laurelcourse.net.counters import Counters
+from laurelcourse.net.idle_limit import IdleLimit
 from laurelcourse.net.limits import limits
 from laurelcourse.net.pool import Pool
-from laurelcourse.net.rests import Rests
 from laurelcourse.net.scheduler import Clock, Mailbox, Scheduler
-from laurelcourse.net.tries import Tries
-from laurelcourse.settings import Tree
+from laurelcourse.net.tries import TryRunner
+from laurelcourse.settings import SettingsTree
 from laurelcourse.standins.base import STAND_IN, Stand, exactly, reset, until
 from laurelcourse.standins.ports import reserve_port
 from laurelcourse.standins.postgres import IDLE, ROW, TOLD, failure, message, pg, sql
@@ -101,18 +101,18 @@
         self.faults: list[int] = []
         self.scheduler = Scheduler(Clock(), lambda: self.faults.append(1))
         root = {"limits": {"sockets": 1024, "memory_mb": 64}, "settings": OUTSIDE}
-        self.limits = limits(Tree(root))._replace(**{"connect": 1_000_000} | changed)
+        self.limits = limits(SettingsTree(root))._replace(**{"connect_timeout": 1_000_000} | changed)
         self.exchange = Exchange(self.scheduler, self.limits, True, Counters())
         self.counters = self.exchange.counters
         self.pool = Pool(self.scheduler, self.limits, self.exchange.greet, self.counters)
-        self.pool.shares = self.held = Held()
-        self.tries = Tries(self.scheduler, self.pool, self.exchange, self.counters)
+        self.pool.budgets = self.held = Held()
+        self.tries = TryRunner(self.scheduler, self.pool, self.exchange, self.counters)
         self.stands = stands
         self.list()
 
     def list(self, **changed: object) -> None:
-        one = face.Listed(0, "a", 0, 1, face.READY, 1.0, face.LONG_AGO)
-        self.pool.listed(
+        one = face.Listed(0, "a", 0, 1, face.READY, 1.0, face.START_UNKNOWN_US)
+        self.pool.update_units(
             [
                 (one._replace(**{"unit": number} | changed), (STAND_IN, stand.port))
                 for number, stand in enumerate(self.stands)
@@ -121,7 +121,7 @@
         )
 
     def begin(self, box: Mailbox, words: str = "", unit: int = 0, wait: int = WAIT) -> object:
-        return self.tries.begin(0, unit, wait, wire.statement((words or sql("once")).encode()), box)
+        return self.tries.begin(0, unit, wait, wire.parse_statement((words or sql("once")).encode()), box)
 
     def ask(self, words: str = "", unit: int = 0, wait: int = WAIT) -> str:
         box = Mailbox(self.scheduler)
@@ -136,17 +136,19 @@
 
     def even(self) -> bool:
         """Every connection that is counted is one that rests."""
-        idle = [conn for place in self.pool.places.values() for _, conn in place.idle]
-        return self.pool.open == len(idle) == self.held.connections and set(idle) == set(self.pool.units)
+        idle = [conn for place in self.pool.endpoints.values() for _, conn in place.idle]
+        return self.pool.open_count == len(idle) == self.held.connections and set(idle) == set(
+            self.pool.unit_by_connection
+        )
 
 
-class Held(face.NoShares):
+class Held(face.NoBudgets):
     connections = 0
 
-    def take(self, now: int, name: str, key: str = "") -> None:
+    def consume(self, now: int, name: str, key: str = "") -> None:
         self.connections += name == face.CONNECTIONS
 
-    def back(self, now: int, name: str, key: str = "") -> None:
+    def release(self, now: int, name: str, key: str = "") -> None:
         self.connections -= 1
 
 
@@ -172,7 +174,7 @@
         [(len(ROW[:-14] + failure("53300") + IDLE), face.FAILED)],
     ),
     "error": (failure("XX000") + IDLE, [(len(failure("XX000") + IDLE), face.FAILED)]),
-    "at fault": (failure("42601") + IDLE, [(len(failure("42601") + IDLE), face.AT_FAULT)]),
+    "at fault": (failure("42601") + IDLE, [(len(failure("42601") + IDLE), face.CLIENT_FAULT)]),
 }
 
 
@@ -197,7 +199,10 @@
 @pytest.mark.parametrize("answer", CUT)
 def test_an_answer_cut_at_each_byte_proves_no_more_than_it_said(answer: str) -> None:
     raw = CUT[answer][0]
-    rig, found = Rig(Scripted(cutting(raw, "closed")), connect=5 * WAIT), []  # no outcome here is one of time
+    rig, found = (
+        Rig(Scripted(cutting(raw, "closed")), connect_timeout=5 * WAIT),
+        [],
+    )  # no outcome here is one of time
     rig.run(lambda: found.extend(rig.ask(numbered(cut), wait=5 * WAIT) for cut in range(len(raw) + 1)))
     assert found == [expected(answer, cut) for cut in range(len(raw) + 1)]
     assert len(rig.stands[0].queries) == len(raw) + 1 and rig.even()
@@ -347,10 +352,10 @@
             usual(unit, conn, stream)
         unit.said.append("its end")
 
-    rig, found = Rig(Scripted(play), wary=200_000), []
+    rig, found = Rig(Scripted(play), last_byte_delay=200_000), []
 
     def work() -> None:
-        rig.pool.rests.wary = True
+        rig.pool.idle_limit.is_wary = True
         box = Mailbox(rig.scheduler)
         one = rig.begin(box)
         rig.scheduler.sleep(40_000)
@@ -402,15 +407,15 @@
     "play, wait, status, least, most",
     [
         (held(0.1), 900, face.OK, 0.1, 0.5),
-        (held(0.8), 900, face.UNREACHED, 0.5, 0.7),
-        (dripped, 900, face.UNREACHED, 0.5, 0.7),
-        (endless, 900, face.UNREACHED, 0.5, 0.7),
-        (held(9), 100, face.UNREACHED, 0.1, 0.3),
-        (endless, 100, face.UNREACHED, 0.1, 0.3),
+        (held(0.8), 900, face.UNREACHABLE, 0.5, 0.7),
+        (dripped, 900, face.UNREACHABLE, 0.5, 0.7),
+        (endless, 900, face.UNREACHABLE, 0.5, 0.7),
+        (held(9), 100, face.UNREACHABLE, 0.1, 0.3),
+        (endless, 100, face.UNREACHABLE, 0.1, 0.3),
         (greeted(FATAL), 900, face.BUSY, 0, 0.2),
-        (greeted(GREETING + FATAL), 900, face.UNREACHED, 0, 0.2),
-        (greeted(IDLE + IDLE), 900, face.UNREACHED, 0, 0.2),
-        (greeted(b"HTTP/1.1"), 900, face.UNREACHED, 0, 0.2),
+        (greeted(GREETING + FATAL), 900, face.UNREACHABLE, 0, 0.2),
+        (greeted(IDLE + IDLE), 900, face.UNREACHABLE, 0, 0.2),
+        (greeted(b"HTTP/1.1"), 900, face.UNREACHABLE, 0, 0.2),
     ],
     ids=[
         "just in time",
@@ -428,7 +433,7 @@
 def test_a_greeting_ends_with_the_connect_time_out_or_the_try(
     play: Callable[..., None], wait: int, status: str, least: float, most: float
 ) -> None:
-    rig, found = Rig(Scripted(play), Scripted(usual), connect=500_000), {}
+    rig, found = Rig(Scripted(play), Scripted(usual), connect_timeout=500_000), {}
 
     def work() -> None:
         box, began = Mailbox(rig.scheduler), time.monotonic()
@@ -453,7 +458,7 @@
 
     rig = Rig(Scripted(play))
     rig.run(lambda: found.extend(rig.ask() for _ in range(len(greeting))))
-    assert found == [face.UNREACHED] * len(greeting) and rig.even() and not rig.stands[0].queries
+    assert found == [face.UNREACHABLE] * len(greeting) and rig.even() and not rig.stands[0].queries
     if whole:
         rig = Rig(Scripted(greeted(greeting)))
         rig.run(lambda: found.append(rig.ask()))
@@ -463,8 +468,8 @@
 @pytest.mark.parametrize(
     "connect, opens, status, least, most",
     [
-        (300_000, None, face.UNREACHED, 0.3, 0.9),
-        (500_000, 0.1, face.UNREACHED, 0.5, 0.95),
+        (300_000, None, face.UNREACHABLE, 0.3, 0.9),
+        (500_000, 0.1, face.UNREACHABLE, 0.5, 0.95),
         (2_500_000, 0.1, face.OK, 0.9, 2.4),
     ],
     ids=["never", "just late", "just in time"],
@@ -473,7 +478,7 @@
     connect: int, opens: float | None, status: str, least: float, most: float
 ) -> None:
     """It drops the first packet, and takes the one that is sent again a second later, if still asked."""
-    rig, found = Rig(Scripted(usual, shut=True), connect=connect), []
+    rig, found = Rig(Scripted(usual, shut=True), connect_timeout=connect), []
     if opens:
         threading.Timer(opens, rig.stands[0].opens.set).start()
 
@@ -504,7 +509,7 @@
         found.extend((rig.ask(LARGE_SQL, wait=wait), time.monotonic() - began))
 
     rig.run(work)
-    assert found[0] == face.UNREACHED and rig.even() and not rig.stands[0].queries
+    assert found[0] == face.UNREACHABLE and rig.even() and not rig.stands[0].queries
     assert found[1] < wait / 1e6 + 0.3 and len(rig.stands[0].conns) in connections
 
 
@@ -531,8 +536,8 @@
         (usual, "", face.OK),
         (nonsense, "", face.RESET),
         (deaf, "", face.TIMEOUT),
-        (usual, "refused", face.UNREACHED),
-        (greeted(GREETING[:5]), "", face.UNREACHED),
+        (usual, "refused", face.UNREACHABLE),
+        (greeted(GREETING[:5]), "", face.UNREACHABLE),
         (greeted(FATAL), "", face.BUSY),
         (cutting(ROW, "closed"), "", face.RESET),
         (held(0.3), "cancel", face.CANCELLED),
@@ -541,13 +546,13 @@
         (deaf, "gone", face.TIMEOUT),
         (usual, "fault in the greeting", face.RESET),
         (usual, "fault in the answer", face.RESET),
-        (usual, "no descriptor", face.UNREACHED),
+        (usual, "no descriptor", face.UNREACHABLE),
     ],
 )
 def test_each_way_a_try_ends_gives_its_connection_back_once(
     play: Callable[..., None], meddle: str, status: str | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, found = Rig(Scripted(play), Scripted(usual), upstream=2), []
+    rig, found = Rig(Scripted(play), Scripted(usual), max_upstream=2), []
     if meddle == "refused":
         rig.stands[0].sock.close()
         rig.stands[0].port = reserve_port(host=STAND_IN)
@@ -566,7 +571,7 @@
         if meddle == "cancel":
             one.cancel()
         elif meddle == "gone":
-            rig.pool.listed([], True)
+            rig.pool.update_units([], True)
         found.append(box.get()[3])
         monkeypatch.undo()
         rig.pool.greet, rig.exchange.answered = (
@@ -616,7 +621,7 @@
 
 def between(rig: Rig, monkeypatch: pytest.MonkeyPatch, what: Callable[[Connection], None]) -> None:
     """Lets something come right after a kept connection was found clean, before the query's first byte."""
-    real, once = Connection.clean, [what]
+    real, once = Connection.is_clean, [what]
 
     def clean(conn: Connection) -> bool:
         found = real(conn)
@@ -624,7 +629,7 @@
             once.pop()(conn)
         return found
 
-    monkeypatch.setattr(Connection, "clean", clean)
+    monkeypatch.setattr(Connection, "is_clean", clean)
 
 
 @pytest.mark.parametrize("end, status, queries", [("closed", face.RESET, 1), ("reset", face.OK, 2)])
@@ -651,7 +656,7 @@
 
     def work() -> None:
         found.append(rig.ask())
-        rig.scheduler.sleep(2 * rig.limits.settle)
+        rig.scheduler.sleep(2 * rig.limits.settle_time)
         found.append(rig.ask())
 
     rig.run(work)
@@ -681,12 +686,12 @@
     ids=["closed", "a row", "a byte", "turned away"],
 )
 def test_a_last_byte_that_was_held_back_does_not_follow_what_came_meanwhile(what: tuple) -> None:
-    rig, found = Rig(Scripted(at_the_next_byte(*what)), wary=200_000), []
+    rig, found = Rig(Scripted(at_the_next_byte(*what)), last_byte_delay=200_000), []
 
     def work() -> None:
         found.append(rig.ask())
-        rig.scheduler.sleep(2 * rig.limits.settle)
-        rig.pool.rests.wary = True
+        rig.scheduler.sleep(2 * rig.limits.settle_time)
+        rig.pool.idle_limit.is_wary = True
         box = Mailbox(rig.scheduler)
         rig.begin(box)
         found.append(box.get()[3:7:3])
@@ -697,17 +702,17 @@
 
 
 def test_a_new_connection_that_was_cut_tells_nothing_of_rests() -> None:
-    rests = Rests(Rig().limits)
+    rests = IdleLimit(Rig().limits)
     for _ in range(10):
-        rests.note(0, True)
-    assert rests.most == rests.limits.idle and rests.wary
+        rests.record(0, True)
+    assert rests.max_idle == rests.limits.max_idle and rests.is_wary
     for _ in range(10):  # kept ones break as often: a rest makes nothing worse
-        rests.note(rests.limits.settle, True)
-    assert rests.most == rests.limits.idle
+        rests.record(rests.limits.settle_time, True)
+    assert rests.max_idle == rests.limits.max_idle
     for _ in range(200):
-        rests.note(0, False)
-    rests.note(rests.limits.settle, True)
-    assert rests.most == rests.limits.settle, "none is so young any more: none is kept"
+        rests.record(0, False)
+    rests.record(rests.limits.settle_time, True)
+    assert rests.max_idle == rests.limits.settle_time, "none is so young any more: none is kept"
 
 
 def test_an_answer_that_came_while_the_relay_stood_still_is_whole(among: Callable[..., Served]) -> None:
--- a/tests/test_fleet_books.py
+++ b/tests/test_fleet_books.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books import budgets, sessions
 from laurelcourse.fleet.books import forms as f
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.errors import CODES, DamagedBooksError, made
+from laurelcourse.prng import Prng
 
 A = f.Fence("a", 1, 1, 3)
 WHO = {
@@ -251,21 +251,21 @@
 
 def play(seed: int) -> Iterator[tuple[Books, f.Batch, tuple[f.Done, ...]]]:
     """Random commands, the leader's and the relays' own, late ones and repeated ones too."""
-    chance, books, fences, given, at = Chance(seed), Books(), [A], [read("define all")], 0
+    rng, books, fences, given, at = Prng(seed), Books(), [A], [read("define all")], 0
     for index in range(1, 40):
-        at, commands = at + chance.below(400) - 20, []
-        for mark in range(6 * index, 6 * index + 1 + chance.below(6)):
-            fence, scope = fences[chance.below(len(fences))], SCOPES[chance.below(4)]
-            shares = [f"{one.number}:{chance.below(30)}" for one in books.sessions() if chance.below(2)]
-            own = (f.Close(), f.GiveBack(scope, 0), f.GiveBack(scope, chance.below(12)))[chance.below(3)]
+        at, commands = at + rng.below(400) - 20, []
+        for mark in range(6 * index, 6 * index + 1 + rng.below(6)):
+            fence, scope = fences[rng.below(len(fences))], SCOPES[rng.below(4)]
+            shares = [f"{one.number}:{rng.below(30)}" for one in books.sessions() if rng.below(2)]
+            own = (f.Close(), f.GiveBack(scope, 0), f.GiveBack(scope, rng.below(12)))[rng.below(3)]
             common = (
-                f"open {'abcdef'[chance.below(6)]} {mark}",
+                f"open {'abcdef'[rng.below(6)]} {mark}",
                 f"lapse {fence.session}",
-                f"define {('all', 'small')[chance.below(2)]}",
+                f"define {('all', 'small')[rng.below(2)]}",
                 *[" ".join(("grant", scope, *shares))] * 5,
-            )[chance.below(8)]
-            one = f.Command(fence, mark, own) if not chance.below(4) else read(common)
-            commands.append(given[chance.below(len(given))] if not chance.below(8) else one)
+            )[rng.below(8)]
+            one = f.Command(fence, mark, own) if not rng.below(4) else read(common)
+            commands.append(given[rng.below(len(given))] if not rng.below(8) else one)
         given += commands
         batch = f.Batch(at, 1 + index // 9, tuple(commands))
         done = books.apply(2 * index, batch)
@@ -277,7 +277,7 @@
 def test_replay_from_any_snapshot_comes_to_the_same_books(seed: int) -> None:
     for one in range(seed, seed + 50):
         log = [(books.index, batch, done, books.hash()) for books, batch, done in play(one)]
-        cut, again, each = Chance(one).below(len(log)), Books(), Books()
+        cut, again, each = Prng(one).below(len(log)), Books(), Books()
         for at, (index, batch, done, hashed) in enumerate(log):
             again = Books.restored(again.snapshot()) if at == cut else again
             each = Books.restored(each.snapshot())
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.forms import COUNT, LEVEL, RATE, Budget
 from laurelcourse.fleet.budgets.divide import LEAST, MILLION, Asked, credited, divide, divided, fill
 from laurelcourse.fleet.budgets.use import BURST, SECOND, Use
 from laurelcourse.fleet.orders import Share
+from laurelcourse.prng import Prng
 
 BEAT, HOLDS, BINDS = SECOND // 2, 2 * SECOND, 2 * SECOND + 1
 RATES = Budget("tries", RATE, 1000, 4, 10, 0, 0)  # 960 are divided, 30 of them kept free
@@ -99,21 +99,21 @@
 
 @pytest.mark.parametrize("seed", range(7, 12))
 def test_filling_is_exact_and_no_change_breaks_the_whole(seed: int) -> None:
-    chance = Chance(seed)
+    rng = Prng(seed)
     assert fill(5, [9, 8, 7, 7]) == [2, 1, 1, 1] and fill(9, [1, 9, 3, 7]) == [1, 3, 3, 2]
     for _ in range(400):
-        wants = [chance.below(1 << chance.below(12)) for _ in range(chance.below(40))]
-        amount = chance.below(20_000) - 100
+        wants = [rng.below(1 << rng.below(12)) for _ in range(rng.below(40))]
+        amount = rng.below(20_000) - 100
         given = fill(amount, wants)
         assert sum(given) == min(max(0, amount), sum(wants))
         short = [part for part, want in zip(given, wants, strict=True) if part < want]
         assert all(0 <= part <= want for part, want in zip(given, wants, strict=True))
         assert not short or max(given) <= min(short) + 1
-        most = 1 + 900 * chance.below(2)  # of near-idle relays alone that ask for nothing, or of any
-        rows = [(chance.below(most), part, chance.below(part + 1), chance.below(101) / 100) for part in given]
+        most = 1 + 900 * rng.below(2)  # of near-idle relays alone that ask for nothing, or of any
+        rows = [(rng.below(most), part, rng.below(part + 1), rng.below(101) / 100) for part in given]
         if rows:
             rows[0] = (9000, *rows[0][1:])
-        others, credit = chance.below(900), {one: LEAST << chance.below(5) for one in range(1, 20, 3)}
+        others, credit = rng.below(900), {one: LEAST << rng.below(5) for one in range(1, 20, 3)}
         changes = dict(divide(RATES, asked(*rows), others, credit))
         room = max(divided(RATES) - others, sum(given))
         assert sum(max(part, changes.get(one, 0)) for one, part in enumerate(given, 1)) <= room
@@ -138,8 +138,8 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_shares_settle_after_a_join_and_a_leave_within_three_beats(seed: int) -> None:
-    chance, budget = Chance(seed), Budget("b", RATE, 20_000 + seed, 4, 40, 0, 0)
-    demands = {one: chance.below(3000) + 1 for one in range(30)}
+    rng, budget = Prng(seed), Budget("b", RATE, 20_000 + seed, 4, 40, 0, 0)
+    demands = {one: rng.below(3000) + 1 for one in range(30)}
     held, credit = dict.fromkeys(demands, 0), {}
     assert beats(budget, held, demands, {}, credit, 40) < 40
     for change in ("join", "leave"):
@@ -172,8 +172,8 @@
 
 
 def test_a_thousand_relays_are_divided_in_time() -> None:
-    chance, budget = Chance(3), Budget("b", RATE, 500_000, 10, 1000, 0, 0)
-    told = asked(*((chance.below(2000), 400, 300 + chance.below(101), chance.share()) for _ in range(1000)))
+    rng, budget = Prng(3), Budget("b", RATE, 500_000, 10, 1000, 0, 0)
+    told = asked(*((rng.below(2000), 400, 300 + rng.below(101), rng.fraction()) for _ in range(1000)))
     began = time.perf_counter()
     assert divide(budget, told, 0, credited(budget, told, {}))
     assert time.perf_counter() - began < 0.5  # measured: about a hundredth of it
@@ -358,11 +358,11 @@
     of the deviations that the events themselves make, and a hundredth."""
     told, true = 0, rate * S / BEAT
     for seed in range(relays):
-        chance, use, at = Chance(seed), Use(TAKEN[0]), 99 * S + seed * 7919
+        rng, use, at = Prng(seed), Use(TAKEN[0]), 99 * S + seed * 7919
         use.take(at, usable=True)
         looks = [at + 2 * S + (turn + 1) * BEAT for turn in range(beats)]
         while looks:
-            at += int(-log(1 - chance.share()) * BEAT / rate) + 1
+            at += int(-log(1 - rng.fraction()) * BEAT / rate) + 1
             while looks and looks[0] <= at:
                 told += use.demand(looks.pop(0))
             use.take(at, usable=True)
@@ -400,13 +400,13 @@
     """Relays, each with a clock of its own, and books of the simplest kind; `uses` are seen in true time."""
 
     def __init__(self, budget: Budget, relays: int, seed: int) -> None:
-        self.budget, self.chance = budget, Chance(seed)
+        self.budget, self.rng = budget, Prng(seed)
         self.now = self.sessions = self.proposed = 0
         self.uses, self.held, self.credit, self.freeing = [], {}, {}, []
         self.relays = [
             SimpleNamespace(
                 use=Use(budget),
-                clock=self.chance.below(99 * S),
+                clock=self.rng.below(99 * S),
                 stopped=0,
                 renewed=0,
                 session=-1,
@@ -425,10 +425,10 @@
         for step in range(seconds * 100):
             self.now = step * S // 100
             if step % (shift * 100) == 0:
-                weights.sort(key=lambda _: self.chance.share())
+                weights.sort(key=lambda _: self.rng.fraction())
             for place, (one, weight) in enumerate(zip(self.relays, weights, strict=True)):
-                if stops and self.chance.below(stops) == 0:
-                    one.stopped = self.now + self.chance.below(12 * S)
+                if stops and self.rng.below(stops) == 0:
+                    one.stopped = self.now + self.rng.below(12 * S)
                 if self.now >= one.stopped:
                     self.works(one, load * weight / sum(weights) / 100)
                     if divides and (step + place) % 50 == 0:
@@ -443,7 +443,7 @@
             self.uses.append((self.now, -1))
         one.use.back(self.now + one.clock, one.loose)
         one.loose = 0
-        for _ in range(int(mean * 2 * self.chance.share() + self.chance.share())):
+        for _ in range(int(mean * 2 * self.rng.fraction() + self.rng.fraction())):
             if one.use.take(self.now + one.clock, usable=True):
                 self.uses.append((self.now, 1))
                 one.open += [(self.now + 2 * S, one.session)] if self.budget.kind == LEVEL else []
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -15,7 +15,6 @@
 import grpc
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet import errors, orders, wiring
 from laurelcourse.fleet.books import forms as books
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
@@ -28,6 +27,7 @@
 from laurelcourse.fleet.calls.ways import Limits, UnheardError, limits, options
 from laurelcourse.fleet.keeper import forms as keeper
 from laurelcourse.net.scheduler import Clock, Scheduler
+from laurelcourse.prng import Prng
 
 ROOT = Path(__file__).parent.parent
 SECOND = 1_000_000
@@ -43,6 +43,7 @@
     pause=SECOND // 100,
     idle=10 * SECOND,
 )
+ONE_ATTEMPT = LIMITS._replace(call=2 * SECOND, answer=2 * SECOND, pause=10 * SECOND)
 SLOW = LIMITS._replace(talk=60 * SECOND, call=60 * SECOND, answer=60 * SECOND)  # what waits goes on
 FENCE = books.Fence("relay-1", 7, 3, 2)
 MARK = keeper.Mark("d1", 2, 9)
@@ -199,11 +200,11 @@
 
 
 def test_bytes_of_any_kind_are_read_or_refused() -> None:
-    chance, sound, read = Chance(5), codec.packed(BATCH), 0
+    rng, sound, read = Prng(5), codec.packed(BATCH), 0
     for _ in range(6000):
-        data = bytearray(sound[: 1 + chance.below(len(sound))])
-        for _ in range(chance.below(4)):
-            data[chance.below(len(data))] = chance.below(256)
+        data = bytearray(sound[: 1 + rng.below(len(sound))])
+        for _ in range(rng.below(4)):
+            data[rng.below(len(data))] = rng.below(256)
         try:
             codec.message_of(codec.unpacked(bytes(data), at_most=len(sound) - 1))
             read += 1
@@ -386,7 +387,7 @@
             return f"127.0.0.3:{listener.getsockname()[1]}"
 
     def client(self, keepers: dict[str, str], limits: Limits = LIMITS) -> Client:
-        client = Client("fleet", "relay-1", keepers, limits, now, Chance(1))
+        client = Client("fleet", "relay-1", keepers, limits, now, Prng(1))
         self.ends.callback(client.close, SECOND)
         return client
 
@@ -457,12 +458,12 @@
         assert found.code == (answer.code or "too_large")
 
 
-# A refusal by type comes with the answer, however slow the machine; an unknown fate only at the time limit.
+# One attempt, with seconds for its answer: one cut off by the end of the order would be of unknown fate.
 @pytest.mark.parametrize(
     "head, limits, error",
     [
-        ({"version": 2}, SLOW, errors.OtherVersionError),
-        ({"fleet": "other"}, SLOW, errors.OtherFleetError),
+        ({"version": 2}, ONE_ATTEMPT, errors.OtherVersionError),
+        ({"fleet": "other"}, ONE_ATTEMPT, errors.OtherFleetError),
         ({"to": "relay-2"}, LIMITS._replace(answer=SECOND // 4), errors.UnknownFateError),
     ],
 )
@@ -565,9 +566,9 @@
 def test_strangers_on_the_port_change_nothing(ground: Ground) -> None:
     keeping = Scripted()
     service = ground.keeper("a", keeping)
-    chance = Chance(3)
+    rng = Prng(3)
     for start in (b"", b"GET / HTTP/1.1\r\n\r\n", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"):
-        garbage = start + bytes(chance.below(256) for _ in range(3000))
+        garbage = start + bytes(rng.below(256) for _ in range(3000))
         with socket.create_connection(("127.0.0.2", service.port)) as one, contextlib.suppress(OSError):
             one.sendall(garbage)
     channel = ground.raw(service)
@@ -794,7 +795,7 @@
     keeping = Scripted()
     first = ground.keeper("b", keeping)
     addresses = {"a": "127.0.0.2:1", "b": at(first), "c": ground.mute()}
-    peers = Peers("fleet", "a", addresses, LIMITS._replace(talk=60 * SECOND), Chance(1))
+    peers = Peers("fleet", "a", addresses, LIMITS._replace(talk=60 * SECOND), Prng(1))
     ground.ends.callback(peers.close, SECOND)
     for one in TALK:
         began = now()
@@ -822,7 +823,7 @@
 
 
 def test_a_full_queue_drops_the_oldest_heartbeats_first(ground: Ground) -> None:
-    peers = Peers("fleet", "a", {"b": ground.mute()}, SLOW, Chance(1))
+    peers = Peers("fleet", "a", {"b": ground.mute()}, SLOW, Prng(1))
     ground.ends.callback(peers.close, SECOND)
     peer = peers.peers["b"]
     peer.put(TALK[0])
@@ -840,7 +841,7 @@
 
 
 def test_pauses_before_a_peer_that_is_not_there_grow(ground: Ground) -> None:
-    peers, calls = Peers("fleet", "a", {"b": ground.dead()}, LIMITS, Chance(1)), []
+    peers, calls = Peers("fleet", "a", {"b": ground.dead()}, LIMITS, Prng(1)), []
     ground.ends.callback(peers.close, SECOND)
 
     def call(*_: object) -> None:
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.keeper import changes, forms, progress, proving
 from laurelcourse.fleet.keeper.core import NEVER, Core
 from laurelcourse.fleet.keeper.forms import BOOKS, FOLLOWER, LEADER, PROVING, REFUSED, Entry, Keepers, Kept
+from laurelcourse.prng import Prng
 
 MS = 1_000
 BOUNDS = forms.Bounds(beat=50 * MS, patience=500 * MS, batch=150, ahead=4, piece=40, waiting=20)
@@ -47,7 +47,7 @@
     def __init__(
         self, keepers: Keepers = ABC, seed: int = 1, names: str = "", disks: dict[str, Kept] | None = None
     ) -> None:
-        self.now, self.keepers, self.chance, self.faults = 0, keepers, Chance(seed * 7919 + 13), False
+        self.now, self.keepers, self.rng, self.faults = 0, keepers, Prng(seed * 7919 + 13), False
         self.cores: dict[str, Core] = {}
         self.disks, self.books = dict(disks or {}), dict[str, list[bytes]]()
         self.wire: list[tuple[int, int, str, str, forms.Message]] = []
@@ -62,12 +62,12 @@
     def start(self, name: str, kept: Kept | None = None) -> None:
         """From `kept`, else from what its disk holds, else with an empty one."""
         kept = self.disks[name] = kept or self.disks.get(name) or disk(name)
-        chance = Chance(self.chance.below(1 << 30))
-        self.cores[name] = Core(name, BOUNDS, chance, kept, self.keepers, self.now)
+        rng = Prng(self.rng.below(1 << 30))
+        self.cores[name] = Core(name, BOUNDS, rng, kept, self.keepers, self.now)
         self.books[name] = kept.snapshot.data.split(b"|")[1:] if kept.snapshot else []
 
     def carry(self, name: str, out: forms.Out) -> forms.Out:
-        fate = self.chance.below(400) if self.faults else -1
+        fate = self.rng.below(400) if self.faults else -1
         if fate == 0:  # it dies before its write
             del self.cores[name]
             return out
@@ -79,9 +79,9 @@
             del self.cores[name]
             return out
         for to, message in out.send:
-            for _ in range((self.chance.below(10) > 0) + (self.chance.below(10) == 0) if self.faults else 1):
+            for _ in range((self.rng.below(10) > 0) + (self.rng.below(10) == 0) if self.faults else 1):
                 self.sent += 1
-                at = self.now + MS + (self.chance.below(60 * MS) if self.faults else 0)
+                at = self.now + MS + (self.rng.below(60 * MS) if self.faults else 0)
                 self.wire.append((at, self.sent, name, to, message))
         if out.restore:
             self.books[name] = out.restore.data.split(b"|")[1:]
@@ -604,9 +604,9 @@
     for token in range(1, 250):
         fleet.step()
         lead = fleet.leading()
-        if lead and fleet.chance.below(3) == 0:
+        if lead and fleet.rng.below(3) == 0:
             fleet.propose(lead, token)
-        elif lead and fleet.chance.below(25) == 0:
+        elif lead and fleet.rng.below(25) == 0:
             fleet.carry(lead, fleet.cores[lead].hand_over(fleet.now))
         while moments:
             disks.append(written(disks[-1], moments.pop(0)))
@@ -688,8 +688,8 @@
 
 def fault(fleet: Fleet, token: int) -> None:
     """Something that operators, relays or machines do to a keeper."""
-    every, chance, lead = sorted(fleet.disks), fleet.chance, fleet.leading()
-    one, what = every[chance.below(len(every))], chance.below(60)
+    every, rng, lead = sorted(fleet.disks), fleet.rng, fleet.leading()
+    one, what = every[rng.below(len(every))], rng.below(60)
     if one not in fleet.cores:
         if what < 20:
             fleet.start(one)
@@ -698,14 +698,14 @@
     elif what < 30:
         fleet.read(one, token)
     elif what < 33:
-        fleet.part(one, every[chance.below(len(every))])
+        fleet.part(one, every[rng.below(len(every))])
         fleet.cut = {pair for pair in fleet.cut if what == 30 or one in pair[what - 31 : what - 30]}
     elif what < 37:
         fleet.cut = set()
     elif what < 39:
         fleet.compact(one)
     elif what == 39:
-        fleet.asleep[one] = fleet.now + chance.below(2 * BOUNDS.patience)
+        fleet.asleep[one] = fleet.now + rng.below(2 * BOUNDS.patience)
     elif what == 40:
         fleet.carry(one, fleet.cores[one].hand_over(fleet.now))
     elif what < 45 and lead:
@@ -731,7 +731,7 @@
     fleet.faults = True
     for token in range(1, 600):
         fleet.step()
-        if fleet.chance.below(4) == 0:
+        if fleet.rng.below(4) == 0:
             fault(fleet, token)
     fleet.faults, fleet.cut = False, set()
     for name in set(fleet.disks) - set(fleet.cores):
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_desk.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet import session as side
 from laurelcourse.fleet.books import forms
 from laurelcourse.fleet.books.apply import Books
@@ -19,6 +18,7 @@
 from laurelcourse.fleet.members import Member, Members
 from laurelcourse.fleet.orders import Acts, Answer, Beat, Question, Renewed, Share, Submit, Terms
 from laurelcourse.fleet.session import Session
+from laurelcourse.prng import Prng
 
 MS = 1_000
 RATE = forms.Budget("tries", forms.RATE, 100, 10, 4, 0, 0)
@@ -40,7 +40,7 @@
 
 
 def opened(at: int = 0, terms: Terms = TERMS) -> Session:
-    one = Session("r", "s", terms, Chance(1), at)
+    one = Session("r", "s", terms, Prng(1), at)
     one.orders(at)
     one.answered(at, at, (Done(FENCE),))
     return one
@@ -108,7 +108,7 @@
 
 
 def test_openings_bear_one_mark_until_refused_and_pause_longer_each_time() -> None:
-    one, now, marks, pauses = Session("r", "s", TERMS, Chance(4), 0), 0, [], []
+    one, now, marks, pauses = Session("r", "s", TERMS, Prng(4), 0), 0, [], []
     for _ in range(8):
         order = one.orders(now)[0]
         marks.append(order.commands[0].mark)
@@ -261,26 +261,26 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_two_writes_as_one_leave_the_same_on_disk(seed: int) -> None:
-    chance, apart, joined, write = Chance(seed), Disk("d"), Disk("d"), None
+    rng, apart, joined, write = Prng(seed), Disk("d"), Disk("d"), None
     for step in range(1, 9):
         kept = apart.kept
         base = kept.snapshot.index if kept.snapshot else 0
         last, cut, snapshot, whole = base + len(kept.entries), 0, None, False
-        match chance.below(4):
+        match rng.below(4):
             case 0 if last > base:
-                cut = base + 1 + chance.below(last - base)
+                cut = base + 1 + rng.below(last - base)
                 last = cut - 1
             case 1 if last > base:
-                snapshot = Snapshot(base + 1 + chance.below(last - base), 1, TERMS.keepers, b"")
+                snapshot = Snapshot(base + 1 + rng.below(last - base), 1, TERMS.keepers, b"")
             case 2:
                 last, whole = last + 3, True
         if whole:
             snapshot = Snapshot(last, 1, TERMS.keepers, b"")
-        entries = tuple(Entry(last + 1 + more, step, BOOKS, b"") for more in range(chance.below(4)))
-        marks = {"b": Mark("x", step, 0)} if chance.below(2) else None
+        entries = tuple(Entry(last + 1 + more, step, BOOKS, b"") for more in range(rng.below(4)))
+        marks = {"b": Mark("x", step, 0)} if rng.below(2) else None
         apart.save(one := Write(step, "v", cut, entries, snapshot, whole, marks))
         write = merged(write, one)
-        if chance.below(3) == 0:
+        if rng.below(3) == 0:
             joined.save(write)
             write = None
             assert joined.kept == apart.kept
@@ -338,9 +338,9 @@
         self.until(lambda: any(desk.lead for desk in self.desks.values()))
 
     def start(self, name: str) -> None:
-        chance = Chance(ord(name) + self.now)
+        rng = Prng(ord(name) + self.now)
         self.desks[name] = Desk(
-            name, "s", self.terms, chance, self.disks[name].kept, self.now, encode=encode, decode=decode
+            name, "s", self.terms, rng, self.disks[name].kept, self.now, encode=encode, decode=decode
         )
 
     def leader(self) -> Desk:
@@ -638,8 +638,8 @@
         value = getattr(one, name)
         setattr(new, name, value.copy() if isinstance(value, dict | list) else value)
     if isinstance(one, Session):
-        new.chance = Chance(0)
-        new.chance.word = one.chance.word
+        new.rng = Prng(0)
+        new.rng.word = one.rng.word
     return new
 
 
@@ -681,7 +681,7 @@
         self.prompt, self.until = prompt, until
         self.now, self.books, self.live, self.lapses = 0, Books(), {}, ()
         self.books.apply(1, Batch(0, 1, (Command(None, 0, forms.Define(SMALL.budgets)),)))
-        self.relays = [Session(f"r{one}", "", SMALL, Chance(one), 0) for one in (0, 1)]
+        self.relays = [Session(f"r{one}", "", SMALL, Prng(one), 0) for one in (0, 1)]
         self.requests, self.heard, self.answers = [()] * 2, [None] * 2, [()] * 2
         self.paused, self.left = False, ("pause", "restart", "lead")
         self.act()
@@ -813,7 +813,7 @@
     def restart(self) -> None:
         self.left = tuple(one for one in self.left if one != "restart")
         self.paused, self.answers[0] = False, ()
-        self.relays[0] = Session("r0", "", SMALL, Chance(7), self.now)
+        self.relays[0] = Session("r0", "", SMALL, Prng(7), self.now)
         self.act()
 
     def lapse(self) -> None:
@@ -922,15 +922,15 @@
     """How often the relay thought its lease usable when the books no longer had its session. Clocks run
     `holder` and `keeper` parts of a million fast; messages take their time or get lost, both sides pause.
     `handed_on`: orders go by a third, twice, and it sleeps on each for up to a lease."""
-    chance, terms, faults, true = Chance(seed), TERMS, 0, 0
-    fleet, relay = Fleet("a", terms), Session("r", "", terms, Chance(seed + 1), 0)
+    rng, terms, faults, true = Prng(seed), TERMS, 0, 0
+    fleet, relay = Fleet("a", terms), Session("r", "", terms, Prng(seed + 1), 0)
     start, resumes, under_way, asked = fleet.now, [0, 0], [], {}
     for _ in range(900):
-        true += 1 + chance.below(30 * MS)
+        true += 1 + rng.below(30 * MS)
         mine, theirs = (true + true * rate // 1_000_000 for rate in (holder, keeper))
         for place in (0, 1):
-            if chance.below(50) == 0:
-                resumes[place] = true + chance.below(2 * terms.lease)
+            if rng.below(50) == 0:
+                resumes[place] = true + rng.below(2 * terms.lease)
         if true >= resumes[1]:
             for when, order in [one for one in under_way if one[0] <= true]:
                 under_way.remove((when, order))
@@ -941,14 +941,12 @@
         if true >= resumes[0]:
             live = fleet.desks["a"].books.sessions()
             faults += relay.usable(mine) and all(one.fence != relay.fence for one in live)
-            for token in [token for token in asked if token in fleet.answers and chance.below(3)]:
+            for token in [token for token in asked if token in fleet.answers and rng.below(3)]:
                 relay.answered(mine, asked.pop(token), fleet.answers[token][0])
             if relay.due() <= mine:
                 times, longest = (2, terms.lease) if handed_on else (1, terms.lease // 4)
                 under_way += [
-                    (true + chance.below(longest), order)
-                    for order in relay.orders(mine) * times
-                    if chance.below(8)
+                    (true + rng.below(longest), order) for order in relay.orders(mine) * times if rng.below(8)
                 ]
     assert relay.fence is None or relay.fence.session > 1
     return faults
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -9,7 +9,6 @@
 import grpc
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet import errors, orders
 from laurelcourse.fleet.books.forms import Command, Done, Fence, GiveBack, Lapse, Open
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
@@ -23,6 +22,7 @@
 from laurelcourse.fleet.keeper.keeping import Keeping, kept_in
 from laurelcourse.fleet.orders import Terms
 from laurelcourse.fleet.wiring import clock, log
+from laurelcourse.prng import Prng
 from laurelcourse.standins.base import until
 
 DOC = Path(__file__).parent.parent / "docs" / "on-call-fleet.md"
@@ -89,9 +89,7 @@
 class Running:
     def __init__(self, folder: Path) -> None:
         def desk(kept: object) -> Desk:
-            return Desk(
-                "k1", "a", TERMS, Chance(1), kept, clock(), encode=codec.packed, decode=codec.unpacked
-            )
+            return Desk("k1", "a", TERMS, Prng(1), kept, clock(), encode=codec.packed, decode=codec.unpacked)
 
         self.limits = limits(TERMS)
         self.keeping = kept_in(folder, "agenda", "k1", 1, desk, lambda to, message: None, clock, log)
@@ -158,8 +156,8 @@
 
 
 def _garbage(size: int) -> bytes:
-    chance = Chance(size)
-    return bytes(chance.below(256) for _ in range(size))
+    rng = Prng(size)
+    return bytes(rng.below(256) for _ in range(size))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_flows.py
+++ b/tests/test_fleet_flows.py
@@ -345,7 +345,7 @@
         def begin(self, *_: object) -> None:
             begun.append("sent")
 
-        def unsent(self, *_: object) -> None:
+        def report_unsent(self, *_: object) -> None:
             begun.append("unsent")
 
     owned, leases = steps.Owned(Tries()), [True, False]
--- a/tests/test_fleet_handing.py
+++ b/tests/test_fleet_handing.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.forms import Done
 from laurelcourse.fleet.handing import Routes, Try, leader_for, time_for
 from laurelcourse.fleet.orders import Answer, Renewed
+from laurelcourse.prng import Prng
 
 REST = 100
 AWAY = Done(code="not_leader", to="b", told=(("leader", "a"),))
@@ -121,12 +121,12 @@
     routes, strange = Routes(("a", "b", "c"), 0, REST), []
 
     def lane(seed: int) -> None:
-        chance, now = Chance(seed), 0
+        rng, now = Prng(seed), 0
         tried = routes.first(now)
         for _ in range(6000):
-            now += chance.below(REST // 2)
-            hint = ("", "a", "b", "c")[chance.below(4)]
-            match chance.below(4):
+            now += rng.below(REST // 2)
+            hint = ("", "a", "b", "c")[rng.below(4)]
+            match rng.below(4):
                 case 0:
                     tried = routes.unheard(now, tried)
                 case 1:
--- a/tests/test_fleet_holder.py
+++ b/tests/test_fleet_holder.py
@@ -5,12 +5,12 @@
 import pytest
 
 from laurelcourse import interface as face
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.forms import COUNT, LEVEL, RATE, Budget, Done, Fence, GiveBack
 from laurelcourse.fleet.budgets.holder import IDLE_LEASES, USES, Holder
 from laurelcourse.fleet.keeper.forms import Bounds, Keepers
 from laurelcourse.fleet.orders import Beat, Renewed, Share, Terms
 from laurelcourse.fleet.session import Session
+from laurelcourse.prng import Prng
 
 SECOND = 1_000_000
 BUDGETS = (
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         self.now = 100 * SECOND
-        self.session = Session("r", "a", TERMS, Chance(7), self.now)
+        self.session = Session("r", "a", TERMS, Prng(7), self.now)
         self.holder = Holder(self.session, BUDGETS, self.now - 10 * SECOND)
 
     def open(self) -> "Relay":
@@ -56,20 +56,20 @@
         return beat
 
     def takes(self, name: str, key: str = "", many: int = 50) -> int:
-        return sum(self.holder.take(self.now, name, key) is True for _ in range(many))
+        return sum(self.holder.consume(self.now, name, key) is True for _ in range(many))
 
 
 def test_without_a_lease_only_floors_count_and_what_has_none_is_left_to_the_module() -> None:
     one = Relay()
-    assert [one.holder.could(one.now, name) for name in ("unknown", "cold-work")] == [None, None]
+    assert [one.holder.allows(one.now, name) for name in ("unknown", "cold-work")] == [None, None]
     assert [one.takes(name) for name in ("calls", "connections")] == [2, 1]
     one.open().beat(("calls", 7, 7), ("cold-work", 8, 8), ("connections", 3, 3))
     one.now += SECOND
     assert [one.takes(name) for name in ("calls", "connections", "cold-work")] == [9, 3, 2]  # held: 1
-    assert one.holder.could(one.now, "cold-work") is False
+    assert one.holder.allows(one.now, "cold-work") is False
     # The lease is over, and nobody has told this relay: the same calls find it out.
     one.now += TERMS.lease
-    assert one.holder.could(one.now, "cold-work") is None
+    assert one.holder.allows(one.now, "cold-work") is None
     assert [one.takes(name) for name in ("calls", "connections")] == [2, 0]
 
 
@@ -78,7 +78,7 @@
     """By its own word, or by the keepers' (it learns so by a refusal): what it held may be granted by now."""
     one = Relay().open()
     one.beat(("calls", 7, 7), ("cold-work", 8, 8), ("connections", 3, 3))
-    assert one.holder.could(one.now, "cold-work") is not None
+    assert one.holder.allows(one.now, "cold-work") is not None
     if over == "closed":
         one.session.close(one.now)
     else:
@@ -86,8 +86,8 @@
         beat = one.session.orders(one.now)[0]
         one.session.answered(one.now, beat.asked_at, Done(code="lapsed_lease"))
     assert one.now < one.holder.uses["calls"].until, "the lease would have lasted"
-    assert one.takes("calls") == 2 and one.holder.could(one.now, "cold-work") is None
-    assert [one.holder.could(one.now, "connections", amount=amount) for amount in (1, 2)] == [True, False]
+    assert one.takes("calls") == 2 and one.holder.allows(one.now, "cold-work") is None
+    assert [one.holder.allows(one.now, "connections", amount=amount) for amount in (1, 2)] == [True, False]
 
 
 def test_keys_are_apart_and_those_beyond_the_bound_share_one_floor() -> None:
@@ -103,7 +103,7 @@
     for _ in range((IDLE_LEASES + 1) * 6 + 1):
         one.beat()
     assert sorted(one.holder.uses) == ["connections/1"]
-    one.holder.back(one.now, "connections", "1")
+    one.holder.release(one.now, "connections", "1")
     for _ in range((IDLE_LEASES + 1) * 6 + 1):
         one.beat()
     assert not one.holder.uses
@@ -116,7 +116,7 @@
     one.beat(("connections", 5, 2))
     assert one.holder.give_backs(one.now) == [] and one.takes("connections") == 0  # all of it is held
     for _ in range(4):
-        one.holder.back(one.now, "connections")
+        one.holder.release(one.now, "connections")
     assert one.holder.give_backs(one.now) == [GiveBack("connections", 2)]
     assert one.holder.give_backs(one.now) == [] and one.takes("connections") == 1
     # An answer that set out before the books heard of it still tells the old share.
@@ -130,7 +130,7 @@
     one.one.heed(
         one.now,
         SimpleNamespace(
-            could=lambda *_: None, take=lambda now, name, key="": asked.append((name, key)) or told
+            allows=lambda *_: None, consume=lambda now, name, key="": asked.append((name, key)) or told
         ),
     )
     one.list((1, "a", 5, 90), (2, "a", 5, 90))
@@ -142,10 +142,10 @@
 def test_a_share_of_a_cold_units_work_takes_the_place_of_the_own_part(
     relay: type, told: bool | None, ends: str
 ) -> None:
-    one, taken = relay(relays=300), []
+    one, taken = relay(relay_count=300), []
     one.one.heed(
         one.now,
-        SimpleNamespace(could=lambda *_: told, take=lambda now, name, key="": taken.append((name, key))),
+        SimpleNamespace(allows=lambda *_: told, consume=lambda now, name, key="": taken.append((name, key))),
     )
     one.list((9, "a", 5, 0))
     assert one.req()[-1][0] == ends
@@ -166,8 +166,8 @@
     relay: type, units: int, age: float, ends: list
 ) -> None:
     """Whatever the fleet's budget says: there is no capacity that it could be a share of."""
-    one = relay(cold_share=0.0)
-    one.one.heed(one.now, SimpleNamespace(could=lambda *_: True, take=lambda *_: True))
+    one = relay(start_capacity=0.0)
+    one.one.heed(one.now, SimpleNamespace(allows=lambda *_: True, consume=lambda *_: True))
     one.list(*((unit, "a", 5, age) for unit in (8, 9)[:units]))
     end = one.req()[-1]
     assert end[0] == ends[0] and (end[0] == face.SHED or end[2] in ends)
@@ -175,8 +175,8 @@
 
 @pytest.mark.parametrize("told", [None, True])
 def test_a_warm_unit_takes_what_one_that_starts_at_nothing_can_not(relay: type, told: bool | None) -> None:
-    one = relay(cold_share=0.0)
-    one.one.heed(one.now, SimpleNamespace(could=lambda *_: told, take=lambda *_: told, back=None))
+    one = relay(start_capacity=0.0)
+    one.one.heed(one.now, SimpleNamespace(allows=lambda *_: told, consume=lambda *_: told, release=None))
     one.list((8, "a", 5, 90), (9, "a", 5, 0))
     assert [one.req()[-1][2] for _ in range(8)] == [8] * 8
 
@@ -197,7 +197,7 @@
     one, asked = relay(), []
     one.one.heed(
         one.now,
-        SimpleNamespace(could=lambda *_: None, take=lambda now, name, key="": asked.append(name) or True),
+        SimpleNamespace(allows=lambda *_: None, consume=lambda now, name, key="": asked.append(name) or True),
     )
     one.list(*((unit, "a", 5, 90) for unit in range(1, 6)))
     sent = one.req()[-1]
@@ -210,11 +210,11 @@
 def test_reqs_that_find_no_connection_leave_the_floor_of_resends_to_one_that_fails(relay: type) -> None:
     """A relay without a lease, with a floor of 4 resends a second, and units that take nothing new."""
     one, away = relay(), Relay()
-    assert away.holder.could(one.now - SECOND, "resends") is False  # a bucket begins empty
+    assert away.holder.allows(one.now - SECOND, "resends") is False  # a bucket begins empty
     one.one.heed(
         one.now,
         SimpleNamespace(
-            could=lambda *_: None, take=lambda now, name, key="": away.holder.take(now, name, key)
+            allows=lambda *_: None, consume=lambda now, name, key="": away.holder.consume(now, name, key)
         ),
     )
     one.list(*((unit, "a", 5, 90) for unit in range(1, 6)))
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_moves.py
@@ -10,7 +10,6 @@
 import pytest
 from conftest import ROOT
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet import terms
 from laurelcourse.fleet.books import forms
 from laurelcourse.fleet.books.state import SLICE
@@ -24,6 +23,7 @@
 from laurelcourse.fleet.wiring import clock, shown
 from laurelcourse.lab.host import Host
 from laurelcourse.operator import reading
+from laurelcourse.prng import Prng
 from laurelcourse.standins.base import until
 from laurelcourse.standins.ports import reserve_port
 
@@ -58,7 +58,7 @@
             {one.name: shown(one.address) for one in settings.keepers},
             self.limits,
             clock,
-            Chance(1),
+            Prng(1),
         )
 
     def close(self) -> None:
--- a/tests/test_fleet_plain.py
+++ b/tests/test_fleet_plain.py
@@ -8,10 +8,10 @@
 from conftest import SECOND, SETTINGS, Served, until
 
 from laurelcourse import interface as face
-from laurelcourse.chance import Chance
-from laurelcourse.net.choices import Choices
 from laurelcourse.net.counters import Counters
-from laurelcourse.net.forms import State
+from laurelcourse.net.dispatcher import Dispatcher
+from laurelcourse.net.payloads import BuildState
+from laurelcourse.prng import Prng
 from laurelcourse.rules import Balancer
 from laurelcourse.standins.postgres import sql
 
@@ -88,8 +88,8 @@
 def played(seed: int) -> tuple[list[tuple], list[tuple], list[tuple]]:
     """A script of reqs, lists, news and time through `Choices`: what came from outside, by call; what the
     Balancer heard and gave; what was carried out."""
-    scheduler, chance, carried, outside = Still(), Chance(seed), [], []
-    choices = Choices(scheduler, SETTINGS, seed, Counters())
+    scheduler, rng, carried, outside = Still(), Prng(seed), [], []
+    choices = Dispatcher(scheduler, SETTINGS, seed, Counters())
     choices.balancer = heard = Heard(choices.balancer)
     for verb in (face.PROBE, face.TELL, face.WATCH, face.VOTE, face.NOTE):
         choices.on(verb, lambda *args, verb=verb: carried.append((verb, *args)))
@@ -119,31 +119,31 @@
             for unit in range(1, 7)
         ]
 
-    known, news = units(5), State(5, 0, face.RELEASED, 1.0, 0)
+    known, news = units(5), BuildState(5, 0, face.RELEASED, 1.0, 0)
     told("start")
     told("directory", face.CACHED, known)
     told("stage", news.build, news.stage, news.standing, False, face.COUNTED, news.cap, news.since)
     choices.start(known, news)
     for step in range(600):
-        scheduler.time += 1 + chance.below(SECOND // 20)
+        scheduler.time += 1 + rng.below(SECOND // 20)
         due = [one for one in scheduler.waiting if one[0] <= scheduler.time]
         scheduler.waiting = [one for one in scheduler.waiting if one[0] > scheduler.time]
         for _, work in due:
             told("timer", "beat")
             work()
         if step % 150 == 75:
-            choices.directory(*told("directory", face.WHOLE, units(6)))
-            news = State(6, 0, face.ON_TRIAL, 0.3, scheduler.time)
+            choices.directory(*told("directory", face.FULL_LIST, units(6)))
+            news = BuildState(6, 0, face.ON_TRIAL, 0.3, scheduler.time)
             told("stage", news.build, news.stage, news.standing, False, face.COUNTED, news.cap, news.since)
             choices.stage(news)
-        if chance.below(2):
-            name, route = f"r{step}", ("read", "mark", "once")[chance.below(3)]
-            choices.expect(name, Box(hear))
+        if rng.below(2):
+            name, route = f"r{step}", ("read", "mark", "once")[rng.below(3)]
+            choices.register(name, Box(hear))
             told("new_req", name, route, "", None, 2 * SECOND, False)
-            choices.take(name, route, None, 2 * SECOND, False)
+            choices.new_req(name, route, None, 2 * SECOND, False)
         elif under_way:
-            req, number, unit = under_way.pop(chance.below(len(under_way)))
-            status = (face.OK, face.OK, face.OK, face.BUSY, face.FAILED, face.TIMEOUT)[chance.below(6)]
+            req, number, unit = under_way.pop(rng.below(len(under_way)))
+            status = (face.OK, face.OK, face.OK, face.BUSY, face.FAILED, face.TIMEOUT)[rng.below(6)]
             choices.outcome(*told("outcome", req, number, unit, status, 50_000, status == face.OK, {}))
     return outside, heard.calls, carried
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -10,7 +10,6 @@
 
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import Command, Done, Fence, GiveBack, Open
 from laurelcourse.fleet.calls import codec
@@ -26,6 +25,7 @@
 from laurelcourse.lab.host import Host
 from laurelcourse.lab.process import RelayProcess
 from laurelcourse.operator import reading
+from laurelcourse.prng import Prng
 from laurelcourse.standins import way
 from laurelcourse.standins.base import until
 from laurelcourse.standins.way import Mode
@@ -59,7 +59,7 @@
             {name: f"{at[0]}:{at[1]}" for name, at in host.at.items()},
             limits(self.terms),
             clock,
-            Chance(9),
+            Prng(9),
         )
 
     def answered(self, give: Callable, order: object) -> Answer | FleetError:
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -16,7 +16,6 @@
 
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet import errors
 from laurelcourse.fleet.books.forms import Batch, Command, Done, Fence, Open
 from laurelcourse.fleet.keeper.desk import Desk
@@ -24,6 +23,7 @@
 from laurelcourse.fleet.keeper.keeping import Aside, Keeping, kept_in
 from laurelcourse.fleet.keeper.store import FILE, Store, read_log, read_marks, read_snapshot
 from laurelcourse.fleet.orders import Acts, Note, Submit, Terms
+from laurelcourse.prng import Prng
 
 VOTERS = Keepers(("a", "b"), ("c",))
 ROOT = Path(__file__).parent.parent
@@ -98,27 +98,27 @@
 
 
 def test_any_sequence_of_writes_is_read_as_it_was_given(tmp_path: Path) -> None:
-    chance, one, term, snapshot, marks = Chance(3), opened(tmp_path), 1, None, {}
+    rng, one, term, snapshot, marks = Prng(3), opened(tmp_path), 1, None, {}
     entries: list[Entry] = []
     for step in range(150):
         first = snapshot.index if snapshot else 0
         last, cut, whole, new = first + len(entries), 0, False, None
-        if chance.below(6) == 0 and last:
-            whole = chance.below(3) == 0
-            at = last + 1 + chance.below(5) if whole else first + chance.below(last - first + 1)
+        if rng.below(6) == 0 and last:
+            whole = rng.below(3) == 0
+            at = last + 1 + rng.below(5) if whole else first + rng.below(last - first + 1)
             of = term if whole or at > last else next((e.term for e in entries if e.index == at), 0)
             new = Snapshot(at, of or snapshot.term, VOTERS, b"s" * step) if at else None
         if new:
             snapshot, entries = new, [] if whole else [e for e in entries if e.index > new.index]
             first, last = new.index, max(last, new.index) if not whole else new.index
-        if chance.below(4) == 0 and last > first:
-            cut = first + 1 + chance.below(last - first)
+        if rng.below(4) == 0 and last > first:
+            cut = first + 1 + rng.below(last - first)
             entries = [e for e in entries if e.index < cut]
             last = cut - 1
-        term += chance.below(2)
-        more = tuple(entry(last + 1 + at, term, chance.below(3000)) for at in range(chance.below(4)))
+        term += rng.below(2)
+        more = tuple(entry(last + 1 + at, term, rng.below(3000)) for at in range(rng.below(4)))
         entries += more
-        marks = {f"k{chance.below(5)}": Mark("d", term, step)} | marks if chance.below(3) == 0 else marks
+        marks = {f"k{rng.below(5)}": Mark("d", term, step)} | marks if rng.below(3) == 0 else marks
         one.save(Write(term, f"v{term}", cut, more, new, whole, marks))
         if step % 10 == 9:
             one.close()
@@ -191,10 +191,10 @@
     filled(tmp_path / "whole").close()
     (tmp_path / "hurt").mkdir()
     raw, want = (tmp_path / "whole" / FILE).read_bytes(), kept(tmp_path / "whole")
-    chance, refused = Chance(5), 0
+    rng, refused = Prng(5), 0
     for turn in range(240):
-        at, hurt = chance.below(len(raw)), bytearray(raw)
-        hurt[at] ^= 1 << chance.below(8)
+        at, hurt = rng.below(len(raw)), bytearray(raw)
+        hurt[at] ^= 1 << rng.below(8)
         (tmp_path / "hurt" / FILE).unlink(missing_ok=True)  # ext4 syncs a file that is overwritten
         (tmp_path / "hurt" / FILE).write_bytes((hurt, raw[:at], raw[: at - at % 512])[max(turn - 200, 0) % 3])
         try:
@@ -253,7 +253,7 @@
 def test_a_write_that_a_crash_cut_off_is_taken_back_wherever_it_stood(tmp_path: Path) -> None:
     """With its journal, some of its pages written, the last of them to any length; and a journal cut off, as
     no disk that keeps its word leaves it."""
-    one, chance = filled(tmp_path / "a"), Chance(9)
+    one, rng = filled(tmp_path / "a"), Prng(9)
     old, before = (tmp_path / "a" / FILE).read_bytes(), kept_by(one)
     real, one.db = one.db, Amid(one.db, tmp_path / "a", tmp_path / "amid")
     real.execute("PRAGMA cache_size = 1")  # pages go to the file before the end
@@ -266,7 +266,7 @@
     hurt.mkdir()
     for turn in range(60):
         whole = turn < 40
-        at = chance.below(len(amid)) if whole else chance.below(len(journal))
+        at = rng.below(len(amid)) if whole else rng.below(len(journal))
         (hurt / FILE).write_bytes(amid[:at] + old[at:] if whole else amid)
         (hurt / f"{FILE}-journal").write_bytes(journal if whole else journal[:at])
         try:
@@ -314,7 +314,7 @@
 
 
 def test_whatever_was_acknowledged_outlives_kill_9_and_a_failing_disk(tmp_path: Path) -> None:
-    chance, last, told, fault = Chance(11), 0, tmp_path / "told", tmp_path / "fault"
+    rng, last, told, fault = Prng(11), 0, tmp_path / "told", tmp_path / "fault"
     for turn in range(int(os.environ.get("KILLS", "8"))):
         limit = 0 if turn else 40_000  # bytes that a file may have, once: a failing write, told as such
         order = [sys.executable, "-c", CHILD, str(tmp_path), str(limit)]
@@ -324,9 +324,9 @@
             subprocess.Popen(order, cwd=ROOT, stdout=out, stderr=err) as one,
         ):
             try:
-                lines = 1 + chance.below(12)
+                lines = 1 + rng.below(12)
                 until(lambda: one.poll() is not None or told.read_text().count("\n") >= lines)  # noqa: B023
-                time.sleep(chance.below(3000) / 1e6)  # the moment of the fault, anywhere between two writes
+                time.sleep(rng.below(3000) / 1e6)  # the moment of the fault, anywhere between two writes
             finally:
                 one.kill() if turn else one.wait(10)
         assert turn or errors.DiskFailedError.__name__ in fault.read_text()
@@ -535,7 +535,7 @@
             "f",
             "a",
             1,
-            lambda kept: Desk("a", "s", terms, Chance(1), kept, clock(), encode=encode, decode=decode),
+            lambda kept: Desk("a", "s", terms, Prng(1), kept, clock(), encode=encode, decode=decode),
             lambda to, message: None,
             clock,
             logging.getLogger("alone"),
--- a/tests/test_fleet_transfers.py
+++ b/tests/test_fleet_transfers.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books import forms, reservations
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import (
@@ -28,6 +27,7 @@
 from laurelcourse.fleet.books.state import GRACE, SLICE
 from laurelcourse.fleet.keeper.moving import Moving
 from laurelcourse.fleet.transfers import best, pace, plan
+from laurelcourse.prng import Prng
 
 SITES, ON = "abc", {"a>b": 90, "a>c": 70, "b>a": 60, "b>c": 60, "c>a": 80, "c>b": 60, "a": 3, "b": 2, "c": 3}
 PLACES = Places(
@@ -41,7 +41,7 @@
     """Random commands; what is reserved is counted here from the commands that were taken alone."""
 
     def __init__(self, seed: int) -> None:
-        self.chance, self.books, self.at, self.index, self.mark = Chance(seed), Books(), 0, 0, 0
+        self.rng, self.books, self.at, self.index, self.mark = Prng(seed), Books(), 0, 0, 0
         self.jobs: dict[str, list] = {}  # job, pieces, proven, owner, recalled
         self.cap = {name: [amount] * 4000 for name, amount in ON.items()}
         self.wrong, self.taken, self.committed, self.log = Counter(), Counter(), Counter(), []
@@ -101,7 +101,7 @@
             self.wrong["over_not_told"] += over != (name in self.books.over())
 
     def pieces(self, job: Job) -> tuple[Stretch, ...]:
-        below, made, first = self.chance.below, [], max(self.at, job.earliest) // S + 1
+        below, made, first = self.rng.below, [], max(self.at, job.earliest) // S + 1
         third = next(one for one in SITES if one not in (job.origin, job.to))
         for _ in range(1 + below(3)):
             way = (job.origin, third, job.to) if below(40) == 0 else (job.origin, job.to)
@@ -111,7 +111,7 @@
         return tuple(made)
 
     def step(self) -> None:
-        below = self.chance.below
+        below = self.rng.below
         self.at += below(S // 3)
         now, kind = self.at // S, below(100)
         fence = self.fences[-1 - below(len(self.fences))]
@@ -346,18 +346,18 @@
 
 
 def instance(seed: int, jobs: int, grains: int = 24, load: int = 100) -> tuple[plan.Room, list[plan.Want]]:
-    chance, grain = Chance(seed), 300
+    rng, grain = Prng(seed), 300
     links = {
-        f"{x}>{y}": (10_000_000 + chance.below(20_000_000),) * grains for x in SITES for y in SITES if x != y
+        f"{x}>{y}": (10_000_000 + rng.below(20_000_000),) * grains for x in SITES for y in SITES if x != y
     }
     room = plan.Room(0, grain, S, links, {site: (8,) * grains for site in SITES})
     mean = sum(sum(one) for one in links.values()) * grain * load // 100 // jobs
     made = []
     for number in range(jobs):
-        x, size = chance.below(3), mean * (50 + chance.below(100)) // 100
-        first = chance.below(grains * 2 // 3)
-        last = min(grains, first + 2 + chance.below(grains // 2))
-        to, earnings = (x + 1 + chance.below(2)) % 3, size // 1_000_000 * (50 + chance.below(150)) // 100 + 1
+        x, size = rng.below(3), mean * (50 + rng.below(100)) // 100
+        first = rng.below(grains * 2 // 3)
+        last = min(grains, first + 2 + rng.below(grains // 2))
+        to, earnings = (x + 1 + rng.below(2)) % 3, size // 1_000_000 * (50 + rng.below(150)) // 100 + 1
         job = Job(
             f"j{number:03}",
             "f",
@@ -367,7 +367,7 @@
             first * grain * S,
             last * grain * S,
             earnings,
-            1 + chance.below(2),
+            1 + rng.below(2),
         )
         made.append(plan.wanted(room, job))
     return room, made
@@ -593,7 +593,7 @@
     RATE, SLOTS, STEP = 256 << 10, 2, 50_000
 
     def __init__(self, seed: int) -> None:
-        self.books, self.moving, self.chance, self.now, self.count = Books(), Moving(), Chance(seed), 0, 0
+        self.books, self.moving, self.rng, self.now, self.count = Books(), Moving(), Prng(seed), 0, 0
         self.give(
             None,
             Places(
@@ -602,7 +602,7 @@
             ),
         )
         self.fences = {name: Fence(*self.give(None, forms.Open(name, name)).value) for name in SITES}
-        below = self.chance.below
+        below = self.rng.below
         self.jobs: dict[str, Job] = {}
         for at in range(18):
             x = below(3)
@@ -634,7 +634,7 @@
             if not due or not size:
                 del self.sends[name]
                 return
-            when = max(due, at) + self.chance.below(15_000)
+            when = max(due, at) + self.rng.below(15_000)
             if when > self.now:
                 return
             self.moved[name] += size * rate.take(when, size)
@@ -703,23 +703,23 @@
 
 def test_a_sender_that_wakes_late_carries_what_is_reserved() -> None:
     send = pace.sender((Stretch(0, 5, 256 << 10, ("a", "b")),), S, 0, 16 << 10)
-    chance, now, sent = Chance(3), 0, 0
+    rng, now, sent = Prng(3), 0, 0
     while due := send.due(now, 16 << 10):
-        now = due + chance.below(30_000)
+        now = due + rng.below(30_000)
         sent += (16 << 10) * send.take(now, 16 << 10)
     assert 0.97 * 5 * (256 << 10) < sent <= 5 * (256 << 10)
 
 
 def test_a_sender_keeps_to_the_rate_and_a_receiver_refuses_what_goes_beyond() -> None:
-    pieces, chance = (Stretch(1, 3, 1_000, ("a", "b")), Stretch(2, 5, 3_000, ("a", "c", "b"))), Chance(7)
+    pieces, rng = (Stretch(1, 3, 1_000, ("a", "b")), Stretch(2, 5, 3_000, ("a", "c", "b"))), Prng(7)
     send, hear, fast = (make(pieces, S, 0, 64) for make in (pace.sender, pace.receiver, pace.receiver))
     sent = now = fast_taken = 0
     by_second = Counter()
     while now < 6 * S:
-        now += 1 + chance.below(30_000)
+        now += 1 + rng.below(30_000)
         size = min(64, send.room(now))
         if send.take(now, size):
-            assert hear.take(now + chance.below(1_000), size)
+            assert hear.take(now + rng.below(1_000), size)
             sent, by_second[now // S] = sent + size, by_second[now // S] + size
         fast_taken += 64 * fast.take(now, 64) + 64 * fast.take(now, 64) + 64 * fast.take(now, 64)
     assert by_second[0] == by_second[5] == 0 and sent > 0
--- a/tests/test_fleet_workflows.py
+++ b/tests/test_fleet_workflows.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from laurelcourse.chance import Chance
 from laurelcourse.fleet.books import forms as f
 from laurelcourse.fleet.books import workflows as w
 from laurelcourse.fleet.books.apply import Books
@@ -14,6 +13,7 @@
 from laurelcourse.fleet.workflows import definition as d
 from laurelcourse.fleet.workflows import run as r
 from laurelcourse.fleet.workflows.takeover import Pace, Takeover, rank
+from laurelcourse.prng import Prng
 from laurelcourse.settings import DEDUPED, NON_RETRIABLE
 
 MS = 1000
@@ -199,7 +199,7 @@
 
 class World:
     def __init__(self, seed: int, lease_check: bool = True) -> None:
-        self.c, self.now, self.books, self.lease_check = Chance(seed), 0, Books(), lease_check
+        self.c, self.now, self.books, self.lease_check = Prng(seed), 0, Books(), lease_check
         self.seen = dict.fromkeys(CHECKS, 0)
         self.relays = [Relay(name) for name in "abc"]
         self.bound: dict[int, int] = {}
@@ -220,7 +220,7 @@
         self.number = self.do(self.relays[0], f.Begin("firm", "m", self.definition)).value[0]
         self.client, self.told = r.Waiting(self.number, self.definition.timeout), []
 
-    def chance(self, share: int = 0) -> bool:
+    def rng(self, share: int = 0) -> bool:
         return self.now < self.calm and self.c.below(100) < (share or self.bad)
 
     def do(self, relay: Relay | None, what: f.What, mark: int = 0, fence: f.Fence | None = None) -> f.Done:
@@ -251,9 +251,9 @@
 
     def faults(self, relay: Relay) -> None:
         """At every point between two acts of a relay: it may sleep past its lease, or be killed."""
-        if self.chance(self.bad // 8 + 1):
+        if self.rng(self.bad // 8 + 1):
             relay.wakes = self.now + self.c.below(12 * LEASE)
-        elif self.chance(self.bad // 16 + 1):
+        elif self.rng(self.bad // 16 + 1):
             relay.runs, relay.events, relay.until, relay.fence = {}, [], 0, None
             relay.wakes = self.now + self.c.below(2 * LEASE)
 
@@ -271,7 +271,7 @@
         for relay in self.relays:
             if self.now >= relay.wakes:
                 self.relay(relay)
-        if self.now >= self.leaves and self.chance(20):
+        if self.now >= self.leaves and self.rng(20):
             self.do(self.relays[self.c.below(3)], f.Leave(self.number, f.LEFT))
         told = self.client.look(self.now, self.books.workflow(self.number))
         self.told += [told] if told else []
@@ -288,7 +288,7 @@
             return
         if relay.fence and relay.fence.session in self.bound:
             me = relay.fence.session
-            if not self.chance():
+            if not self.rng():
                 relay.until, self.bound[me] = self.now + LEASE - 1, self.now + LEASE + 1
         else:
             self.open(relay)
@@ -302,13 +302,13 @@
                 self.do(relay, adopt)
         for one in owned:
             if one not in relay.runs or relay.runs[one].state == r.OVER:
-                relay.runs[one] = r.Run(one, Chance(self.c.below(1 << 30)))
+                relay.runs[one] = r.Run(one, Prng(self.c.below(1 << 30)))
         for number, run in sorted(relay.runs.items()):
             self.carry(
                 relay,
                 run,
                 run.step(
-                    self.now, self.books.workflow(number), me, self.usable(relay), lambda: not self.chance()
+                    self.now, self.books.workflow(number), me, self.usable(relay), lambda: not self.rng()
                 ),
                 me,
             )
@@ -319,7 +319,7 @@
             if type(effect) is r.Write:
                 relay.marks += 1
                 write = partial(self.write, relay, run, effect.what, relay.marks, relay.fence)
-                if self.chance(self.bad // 2 + 1):
+                if self.rng(self.bad // 2 + 1):
                     self.late.append((self.now + self.c.below(8 * LEASE), write))
                 else:
                     write()
@@ -345,12 +345,12 @@
             self.seen["undo_of_never_ran"] += never
         step = self.definition.steps[what.step]
         fate, runs = f.COMPLETED, True
-        if self.chance():
+        if self.rng():
             fate, runs = f.NEVER_RAN, False
-        elif self.chance() and (what.undo or step.fails != d.NEVER):
+        elif self.rng() and (what.undo or step.fails != d.NEVER):
             fate, runs = f.FAILED, False
-        lost = self.chance()
-        longest = send.until if self.chance() else min(send.until, self.now + 60 * MS)
+        lost = self.rng()
+        longest = send.until if self.rng() else min(send.until, self.now + 60 * MS)
         at = self.now + self.c.below(longest - self.now + 1)
         runs = runs and not (lost and self.c.below(2))
         self.reqs.append(Req(at, send, what, relay, run, fate, runs, not lost))
@@ -535,19 +535,19 @@
     view = it.books.workflow(1)
 
     def first(left_at: int, now: int = 0, may: bool = True) -> tuple[r.Effect, ...]:
-        return r.Run(1, Chance(3), left_at).step(now, view, 1, True, lambda: may)
+        return r.Run(1, Prng(3), left_at).step(now, view, 1, True, lambda: may)
 
     # A step and its undo take 200 ms.
     assert first(200 * MS) == (r.Write(f.Intend(1, 0, False, 1)),)
     assert first(200 * MS - 1) == (r.Write(f.Leave(1, f.LATE)),)
-    gone = r.Run(1, Chance(3))
+    gone = r.Run(1, Prng(3))
     gone.client_left()
     assert gone.step(0, view, 1, True, bool) == (r.Write(f.Leave(1, f.LEFT)),)
     for order in ("do a 0 1", "do a 0 1 unknown"):
         it.say(order)
-    waits, chance = [], Chance(5)
+    waits, rng = [], Prng(5)
     for tried in range(3):
-        view, run = it.books.workflow(1), r.Run(1, chance)
+        view, run = it.books.workflow(1), r.Run(1, rng)
         assert run.step(0, view, 1, True, lambda: False) == () and run.state == r.WAITING
         assert run.step(run.due() - 1, view, 1, True, lambda: True) == ()
         waits.append(run.due())
@@ -555,7 +555,7 @@
         it.say(f"undo a 0 {tried + 1}"), it.say(f"undo a 0 {tried + 1} failed")
     assert all(5 * MS << at <= wait <= 10 * MS << at for at, wait in enumerate(waits)), waits
     # Stuck: it waits for an operator's word, and the client is told in time, once.
-    view, run, client = it.books.workflow(1), r.Run(1, chance), r.Waiting(1, 50)
+    view, run, client = it.books.workflow(1), r.Run(1, rng), r.Waiting(1, 50)
     assert run.step(0, view, 1, True, lambda: True) == () and run.due() == BOOKING.longest
     assert client.look(49, view) is None
     told = client.look(50, view)
@@ -583,7 +583,7 @@
     it, undone = scripted("booking", *orders.split("; ")), []
     while it.books.workflow(1).state == w.UNDOING:
         # As if it were taken over before each undo: the books alone say what is next.
-        (write,) = r.Run(1, Chance(1)).step(0, it.books.workflow(1), 1, True, lambda: True)
+        (write,) = r.Run(1, Prng(1)).step(0, it.books.workflow(1), 1, True, lambda: True)
         assert write.what.undo and it.do("a", write.what).code == ""
         assert it.do("a", f.Result(1, write.what.step, True, 1, f.COMPLETED)).code == ""
         undone.append(write.what.step)
@@ -595,7 +595,7 @@
     begun = it.books.workflow(1)
 
     def sent(usable: bool) -> tuple[r.Run, tuple[r.Effect, ...]]:
-        run = r.Run(1, Chance(1))
+        run = r.Run(1, Prng(1))
         assert run.step(0, begun, 1, True, lambda: True) == (r.Write(f.Intend(1, 0, False, 1)),)
         return run, run.wrote(0, f.Done(("id", "key")), begun, 1, usable)
 
@@ -613,7 +613,7 @@
     run, effects = sent(False)
     assert effects == () and run.step(1, view, 1, True, bool) == (lost,)
     # A try of the owner before may still run until its time is over.
-    run, taken = r.Run(1, Chance(1)), view._replace(owner=2)
+    run, taken = r.Run(1, Prng(1)), view._replace(owner=2)
     assert run.step(7, taken, 2, True, bool) == () and run.due() == 7 + 100 * MS
     assert run.step(7 + 100 * MS, taken, 2, True, bool) == (lost,)
     # So the client hears of it.
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,17 +10,17 @@
 from laurelcourse import interface as face
 from laurelcourse.fronts.postgres import wire as postgres
 from laurelcourse.fronts.postgres.exchange import Exchange
-from laurelcourse.net import forms, http
+from laurelcourse.net import http, payloads
 from laurelcourse.net.counters import Counters
+from laurelcourse.net.idle_limit import IdleLimit
 from laurelcourse.net.limits import limits
-from laurelcourse.net.lists import Lists
+from laurelcourse.net.membership import MembershipFilter
 from laurelcourse.net.pool import Pool
-from laurelcourse.net.req import GONE, Lives
-from laurelcourse.net.rests import Rests
+from laurelcourse.net.req import GONE, ReqLifecycle
 from laurelcourse.net.scheduler import IO, LATE, MAIL, READ, SHUT, Clock, Mailbox, Scheduler
-from laurelcourse.net.stopping import DRAINING, LEAVING, OVER, SERVING, Stop
-from laurelcourse.net.tries import OUTCOME, Tries
-from laurelcourse.settings import Tree
+from laurelcourse.net.shutdown import DRAINING, LEAVING, OVER, SERVING, Shutdown
+from laurelcourse.net.tries import OUTCOME, TryRunner
+from laurelcourse.settings import SettingsTree
 from laurelcourse.standins.base import STAND_IN
 from laurelcourse.standins.postgres import IDLE, ROW, UnitStand, failure, pg, sql
 from laurelcourse.standins.settings import OUTSIDE
@@ -47,7 +47,7 @@
             found = http.Response(100)
             for piece in pieces:
                 found.feed(piece)
-            found.ended()
+            found.end_of_stream()
             assert found.done and found.head.status == status and found.take() == body
 
 
@@ -84,21 +84,21 @@
     )
     whole = [("one", "a=1&b=2"), ("two", "x\ny"), ("three", "z")]
     for cut in range(len(raw) + 1):
-        events = http.Events(100)
+        events = http.EventParser(100)
         assert events.feed(raw[:cut]) + events.feed(raw[cut:]) == whole
     for bad in (bytes(101), b"evont: one\n", b"event: o\xffe\n", b"data: x\n\n", b"event: O*E\ndata: x\n\n"):
         with pytest.raises(http.HttpError):
-            http.Events(100).feed(bad)
+            http.EventParser(100).feed(bad)
 
 
 def test_frames_wait_for_their_last_byte() -> None:
     raw = pg(b"Q", b"text\0")
     for end in range(len(raw)):
-        assert postgres.frame(raw, 0, end, 100) is None
-    assert postgres.frame(raw + b"X", 0, len(raw) + 1, 100) == (ord("Q"), 5, len(raw))
-    assert postgres.frame(pg(b"Q", bytes(200))[:5], 0, 5, 100).end == 205
+        assert postgres.parse_frame(raw, 0, end, 100) is None
+    assert postgres.parse_frame(raw + b"X", 0, len(raw) + 1, 100) == (ord("Q"), 5, len(raw))
+    assert postgres.parse_frame(pg(b"Q", bytes(200))[:5], 0, 5, 100).end == 205
     with pytest.raises(postgres.ProtocolError):
-        postgres.frame(b"Q\0\0\0\3", 0, 5, 100)
+        postgres.parse_frame(b"Q\0\0\0\3", 0, 5, 100)
 
 
 @pytest.mark.parametrize(
@@ -113,7 +113,7 @@
 )
 def test_a_units_answer(raw: bytes, whole: bytes | None, code: str, ready: bool) -> None:
     answer, at = postgres.Answer(), 0
-    while found := postgres.frame_of_unit(raw, at, len(raw), 1000):
+    while found := postgres.parse_unit_frame(raw, at, len(raw), 1000):
         answer.take(raw[at : found.end], "gauges")
         at = found.end
     assert (answer.whole(), answer.code, answer.ready) == (whole, code, ready)
@@ -153,7 +153,7 @@
 def test_a_spoilt_answer_is_refused_before_it_is_whole(raw: bytes) -> None:
     answer, at = postgres.Answer(), 0
     with pytest.raises(postgres.ProtocolError):
-        while found := postgres.frame_of_unit(raw, at, len(raw), 1000):
+        while found := postgres.parse_unit_frame(raw, at, len(raw), 1000):
             answer.take(raw[at : found.end], "gauges")
             at = found.end
 
@@ -173,7 +173,7 @@
     ],
 )
 def test_a_load_report_is_taken_whole_or_not_at_all(words: str, load: dict) -> None:
-    assert postgres.report(words) == load
+    assert postgres.parse_load_report(words) == load
 
 
 @pytest.mark.parametrize(
@@ -204,11 +204,11 @@
 def test_a_list_is_taken_whole_or_not_at_all(change: dict) -> None:
     one = {"id": "s", "host_port": "h:1", "locality": "a", "phase": "active", "revision_no": 1}
     root = {"revision": 1, "complete": True, "members": [one]}
-    assert len(forms.members(root).entries) == 1
+    assert len(payloads.parse_unit_list(root).entries) == 1
     for name, value in change.items():
         (root if name in root else one)[name] = value
-    with pytest.raises(forms.FormError):
-        forms.members(forms.decoded(json.dumps(root).encode()))
+    with pytest.raises(payloads.PayloadError):
+        payloads.parse_unit_list(payloads.parse_json(json.dumps(root).encode()))
 
 
 @pytest.mark.parametrize(
@@ -229,25 +229,25 @@
 )
 def test_no_number_out_of_range_is_told(name: str, value: str | None) -> None:
     fields = {"build": "42", "stage": "1", "phase": "Progressing", "cap": "0.28", "age_ms": "310"}
-    assert forms.state(fields).since == 310_000
-    with pytest.raises(forms.FormError):
-        forms.state(fields | {name: value})
+    assert payloads.parse_build_state(fields).since == 310_000
+    with pytest.raises(payloads.PayloadError):
+        payloads.parse_build_state(fields | {name: value})
 
 
 def test_a_statement_passes_on_but_for_its_time() -> None:
     text = sql("mark", 480, ",r=1,novel=7")
     for words in (text, text.replace("/* id", "/*d=480,id").replace(",d=480,r", ",r").replace(" */", "*/")):
-        found = postgres.statement(words.encode())
+        found = postgres.parse_statement(words.encode())
         assert (found.route, found.left_ms, found.mark, found.repeated) == (
             "mark",
             480,
             "5c0f6e1a2b3d4c59",
             True,
         )
-        assert found.waiting(17) == pg(b"Q", words.replace("d=480", "d=17").encode() + b"\0")
+        assert found.with_wait(17) == pg(b"Q", words.replace("d=480", "d=17").encode() + b"\0")
     for words in (text.replace(",r=1", ",d=1"), text.replace(",r=1", ",r"), text.replace(",r=1", ", d=1")):
         with pytest.raises(postgres.ProtocolError):
-            postgres.statement(words.encode())
+            postgres.parse_statement(words.encode())
 
 
 @pytest.mark.parametrize(
@@ -257,13 +257,17 @@
             200,
             "<Response><results><item><build>42</build><stage>1</stage><phase>Aborting</phase><cap>0.28</cap>"
             "<age_ms>310</age_ms></item></results></Response>",
-            (face.COUNTED, (42, 1, face.GOING_BACK, 0.28, 310_000)),
+            (face.COUNTED, (42, 1, face.ROLLING_BACK, 0.28, 310_000)),
         ),
-        (400, "<Error><Code>limit</Code></Error>", (face.REFUSED, forms.NOWHERE)),
-        (400, "<Error><Code>moot</Code></Error>", (face.VOID, forms.NOWHERE)),
-        (400, "<Said><Errors><Error><Code>moot</Code></Error></Errors></Said>", (face.VOID, forms.NOWHERE)),
-        (500, "<Error><Code>error</Code></Error>", (face.BROKE, forms.NOWHERE)),
-        (400, "<Error><Code>malformed</Code></Error>", (face.BROKE, forms.NOWHERE)),
+        (400, "<Error><Code>limit</Code></Error>", (face.REFUSED, payloads.NO_BUILD)),
+        (400, "<Error><Code>moot</Code></Error>", (face.VOID, payloads.NO_BUILD)),
+        (
+            400,
+            "<Said><Errors><Error><Code>moot</Code></Error></Errors></Said>",
+            (face.VOID, payloads.NO_BUILD),
+        ),
+        (500, "<Error><Code>error</Code></Error>", (face.CALL_FAILED, payloads.NO_BUILD)),
+        (400, "<Error><Code>malformed</Code></Error>", (face.CALL_FAILED, payloads.NO_BUILD)),
         (200, "<Response/>", None),
         (200, "<Resp", None),
         (503, "<Error><Code>novel</Code></Error>", None),
@@ -271,28 +275,28 @@
 )
 def test_the_ends_of_a_vote(status: int, body: str, end: tuple | None) -> None:
     if end is None:
-        with pytest.raises(forms.FormError):
-            forms.end_of_vote(status, body.encode())
+        with pytest.raises(payloads.PayloadError):
+            payloads.parse_vote_response(status, body.encode())
     else:
-        assert forms.end_of_vote(status, body.encode()) == end
+        assert payloads.parse_vote_response(status, body.encode()) == end
 
 
 def test_rests_are_learned_and_forgotten() -> None:
-    rests = Rests(limits(Tree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE})))
+    rests = IdleLimit(limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE})))
     for _ in range(50):
-        rests.note(0, False)
-        rests.note(60_000, False)
-    assert (rests.most, rests.wary) == (29_000_000, False)
+        rests.record(0, False)
+        rests.record(60_000, False)
+    assert (rests.max_idle, rests.is_wary) == (29_000_000, False)
     for _ in range(5):
-        rests.note(300_000, True)
-    assert (rests.most, rests.wary) == (200_000, True)
+        rests.record(300_000, True)
+    assert (rests.max_idle, rests.is_wary) == (200_000, True)
     for _ in range(9):
-        rests.fade()
-    assert (rests.most, rests.wary) == (29_000_000, False)
+        rests.decay()
+    assert (rests.max_idle, rests.is_wary) == (29_000_000, False)
     for turn in range(60):
-        rests.note(0, turn % 4 < 3)  # new ones break no less often: a rest tells nothing
-        rests.note(300_000, turn % 4 < 2)
-    assert (rests.most, rests.wary) == (29_000_000, True)
+        rests.record(0, turn % 4 < 3)  # new ones break no less often: a rest tells nothing
+        rests.record(300_000, turn % 4 < 2)
+    assert (rests.max_idle, rests.is_wary) == (29_000_000, True)
 
 
 @pytest.fixture
@@ -327,7 +331,7 @@
 
     task = scheduler.spawn(work)
     scheduler.run(lambda: task.dead)
-    assert len(scheduler.heap) <= 600 and not any(entry[2].what for entry in scheduler.heap)
+    assert len(scheduler.heap) <= 600 and not any(entry[2].target for entry in scheduler.heap)
     assert task.args == ()
 
 
@@ -371,22 +375,22 @@
     def __init__(self, box: Mailbox) -> None:
         self.box, self.open, self.ended = box, 0, False
 
-    def take(self, *_: object) -> None:
+    def new_req(self, *_: object) -> None:
         self.open += 1
         self.box.put((face.SEND, "r", 7, 1000))
 
     def outcome(self, _: str, __: int, ___: int, ____: str, _____: int, last: bool, ______: dict) -> None:
         self.open -= 1
         if not last:
-            self.take()
+            self.new_req()
 
-    def expect(self, *_: object) -> bool:
+    def register(self, *_: object) -> bool:
         return True
 
     def withdrawn(self, _: str) -> None:
         self.ended = True
 
-    def done(self, _: str) -> None:
+    def unregister(self, _: str) -> None:
         assert not self.open
 
 
@@ -403,7 +407,7 @@
         out.append(number)
         box.put((OUTCOME, number, unit, face.UNSENT, 0, {}, None))
 
-    lives = Lives(scheduler, decided, SimpleNamespace(begin=begin, unsent=unsent), Counters())
+    lives = ReqLifecycle(scheduler, decided, SimpleNamespace(begin=begin, report_unsent=unsent), Counters())
     asked = SimpleNamespace(req="r", route="read", key=None, left_ms=1000, repeated=False)
     lives.begin(asked, box, Mailbox(scheduler))
     scheduler.run(lambda: decided.ended and not scheduler.ready)
@@ -414,17 +418,17 @@
     """Budgets of one connection to each unit, as a relay's holder answers; `waits`: reqs wait for room."""
 
     def __init__(self, waits: bool) -> None:
-        self.held, self.waits = [], lambda _: waits
+        self.held, self.waits_when_exhausted = [], lambda _: waits
 
-    def could(self, _: int, name: str, key: str = "") -> bool:
+    def allows(self, _: int, name: str, key: str = "") -> bool:
         return name != face.CONNECTIONS or key not in self.held
 
-    def take(self, now: int, name: str, key: str = "") -> bool:
-        found = self.could(now, name, key)
+    def consume(self, now: int, name: str, key: str = "") -> bool:
+        found = self.allows(now, name, key)
         self.held += [key] if found and name == face.CONNECTIONS else []
         return found
 
-    def back(self, _: int, name: str, key: str = "") -> None:
+    def release(self, _: int, name: str, key: str = "") -> None:
         self.held.remove(key)
 
 
@@ -436,27 +440,27 @@
     scheduler: Scheduler, waits: bool, gives_back: bool, status: str, connections: int
 ) -> None:
     stand = UnitStand()
-    found = limits(Tree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))
+    found = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))
     pool = Pool(scheduler, found, Exchange(scheduler, found, True, Counters()).greet, Counters())
-    pool.shares, ends = Bound(waits), []
+    pool.budgets, ends = Bound(waits), []
 
     def work() -> None:
-        listed = face.Listed(7, "a", 0, 1, face.READY, 1.0, face.LONG_AGO)
-        pool.listed([(listed, (STAND_IN, stand.port))], True)
-        place, until = pool.places[7], scheduler.now() + 2_000_000
-        first = pool.connection(place, until)
+        listed = face.Listed(7, "a", 0, 1, face.READY, 1.0, face.START_UNKNOWN_US)
+        pool.update_units([(listed, (STAND_IN, stand.port))], True)
+        place, until = pool.endpoints[7], scheduler.now() + 2_000_000
+        first = pool.acquire(place, until)
         if gives_back:
-            scheduler.after(20_000, lambda: pool.keep(place, first[0]))
+            scheduler.after(20_000, lambda: pool.release(place, first[0]))
         began = scheduler.now()
-        ends.extend([first[2], pool.connection(place, until)[2], scheduler.now() - began])
+        ends.extend([first[2], pool.acquire(place, until)[2], scheduler.now() - began])
         pool.close(first[0])
 
     task = scheduler.spawn(work)
     scheduler.run(lambda: task.dead)
     stand.close()
     assert ends[:2] == [face.OK, status] and len(stand.conns) == connections
-    assert (ends[2] > found.settle) is waits and ends[2] < 2 * found.connect
-    assert pool.shares.held == []
+    assert (ends[2] > found.settle_time) is waits and ends[2] < 2 * found.connect_timeout
+    assert pool.budgets.held == []
 
 
 @pytest.mark.parametrize(
@@ -479,23 +483,23 @@
         "limits": {"sockets": 64, "memory_mb": 64},
         "settings": OUTSIDE | {"limits": OUTSIDE["limits"] | {"conn_idle": idle}},
     }
-    exchange = Exchange(scheduler, limits(Tree(root)), True, Counters())
+    exchange = Exchange(scheduler, limits(SettingsTree(root)), True, Counters())
     pool = Pool(scheduler, exchange.limits, exchange.greet, Counters())
-    tries, box, found = Tries(scheduler, pool, exchange, Counters()), Mailbox(scheduler), []
-    listed = face.Listed(7, "a", 0, 1, face.READY, 1.0, face.LONG_AGO)
-    changes = {"build": {"build": 2}, "since": {"since": 5}, "gone": {"health": face.GONE}}
+    tries, box, found = TryRunner(scheduler, pool, exchange, Counters()), Mailbox(scheduler), []
+    listed = face.Listed(7, "a", 0, 1, face.READY, 1.0, face.START_UNKNOWN_US)
+    changes = {"build": {"build": 2}, "since": {"started_at": 5}, "gone": {"health": face.GONE}}
 
     def work() -> None:
-        pool.listed([(listed, (STAND_IN, stand.port))], True)
+        pool.update_units([(listed, (STAND_IN, stand.port))], True)
         tries.probe(7, box)
         found.append(box.get()[:2])
         if between in changes:
-            pool.listed([(listed._replace(**changes[between]), (STAND_IN, stand.port))], False)
-            pool.listed([(listed, (STAND_IN, stand.port))], False)
+            pool.update_units([(listed._replace(**changes[between]), (STAND_IN, stand.port))], False)
+            pool.update_units([(listed, (STAND_IN, stand.port))], False)
         elif between == "closed":
             stand.conns[0].shutdown(socket.SHUT_RDWR)
         scheduler.sleep(0 if between == "at once" else 80_000)
-        tries.begin(0, 7, 1_000_000, postgres.statement(sql().encode()), box)
+        tries.begin(0, 7, 1_000_000, postgres.parse_statement(sql().encode()), box)
         found.append(box.get()[3])
 
     task = scheduler.spawn(work)
@@ -526,7 +530,7 @@
 )
 def test_a_stop_goes_through_its_states(steps: list[tuple[int, int | None, int, str]]) -> None:
     """Steps as (time, last connection or None for a signal, open clients, state); quiet 300, most 600."""
-    stop, signals = Stop(300, 600), 0
+    stop, signals = Shutdown(300, 600), 0
     for now, accepted, clients, state in steps:
         if accepted is None:
             assert stop.begin(now) is (signals == 0)
@@ -536,9 +540,9 @@
         assert stop.state == state
 
 
-def told(revision: int, whole: bool = True, since: int = 0, **phases: str) -> forms.Members:
+def told(revision: int, whole: bool = True, since: int = 0, **phases: str) -> payloads.UnitList:
     entries = [face.Listed(int(unit[1:]), "a", 0, 1, health, 1.0, since) for unit, health in phases.items()]
-    return forms.Members(revision, whole, [(one, ("h", 1)) for one in entries])
+    return payloads.UnitList(revision, whole, [(one, ("h", 1)) for one in entries])
 
 
 R, D, G = face.READY, face.DRAINING, face.GONE
@@ -560,17 +564,17 @@
         ([told(5, u1=D), told(4, u1=R), told(5, u1=D), *[told(4, u1=R)] * 6], {1: D}),
     ],
 )
-def test_an_older_list_takes_back_no_drain(lists: list[forms.Members], found: dict[int, str]) -> None:
+def test_an_older_list_takes_back_no_drain(lists: list[payloads.UnitList], found: dict[int, str]) -> None:
     """Lists come one a second; the patience is six."""
-    one, now = Lists(told(1, u1=R, u2=R), 6_000_000), 0
+    one, now = MembershipFilter(told(1, u1=R, u2=R), 6_000_000), 0
     for news in lists:
-        taken = one.take(now, news)
+        taken = one.filter(now, news)
         now += 1_000_000
     assert {entry.unit: entry.health for entry, _ in taken.entries} == found
 
 
 def test_units_that_have_gone_are_forgotten() -> None:
-    one = Lists(told(1, u1=R), 6_000_000)
+    one = MembershipFilter(told(1, u1=R), 6_000_000)
     for unit in range(2000):
-        one.take(0, told(2 + unit, False, **{f"u{unit}": G}))
+        one.filter(0, told(2 + unit, False, **{f"u{unit}": G}))
     assert len(one.health) < 200
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -337,11 +337,11 @@
 
 def test_datagrams_of_peers_alone_are_heard(serve: Callable[..., Served]) -> None:
     served = serve()
-    assert 2 <= len(served.peer.recv(1000)) <= messages.MOST
+    assert 2 <= len(served.peer.recv(1000)) <= messages.MAX_BYTES
     body, to = messages.pack_loads([]), (RELAY, served.udp)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         stranger.sendto(body, to)
-    served.peer.sendto(bytes(messages.MOST + 1), to)
+    served.peer.sendto(bytes(messages.MAX_BYTES + 1), to)
     served.peer.sendto(body, to)
     served.peer.sendto(b"\0", to)
     until(lambda: served.count("datagrams_heard") == 2)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,10 +20,10 @@
     "route, statuses, last",
     [
         ("read", [face.FAILED, face.TIMEOUT, face.FAILED], face.SHED),
-        ("mark", [face.UNREACHED, face.BUSY, face.UNREACHED], face.SHED),
+        ("mark", [face.UNREACHABLE, face.BUSY, face.UNREACHABLE], face.SHED),
         ("mark", [face.BUSY, face.FAILED, face.FAILED], face.ERROR),
         ("once", [face.FAILED], face.ERROR),
-        ("once", [face.BUSY, face.UNREACHED, face.TIMEOUT], face.ERROR),
+        ("once", [face.BUSY, face.UNREACHABLE, face.TIMEOUT], face.ERROR),
         ("once", [face.BUSY, face.BUSY, face.BUSY], face.SHED),
     ],
 )
@@ -37,7 +37,7 @@
     for number, status in enumerate(statuses):
         assert verbs(results)[-1] == face.SEND
         results = [found for found in one.end(sent, number, status) if found[0] != face.TELL]
-    assert verbs(results) == [last] and not one.one.i.reqs
+    assert verbs(results) == [last] and not one.one.state.reqs
 
 
 @pytest.mark.parametrize(
@@ -57,8 +57,8 @@
     one.list(*WARM[:2])
     one.req(route, 9 * SECOND)
     one.list(*WARM)
-    rq, now = one.one.i.reqs["r1"], one.now + after
-    assert [unit.id for unit in one.one.i.ready if one.one._may_send(now, rq, unit)] == units
+    rq, now = one.one.state.reqs["r1"], one.now + after
+    assert [unit.id for unit in one.one.state.ready_units if one.one._may_send(now, rq, unit)] == units
 
 
 def test_nothing_goes_to_a_unit_that_drains_or_is_gone(relay: type) -> None:
@@ -83,20 +83,20 @@
     weights = {me: busy if me // left % 10 == 0 else 1 for me in range(0, relays, left)}
     parts = {me: 4 * rate * weight / sum(weights.values()) for me, weight in weights.items()}
     for place, me in enumerate(parts):
-        one = relay(me=me, relays=relays)
+        one = relay(relay_index=me, relay_count=relays)
         one.list(*WARM, (9, "a", 5, 0))
-        cold, answered = one.one.i.units[9], one.one.i.answered
+        cold, answered = one.one.state.units[9], one.one.state.recent_answers
         for second in range(len(sent)):
             one.now += SECOND
             before = sum(list(parts.values())[:place])
             for _ in range(round(before + parts[me]) - round(before)):
                 answered.add(one.now)
-            while one.one._cold_room(one.now, cold):
-                cold.begin(one.now, 0)
+            while one.one._cold_unit_allows(one.now, cold):
+                cold.begin_try(one.now, 0)
                 sent[second] += 1
             answered.clear()
-    budget = one.one.s.overload_factor * rate / 5
-    ramps = [one.one._ramp(cold.since + second * SECOND, cold) for second in range(len(sent))]
+    budget = one.one.settings.overload_factor * rate / 5
+    ramps = [one.one._capacity_share(cold.started_at + second * SECOND, cold) for second in range(len(sent))]
     most = [budget * ramp + 3 * math.sqrt(budget * ramp) + 3 for ramp in ramps]
     assert all(one <= there for one, there in zip(sent, most, strict=True)) and sum(sent) >= budget / 4
 
@@ -123,7 +123,16 @@
     weights = [busy if me % 10 == 0 else 1 for me in range(relays)]
     sends: dict[int, list[int]] = {unit: [] for unit, *_ in WARM[:back]}
     for me, weight in enumerate(weights):
-        one, due = relay(me=me, relays=relays, cold_share=0.15, overload_factor=1.5, warm_after=warm), 0.0
+        one, due = (
+            relay(
+                relay_index=me,
+                relay_count=relays,
+                start_capacity=0.15,
+                overload_factor=1.5,
+                warm_up_time=warm,
+            ),
+            0.0,
+        )
         one.list(*WARM)
         for _ in range(4):
             due += rate * weight / sum(weights)
@@ -131,7 +140,7 @@
             due -= int(due)
             one.wait(1)
         one.list(*((unit, zone, build, late) for unit, zone, build, _ in WARM[:back]))
-        starts = one.one.i.units[1].since
+        starts = one.one.state.units[1].started_at
         while one.now - starts < warm - SECOND:
             asks = not late + 1 < (one.now - starts) / SECOND < late + 1 + quiet
             while asks and (sent := one.req()[-1])[0] == face.SEND:
@@ -167,7 +176,7 @@
 
 
 def test_a_lower_cap_counts_afresh_after_the_grace(relay: type) -> None:
-    one = relay(shielded=0)
+    one = relay(protected_stages=0)
     one.list((7, "a", 6, 90))
     one.news(6, stage=1, cap=1.0)
     one.serve(30, lag=1000)
@@ -178,21 +187,25 @@
 
 
 def test_lost_watches_are_renewed_with_back_off(relay: type) -> None:
-    one = relay(must_ask=True)
+    one = relay(must_poll=True)
     assert (face.WATCH,) in one.first
     gaps, asked = [], one.now
     for _ in range(8):
-        one.one.directory(one.now, face.BROKEN, [])
+        one.one.directory(one.now, face.WATCH_BROKEN, [])
         while (face.WATCH,) not in one.wait(0.05):
             pass
         gaps.append(one.now - asked)
         asked = one.now
-    assert gaps[0] < SECOND // 2 and gaps[-1] > 4 * gaps[0] and max(gaps) <= one.one.s.ask_within // 2
+    assert (
+        gaps[0] < SECOND // 2
+        and gaps[-1] > 4 * gaps[0]
+        and max(gaps) <= one.one.settings.max_poll_interval // 2
+    )
 
 
-def direct(case: list, members: list, steps: list) -> list[float]:
+def direct(trial: list, members: list, steps: list) -> list[float]:
     """The paper's sums for the weights after a short sequence, with f0 divided out."""
-    p0, p, n = rules.SUSPECT, rules.CHANGE, len(steps)
+    p0, p, n = rules.INITIAL_BAD_PROBABILITY, rules.CHANGE_PROBABILITY, len(steps)
     found = [(1 - p0) * (1 - p) ** n]
     for place, (*_, prior) in enumerate(members):
         gains = [math.exp(step[place]) for step in steps]
@@ -212,15 +225,15 @@
 )
 def test_the_recursion_gives_the_papers_sums(relay: type, outcomes: list) -> None:
     one = relay().one
-    one._open_case(6)
-    for base in one.i.base:
+    one._open_trial(6)
+    for base in one.state.baseline:
         base.add(100, 1, 100, 100 * 11.0, 100 * (121.0 + 0.49))
     steps = []
     for place, failed, away in outcomes:
-        steps.append(one._steps(place, 1, failed, 1, 11.0 + away, 0))
-        one._weigh(place, 1, failed, 1, 11.0 + away)
-    assert [math.exp(weight) for weight in one.i.case.weights] == pytest.approx(
-        direct(outcomes, one.members, steps), rel=1e-6
+        steps.append(one._log_likelihood_ratios(place, 1, failed, 1, 11.0 + away, 0))
+        one._update_posterior(place, 1, failed, 1, 11.0 + away)
+    assert [math.exp(weight) for weight in one.state.trial.log_weights] == pytest.approx(
+        direct(outcomes, one.hypotheses, steps), rel=1e-6
     )
 
 
@@ -237,23 +250,25 @@
     relay: type, many: int, failed: int, away: float, kind: str | None
 ) -> None:
     one = relay().one
-    one._open_case(6)
-    for base in one.i.base:
+    one._open_trial(6)
+    for base in one.state.baseline:
         base.add(100, 0, 100, 1100.0, 100 * (121.0 + 0.49))
     for place in range(many):
-        one._weigh(0, 1, int(place % many < failed), 1, 11.0 + away)
+        one._update_posterior(0, 1, int(place % many < failed), 1, 11.0 + away)
     found = one._posteriors()
-    assert sum(map(math.exp, one.i.case.weights)) == pytest.approx(1)
-    assert [name for name in found if found[name] > 1 / (1 + rules.ODDS)] == ([kind] if kind else [])
-    one._weigh(0, 400, 0, 400, 400 * 11.0)
-    assert sum(map(math.exp, one.i.case.weights)) == pytest.approx(1)
+    assert sum(map(math.exp, one.state.trial.log_weights)) == pytest.approx(1)
+    assert [name for name in found if found[name] > 1 / (1 + rules.ROLL_BACK_ODDS)] == (
+        [kind] if kind else []
+    )
+    one._update_posterior(0, 400, 0, 400, 400 * 11.0)
+    assert sum(map(math.exp, one.state.trial.log_weights)) == pytest.approx(1)
 
 
 @pytest.mark.parametrize(
-    "status, verdict, waits", [(face.OK, face.VOTE_ON, 4), (face.FAILED, face.VOTE_BACK, 1)]
+    "status, verdict, waits", [(face.OK, face.VOTE_ADVANCE, 4), (face.FAILED, face.VOTE_ROLL_BACK, 1)]
 )
 def test_votes_follow_the_posteriors(relay: type, status: str, verdict: int, waits: float) -> None:
-    one = relay(relays=1, cap_free=1000)
+    one = relay(relay_count=1, cap_free_tries=1000)
     one.list(*WARM, (7, "a", 6, 0))
     one.news(6, since=0)
     early = one.wait(2.9)
@@ -262,15 +277,17 @@
         sent = one.req()[-1]
         one.end(sent, 0, status if sent[2] == 7 else face.OK, 20_000, last=True)
     votes = [found[1:] for found in early + one.wait(waits) if found[0] == face.VOTE]
-    assert votes[0] == (6, 0, verdict) and len(votes) <= 1 + waits * SECOND // (one.one.s.vote_life // 2)
+    assert votes[0] == (6, 0, verdict) and len(votes) <= 1 + waits * SECOND // (
+        one.one.settings.vote_ttl // 2
+    )
 
 
 def test_a_vote_that_does_not_count_is_cast_again(relay: type) -> None:
-    one = relay(relays=1)
+    one = relay(relay_count=1)
     one.list(*WARM, (7, "a", 6, 9))
     one.news(6, since=9 * SECOND)
     votes = 0
-    for status in (face.REFUSED, face.BROKE, face.UNANSWERED, face.COUNTED):
+    for status in (face.REFUSED, face.CALL_FAILED, face.UNANSWERED, face.COUNTED):
         votes += verbs(one.wait(1.2)).count(face.VOTE)
         one.one.stage(one.now, 6, 0, 0, True, status, 0.1, 9 * SECOND)
     assert votes == 4
@@ -289,17 +306,17 @@
         one.news(6)
         for place in order:
             one.one.peer(one.now, 1, sums[place])
-        assert one.one.i.case.counted == counted
+        assert one.one.state.trial.outcome_count == counted
     for body in (b"", b"\x01", b"\x02" + sums[0][1:], sums[0][:-1], sums[0] + b"x"):
         assert one.one.peer(one.now, 1, body) == []
-    assert one.one.i.case.counted == 35 and max(map(len, sums)) <= 256
+    assert one.one.state.trial.outcome_count == 35 and max(map(len, sums)) <= 256
 
 
 def test_a_unit_set_aside_returns_on_a_peers_good_answers(relay: type) -> None:
-    one, other = relay(), relay(me=1)
+    one, other = relay(), relay(relay_index=1)
     for each in (one, other):
         each.list(*WARM)
-    while one.one.i.units[1].aside_until <= one.now:
+    while one.one.state.units[1].ejected_until <= one.now:
         sent = one.req("once")[-1]
         one.end(sent, 0, face.TIMEOUT if sent[2] == 1 else face.OK, SECOND, last=True)
     other.now = one.now
@@ -314,16 +331,16 @@
 
 @pytest.mark.parametrize("second, counted", [(face.OK, 1), (face.FAILED, 0)])
 def test_a_req_that_fails_on_both_builds_blames_neither(relay: type, second: str, counted: int) -> None:
-    one = relay(cap_free=1000)
+    one = relay(cap_free_tries=1000)
     one.list(*WARM, *((unit, "a", 6, 90) for unit in (7, 8, 9)))
     one.news(6)
     sent = ()
     while not sent or sent[2] < 7:
         sent = one.req()[-1]
     again = one.end(sent, 0, face.FAILED)[-1]
-    assert again[2] < 7 and one.one.i.case.counted == 0
+    assert again[2] < 7 and one.one.state.trial.outcome_count == 0
     one.end(again, 1, second)
-    assert one.one.i.case.counted == counted
+    assert one.one.state.trial.outcome_count == counted
 
 
 @pytest.mark.parametrize(
@@ -332,18 +349,18 @@
 def test_a_route_late_at_all_units_leaves_places_to_the_others(
     relay: type, usual: tuple, voters: int, most: int
 ) -> None:
-    one = relay(relays=300)
+    one = relay(relay_count=300)
     one.list(*WARM)
     one.news(5, standing=2)
-    case = one.one.i.case
-    for voter in case.voters[:voters]:
-        word = messages.Word(1, 1, 5, 9, (0.1,) * len(one.one.kinds), usual)
-        one.one.peer(one.now, voter, messages.pack_word(word))
+    trial = one.one.state.trial
+    for voter in trial.voters[:voters]:
+        word = messages.VoterReport(1, 1, 5, 9, (0.1,) * len(one.one.kinds), usual)
+        one.one.peer(one.now, voter, messages.pack_report(word))
     ends = {
         name: sum(
             verbs(one.req(name))[-1:] == [face.SEND]
             and not one.end(
-                one.one.i.reqs[f"r{one.made}"].tries[0].unit and (face.SEND, f"r{one.made}", 0),
+                one.one.state.reqs[f"r{one.made}"].tries[0].unit and (face.SEND, f"r{one.made}", 0),
                 0,
                 face.OK,
                 1000,
@@ -356,7 +373,7 @@
 
 
 def test_a_full_site_sends_a_part_elsewhere_and_stops_when_that_is_late(relay: type) -> None:
-    one = relay(crossing_price=0.1, relays=300)
+    one = relay(cross_zone_price=0.1, relay_count=300)
     one.list(*WARM)
     shares = []
     for near, far in ((SECOND * 3 // 4, 20_000), (SECOND * 3 // 4, SECOND * 3 // 4), (20_000, 20_000)):
@@ -369,7 +386,7 @@
 
 
 def test_cold_machines_leave_their_part_to_the_earlier_build(relay: type) -> None:
-    one = relay(cap_free=1000, relays=300)
+    one = relay(cap_free_tries=1000, relay_count=300)
     one.list(*WARM, (7, "a", 6, 90), *((unit, "a", 6, 0) for unit in range(8, 20)))
     one.news(6)
     sent = [one.req()[-1] for _ in range(300)]
@@ -377,27 +394,27 @@
 
 
 def test_a_relay_with_few_outcomes_goes_by_two_voters_words(relay: type) -> None:
-    one = relay(control="share", relays=300, votes_on=150, votes_back=100)
+    one = relay(release_control="share", relay_count=300, votes_to_advance=150, votes_to_roll_back=100)
     one.list(*WARM, (7, "a", 6, 1), (8, "a", 6, 1))
     one.news(6, since=SECOND)
-    case, bad = one.one.i.case, (1.0, 0.0, 0.0)
-    for number, (voter, parts) in enumerate(((case.voters[0], bad), (0, bad), (case.voters[1], bad))):
+    trial, bad = one.one.state.trial, (1.0, 0.0, 0.0)
+    for number, (voter, parts) in enumerate(((trial.voters[0], bad), (0, bad), (trial.voters[1], bad))):
         assert face.VOTE not in verbs(one.wait(0.6))
-        word = messages.Word(1, 1 + number, 6, 40, parts, (0.1, 0.1, 0.1))
-        one.one.peer(one.now, voter, messages.pack_word(word))
-    assert (face.VOTE, 6, 0, face.VOTE_BACK) in one.wait(0.6)
+        word = messages.VoterReport(1, 1 + number, 6, 40, parts, (0.1, 0.1, 0.1))
+        one.one.peer(one.now, voter, messages.pack_report(word))
+    assert (face.VOTE, 6, 0, face.VOTE_ROLL_BACK) in one.wait(0.6)
 
 
 @pytest.mark.parametrize("relays, alarms", [(3, True), (300, False)])
 def test_where_paces_are_unknown_the_spread_may_be_machines(relay: type, relays: int, alarms: bool) -> None:
-    one = relay(relays=relays).one
-    one._open_case(6)
-    one.i.case.warm = 4
-    for base in one.i.base:
+    one = relay(relay_count=relays).one
+    one._open_trial(6)
+    one.state.trial.warm_units = 4
+    for base in one.state.baseline:
         base.add(100, 0, 100, 1100.0, 100 * (121.0 + 1.0))
     for _ in range(60):
-        one._weigh(0, 1, 0, 1, 11.0 + 0.9)
-    assert (one._posteriors()[rules.SLOW] > 1 / (1 + rules.ODDS)) == alarms
+        one._update_posterior(0, 1, 0, 1, 11.0 + 0.9)
+    assert (one._posteriors()[rules.SLOW] > 1 / (1 + rules.ROLL_BACK_ODDS)) == alarms
 
 
 @pytest.mark.parametrize(
@@ -407,16 +424,16 @@
 def test_a_word_is_taken_from_voters_alone_and_whole(
     relay: type, sender: int | None, build: int, parts: int, kept: bool
 ) -> None:
-    one = relay(relays=300)
+    one = relay(relay_count=300)
     one.list(*WARM, (7, "a", 6, 9))
     one.news(6)
-    case = one.one.i.case
-    outside = next(number for number in range(300) if number not in case.voters)
-    voter = outside if sender is None else case.voters[0] if sender == 0 else sender
+    trial = one.one.state.trial
+    outside = next(number for number in range(300) if number not in trial.voters)
+    voter = outside if sender is None else trial.voters[0] if sender == 0 else sender
     for number in (5, 4):
-        word = messages.Word(1, number, build, number, (0.5,) * parts, (0.1, 0.1, 0.1))
-        one.one.peer(one.now, voter, messages.pack_word(word))
-    assert [word.counted for _, word in case.words.values()] == ([5] if kept else [])
+        word = messages.VoterReport(1, number, build, number, (0.5,) * parts, (0.1, 0.1, 0.1))
+        one.one.peer(one.now, voter, messages.pack_report(word))
+    assert [word.outcome_count for _, word in trial.reports.values()] == ([5] if kept else [])
 
 
 @pytest.mark.parametrize("lag, aside", [(SECOND // 4, False), (SECOND, True)])
@@ -425,27 +442,35 @@
     one.list(*WARM)
     sent = one.req()[-1]
     one.end(sent, 0, face.TIMEOUT, lag, last=True)
-    assert (one.one.i.units[sent[2]].aside_until > one.now) == aside
+    assert (one.one.state.units[sent[2]].ejected_until > one.now) == aside
 
 
 def test_what_is_kept_by_unit_build_req_or_time_has_an_end(relay: type) -> None:
-    one = relay(keys_stay=True)
-    i = one.one.i
+    one = relay(sticky_keys=True)
+    i = one.one.state
     for build in range(1, 40):
         one.list(*[(10 * build + place, "a", build + place % 2, 9) for place in range(4)])
         one.news(build + 1, cap=1.0)
-        i.keys.update((key, build) for key in range(build * 5000, build * 5000 + 5000))
+        i.sticky_builds.update((key, build) for key in range(build * 5000, build * 5000 + 5000))
         one.serve(50)
         one.one.peer(one.now, 1, messages.pack_loads([(10 * build, 1, 1, 1, 1)]))
         one.wait(10)
     for _ in range(50):
         one.serve(100, lag=1000)
         one.wait(0.05)
-    assert len(i.units) <= 8 and len(i.keys) <= 1 << 16 and len(i.tried) <= 1 and not i.reqs and not i.loads
-    windows = (*i.took, *i.tried.values(), *(unit.sends for unit in i.units.values()))
+    assert (
+        len(i.units) <= 8
+        and len(i.sticky_builds) <= 1 << 16
+        and len(i.trial_tries) <= 1
+        and not i.reqs
+        and not i.peer_loads
+    )
+    windows = (*i.recent_reqs, *i.trial_tries.values(), *(unit.recent_sends for unit in i.units.values()))
     assert sum(len(window.times) for window in windows) < 3 * 1500
     one.wait(5)
-    assert not i.answered.times and not i.tried and not any(window.times for window in i.took)
+    assert (
+        not i.recent_answers.times and not i.trial_tries and not any(window.times for window in i.recent_reqs)
+    )
 
 
 @pytest.mark.parametrize(
@@ -477,12 +502,12 @@
 def test_a_finer_tick_makes_neither_more_messages_nor_a_quicker_shed_limit(relay: type, relays: int) -> None:
     told, limits = [], []
     for tick in (1000, 5000):
-        one = relay(relays=relays, tick=tick)
+        one = relay(relay_count=relays, tick=tick)
         one.list(*[(unit, "a", 5, 90) for unit in range(60)])
         one.req("once")
-        one.one.i.strain = 1.0
+        one.one.state.latency_load = 1.0
         told.append(sum(len(found[2]) for found in one.wait(0.5) if found[0] == face.TELL))
-        limits.append(one.one.i.limit)
+        limits.append(one.one.state.concurrency_limit)
     assert told[0] == told[1] and limits[0] == pytest.approx(limits[1], rel=0.01)
 
 
@@ -490,7 +515,7 @@
     one = relay()
     one.list(*[(unit, "a", 5, 90) for unit in range(60)])
     for unit in (40, 59):
-        one.one.i.units[unit].begin(one.now, 0)
+        one.one.state.units[unit].begin_try(one.now, 0)
     told = [messages.unpack(found[2], 3) for found in one.wait(1) if found[0] == face.TELL]
     told = [loads for what, loads in told if what == messages.LOADS]
     assert told and all(loads[40][0] == loads[59][0] == 1 for loads in told)
@@ -511,11 +536,11 @@
 def test_a_unit_is_left_on_the_doubts_of_two_relays_of_a_site(
     relay: type, tellers: tuple, site: str, age: int, standing: int, aside: bool
 ) -> None:
-    one = relay(relays=300)
-    one.one.i.typical = [SECOND // 10] * 3
+    one = relay(relay_count=300)
+    one.one.state.typical_latency = [SECOND // 10] * 3
     one.list(*WARM[:3], (4, "a", 5, 90))
     one.news(5, standing=standing, cap=1.0)
-    word = messages.pack_doubts(messages.site(site), [(1, 0), (4, 0), (12345, 0)])
+    word = messages.pack_suspicions(messages.zone_code(site), [(1, 0), (4, 0), (12345, 0)])
     for teller in tellers if age else ():
         one.one.peer(one.now, teller, word)
     one.now += age * SECOND
@@ -523,30 +548,30 @@
         pass
     own = one.wait(0.6 if standing else 1.1)
     told = [messages.unpack(found[2], 3)[1] for found in own if found[0] == face.TELL and found[1] == "all"]
-    assert sum((4, 0) in doubts.units for doubts in told if isinstance(doubts, messages.Doubts)) == 1
+    assert sum((4, 0) in doubts.units for doubts in told if isinstance(doubts, messages.Suspicions)) == 1
     for teller in () if age else tellers:
         one.one.peer(one.now, teller, word)
     left = [found[1] for found in one.wait(0.05) if found[0] == face.CANCEL]
-    assert (one.one.i.units[4].aside_until > one.now) == aside == (f"r{one.made}" in left)
+    assert (one.one.state.units[4].ejected_until > one.now) == aside == (f"r{one.made}" in left)
     one.list(*WARM[:3], (4, "a", 5, 1))
-    assert not one.one.i.units[4].doubts
+    assert not one.one.state.units[4].suspicions
 
 
 @pytest.mark.parametrize("relays, told", [(3, 0), (300, 1)])
 def test_doubts_are_told_where_open_tries_are_not_and_rest_a_third_at_most(
     relay: type, relays: int, told: int
 ) -> None:
-    one = relay(relays=relays)
-    one.one.i.typical = [SECOND // 10] * 3
+    one = relay(relay_count=relays)
+    one.one.state.typical_latency = [SECOND // 10] * 3
     one.list(*[(unit, "a", 5, 90) for unit in range(9)])
     for _ in range(30):
         one.req("once", 3 * SECOND)
     found = [messages.unpack(found[2], 3)[0] for found in one.wait(0.7) if found[0] == face.TELL]
-    assert found.count(messages.DOUBTS) == told
-    word = messages.pack_doubts(messages.site("a"), [(unit, 1) for unit in range(9)])
+    assert found.count(messages.SUSPICIONS) == told
+    word = messages.pack_suspicions(messages.zone_code("a"), [(unit, 1) for unit in range(9)])
     for teller in (1, 2):
         one.one.peer(one.now, teller, word)
-    resting = sum(unit.aside_until > one.now for unit in one.one.i.ready)
+    resting = sum(unit.ejected_until > one.now for unit in one.one.state.ready_units)
     assert resting == 3 * told
 
 
@@ -554,7 +579,7 @@
     "standing, second, ends, counted",
     [
         (2, None, face.ERROR, 0),
-        (0, face.AT_FAULT, face.ERROR, 0),
+        (0, face.CLIENT_FAULT, face.ERROR, 0),
         (0, face.OK, None, 1),
         (0, face.FAILED, None, 0),
     ],
@@ -562,34 +587,37 @@
 def test_a_req_that_units_call_at_fault_tells_of_its_client(
     relay: type, standing: int, second: str | None, ends: str | None, counted: int
 ) -> None:
-    one = relay(cap_free=1000)
+    one = relay(cap_free_tries=1000)
     one.list(*WARM[: 2 if second else 0], *((unit, "a", 6, 90) for unit in (7, 8, 9)))
     one.news(6, standing=standing, cap=1.0)
     sent = (None, None, 0)
     while sent[2] < 7:
         sent = one.req("mark" if standing else "read")[-1]
-    failed = one.one.i.case.counted, one.one.i.units[sent[2]].failing
-    results = one.end(sent, 0, face.AT_FAULT)
+    failed = one.one.state.trial.outcome_count, one.one.state.units[sent[2]].failure_rate
+    results = one.end(sent, 0, face.CLIENT_FAULT)
     if second:
         assert verbs(results) == [face.SEND] and results[-1][2] < 7
         results = one.end(results[-1], 1, second)
     assert [found[0] for found in results if found[0] == face.ERROR] == ([ends] if ends else [])
-    assert (one.one.i.case.counted, one.one.i.units[sent[2]].failing) == (failed[0] + counted, failed[1])
-    assert one.one.i.units[sent[2]].aside_until <= one.now
+    assert (one.one.state.trial.outcome_count, one.one.state.units[sent[2]].failure_rate) == (
+        failed[0] + counted,
+        failed[1],
+    )
+    assert one.one.state.units[sent[2]].ejected_until <= one.now
 
 
 @pytest.mark.parametrize("sick, counted", [(2, 0), (0, 2)])
 def test_a_machines_fault_is_known_after_the_earlier_ones_drain(relay: type, sick: int, counted: int) -> None:
-    one = relay(relays=300)
+    one = relay(relay_count=300)
     one.list(*WARM, (7, "a", 6, 90))
     one.news(6, standing=2, cap=1.0)
-    unit = one.one.i.units[1]
-    unit.seen, unit.failed = 9.0, sick
+    unit = one.one.state.units[1]
+    unit.recent_outcomes, unit.recent_failures = 9.0, sick
     one.list(*WARM, how=face.CHANGES, health=face.DRAINING)
-    before = one.one.i.case.counted
+    before = one.one.state.trial.outcome_count
     for _ in range(2):
         one.end(one.req("once")[-1], 0, face.FAILED, 5000)
-    assert one.one.i.case.counted - before == counted
+    assert one.one.state.trial.outcome_count - before == counted
 
 
 @pytest.mark.parametrize(
@@ -598,14 +626,14 @@
 def test_errors_seen_by_two_relays_set_a_unit_aside(
     relay: type, relays: int, status: str, aside: bool
 ) -> None:
-    one = relay(relays=relays)
+    one = relay(relay_count=relays)
     one.list(*WARM)
     one.news(5, standing=2, cap=1.0)
     sent = one.req("once")[-1]
     one.end(sent, 0, status, 5000)
-    assert one.one.i.units[sent[2]].aside_until <= one.now
-    one.one.peer(one.now, 1, messages.pack_doubts(messages.site("a"), [(sent[2], 1)]))
-    assert (one.one.i.units[sent[2]].aside_until > one.now) == aside
+    assert one.one.state.units[sent[2]].ejected_until <= one.now
+    one.one.peer(one.now, 1, messages.pack_suspicions(messages.zone_code("a"), [(sent[2], 1)]))
+    assert (one.one.state.units[sent[2]].ejected_until > one.now) == aside
 
 
 @pytest.mark.parametrize(
@@ -615,33 +643,40 @@
 def test_errors_of_a_machine_that_others_doubt_count_once_while_most_are_sound(
     relay: type, doubted: int, erred: int, age: int, counted: int
 ) -> None:
-    one = relay(relays=300, cap_free=1000)
+    one = relay(relay_count=300, cap_free_tries=1000)
     others = ((unit, "b", 6, 90) for unit in range(30, 50))
     one.list(*WARM, *((unit, "a", 6, 90) for unit in range(10, 19)), *others)
     one.news(6)
-    word = messages.pack_doubts(messages.site("a"), [(unit, erred) for unit in range(10, 10 + doubted)])
+    word = messages.pack_suspicions(
+        messages.zone_code("a"), [(unit, erred) for unit in range(10, 10 + doubted)]
+    )
     one.one.peer(one.now, 1, word)
     one.now += age * SECOND
-    sent, before = (None, None, 0), one.one.i.case.counted
+    sent, before = (None, None, 0), one.one.state.trial.outcome_count
     while not 10 <= sent[2] < 13:
         sent = one.req()[-1]
     again = one.end(sent, 0, face.FAILED, 5000)[-1]
     one.end(again, 1, face.OK, 1000)
-    assert one.one.i.case.counted - before == counted and one.one.i.units[sent[2]].aside_until <= one.now
+    assert (
+        one.one.state.trial.outcome_count - before == counted
+        and one.one.state.units[sent[2]].ejected_until <= one.now
+    )
 
 
 @pytest.mark.parametrize("tellers, erred, aside", [(3, 0, False), (6, 0, True), (2, 1, True)])
 def test_a_unit_that_most_relays_hear_from_is_slow_and_not_silent(
     relay: type, tellers: int, erred: int, aside: bool
 ) -> None:
-    one = relay(relays=40)
+    one = relay(relay_count=40)
     one.list(*[(unit, "a", 5, 90) for unit in range(10)])
     one.news(5, standing=2, cap=1.0)
-    one.one.i.answered.times.extend([one.now] * 12)  # three a second here, so twelve a second at each unit
-    word = messages.pack_doubts(messages.site("a"), [(4, erred)])
+    one.one.state.recent_answers.times.extend(
+        [one.now] * 12
+    )  # three a second here, so twelve a second at each unit
+    word = messages.pack_suspicions(messages.zone_code("a"), [(4, erred)])
     for teller in range(1, tellers + 1):
         one.one.peer(one.now, teller, word)
-    assert (one.one.i.units[4].aside_until > one.now) == aside
+    assert (one.one.state.units[4].ejected_until > one.now) == aside
 
 
 @pytest.mark.parametrize(
@@ -651,59 +686,63 @@
 def test_a_jam_of_the_fleet_holds_open_tries_to_what_they_are(
     relay: type, relays: int, usual: float, wait: float, falls: bool
 ) -> None:
-    one = relay(relays=relays)
+    one = relay(relay_count=relays)
     one.list(*WARM)
     one.news(5, standing=2)
     for _ in range(4):
         one.req("once")
-    case, before = one.one.i.case, one.one.i.limit
-    for voter in case.voters[:3]:
-        word = messages.Word(1, 1, 5, 9, (0.1,) * len(one.one.kinds), (usual, 0.7, 0.9), wait)
-        one.one.peer(one.now, voter, messages.pack_word(word))
+    trial, before = one.one.state.trial, one.one.state.concurrency_limit
+    for voter in trial.voters[:3]:
+        word = messages.VoterReport(1, 1, 5, 9, (0.1,) * len(one.one.kinds), (usual, 0.7, 0.9), wait)
+        one.one.peer(one.now, voter, messages.pack_report(word))
     one.wait(0.05)
-    assert (one.one.i.limit <= 4) == falls and (falls or one.one.i.limit == pytest.approx(before, rel=0.5))
+    assert (one.one.state.concurrency_limit <= 4) == falls and (
+        falls or one.one.state.concurrency_limit == pytest.approx(before, rel=0.5)
+    )
 
 
 def test_voters_tell_how_long_tries_wait_at_all_relays(relay: type) -> None:
-    one = relay(relays=300)
+    one = relay(relay_count=300)
     one.list(*WARM, (7, "a", 6, 9))
     one.news(6)
-    one.one.s = one.one.s._replace(me=one.one.i.case.voters[0])
+    one.one.settings = one.one.settings._replace(relay_index=one.one.state.trial.voters[0])
     words = []
     for second in range(1, 9):
         for teller in (20, 21):
             row = (0, 5 * second, 0, 0, 0.0, 5 * second, 0, 0, 0.0, 0.0)
             one.one.peer(one.now, teller, messages.pack_sums(1, second, 6, 0, [row], 8)[0])
         told = [messages.unpack(found[2], 3) for found in one.wait(1) if found[0] == face.TELL]
-        words += [word.wait for what, word in told if what == messages.WORD]
+        words += [word.wait_ratio for what, word in told if what == messages.VOTER_REPORT]
     assert max(words[len(words) // 2 :]) == pytest.approx(16 / 20, rel=0.3)
     one.wait(3)
-    assert not one.one.i.flow.opened
+    assert not one.one.state.fleet_wait.open_by_relay
 
 
-@pytest.mark.parametrize("may_tell", [True, False])
-def test_doubts_that_are_not_told_are_not_kept(relay: type, may_tell: bool) -> None:
-    one = relay(relays=300, may_tell=may_tell)
+@pytest.mark.parametrize("may_message_peers", [True, False])
+def test_doubts_that_are_not_told_are_not_kept(relay: type, may_message_peers: bool) -> None:
+    one = relay(relay_count=300, may_message_peers=may_message_peers)
     one.list(*WARM)
     one.news(5, standing=2, cap=1.0)
     told = []
     for _ in range(20):
         one.end(one.req("once")[-1], 0, face.FAILED, 5000)
         told += one.wait(1.1)
-    assert not one.one.i.doubted and (face.TELL in verbs(told)) == may_tell
+    assert not one.one.state.unsent_suspicions and (face.TELL in verbs(told)) == may_message_peers
 
 
 def test_doubts_that_are_over_go_and_what_changes_nothing_is_not_reckoned(relay: type) -> None:
     """In a jam each of hundreds of relays doubts every unit: reckoning them all anew each time took a third
     of the module's CPU on a day of 423 relays."""
-    one = relay(relays=400)
+    one = relay(relay_count=400)
     one.list(*((unit, "a", 5, 90) for unit in range(1, 13)))
-    unit, word = one.one.i.units[4], messages.pack_doubts(messages.site("a"), [(4, 1)])
+    unit, word = one.one.state.units[4], messages.pack_suspicions(messages.zone_code("a"), [(4, 1)])
     for peer in range(1, 300):
         one.now += SECOND // 10
         one.one.peer(one.now, peer, word)
     # Each fall time has ten; four of them are kept, the newest last.
-    assert list(unit.doubts) == list(range(260, 300)) and unit.aside_until > one.now
-    met = one.one.i.answered = SimpleNamespace(since=lambda _: pytest.fail("reckoned for a unit that rests"))
+    assert list(unit.suspicions) == list(range(260, 300)) and unit.ejected_until > one.now
+    met = one.one.state.recent_answers = SimpleNamespace(
+        count_since=lambda _: pytest.fail("reckoned for a unit that rests")
+    )
     one.one.peer(one.now, 300, word)
-    assert 300 in unit.doubts and met is one.one.i.answered
+    assert 300 in unit.suspicions and met is one.one.state.recent_answers
--- a/tests/test_tuf_decisions.py
+++ b/tests/test_tuf_decisions.py
@@ -10,12 +10,12 @@
 import pytest
 from tuf.api.metadata import TargetFile
 
-from laurelcourse.chance import Chance
 from laurelcourse.fronts.tuf import decide_fresh, decide_mirrors, decide_room, http, kept, transfer, uptane
 from laurelcourse.fronts.tuf.decide_pace import Pace
 from laurelcourse.fronts.tuf.http import BadRequestError
 from laurelcourse.fronts.tuf.transfer import CUT, FINE, MOVING, OLD, OTHER, PROVEN, UNFIT, Blocks, Transfer
 from laurelcourse.fronts.tuf.trust import Refresh, Trust
+from laurelcourse.prng import Prng
 from laurelcourse.standins.repository import TufRepository
 
 SECOND, CHUNK = 1_000_000, 1000
@@ -160,7 +160,7 @@
 
 
 def fresh() -> decide_fresh.Freshness:
-    return decide_fresh.Freshness(decide_fresh.Bounds(SECOND, 60 * SECOND, SECOND // 2), Chance(3))
+    return decide_fresh.Freshness(decide_fresh.Bounds(SECOND, 60 * SECOND, SECOND // 2), Prng(3))
 
 
 def test_all_who_ask_share_one_refresh_and_its_failure() -> None:
