--- a/laurelcourse/__init__.py
+++ b/laurelcourse/__init__.py
@@ -1,3 +1,3 @@
-"""laurelcourse shifts calls between an old and a new build, and judges the new one as it goes."""
+"""Shifts calls between an old and a new build, and rolls a bad build back."""
 
 VERSION = "0.1.0"
--- a/laurelcourse/__main__.py
+++ b/laurelcourse/__main__.py
@@ -1,4 +1,4 @@
-"""The program. A relay's signals are held before anything else is imported, which takes most of its start."""
+"""The program. Signals are held first, since importing the rest takes most of a relay's start."""
 
 import sys
 
--- a/laurelcourse/benchlink/decode.py
+++ b/laurelcourse/benchlink/decode.py
@@ -1,4 +1,4 @@
-"""From the wire's messages to the module's settings and calls."""
+"""Decodes the simulator's messages into the module's settings and calls."""
 
 import base64
 import binascii
@@ -8,7 +8,7 @@
 from laurelcourse.benchlink.framing import Message, WireError
 from laurelcourse.settings import Settings, SettingsError, SettingsTree, decode
 
-STATUSES = {
+TRY_STATUSES = {
     "done": face.OK,
     "err": face.FAILED,
     "busy": face.BUSY,
@@ -18,57 +18,66 @@
     "ecanceled": face.CANCELLED,
     "skipped": face.UNSENT,
 }
-ANSWERS = {
+VOTE_STATUSES = {
     "done": face.COUNTED,
     "skipped": face.VOID,
     "busy": face.REFUSED,
     "err": face.CALL_FAILED,
     "etimedout": face.UNANSWERED,
 }
-NEWS = {"D": face.CHANGES, "F": face.FULL_LIST, "C": face.CACHED, "X": face.WATCH_BROKEN}
-HEALTH = {"Ready": face.READY, "Terminating": face.DRAINING, "Gone": face.GONE}
-REPEATED = 2
+DIRECTORY_EVENTS = {"D": face.CHANGES, "F": face.FULL_LIST, "C": face.CACHED, "X": face.WATCH_BROKEN}
+HEALTH_BY_PHASE = {"Ready": face.READY, "Terminating": face.DRAINING, "Gone": face.GONE}
+REPEATED_FLAG = 2  # in a new req's attributes
 
 
 def one_of(message: Message, field: str, words: dict[str, str]) -> str:
+    """Returns what a field's word stands for. Raises WireError."""
     word = message.text(field)
     if word not in words:
         raise message.unreadable(field)
     return words[word]
 
 
-def nested(fields: dict[str, str]) -> dict:
-    """Paths with their values as a tree; what stands under numbers, with a count, is a list."""
+def nest(fields: dict[str, str]) -> dict | list:
+    """Returns dotted paths and their values as a tree; numbered branches with a count become lists.
+
+    Raises ValueError if a path runs through a value.
+    """
     root: dict = {}
     for path, value in fields.items():
-        at, *steps = path.split(".")
+        name, *rest = path.split(".")
         branch = root
-        for step in steps:
-            branch, at = branch.setdefault(at, {}), step
+        for next_name in rest:
+            branch, name = branch.setdefault(name, {}), next_name
             if not isinstance(branch, dict):
                 raise ValueError(path)
-        branch[at] = value
-    return listing(root)
+        branch[name] = value
+    return convert_lists(root)
 
 
-def listing(branch: dict) -> dict | list:
-    kept = {name: listing(value) if isinstance(value, dict) else value for name, value in branch.items()}
-    count = kept.get("count")
+def convert_lists(branch: dict) -> dict | list:
+    """Returns a branch with its numbered parts converted to lists."""
+    converted = {
+        name: convert_lists(value) if isinstance(value, dict) else value for name, value in branch.items()
+    }
+    count = converted.get("count")
     if isinstance(count, str) and count.isdecimal():
-        return [kept[place] for place in map(str, range(int(count))) if place in kept]
-    return kept
+        return [converted[index] for index in map(str, range(int(count))) if index in converted]
+    return converted
 
 
-def settings(message: Message) -> Settings:
+def decode_settings(message: Message) -> Settings:
+    """Returns an instance's settings. Raises WireError."""
     try:
-        return decode(SettingsTree(nested(message.fields)))
+        return decode(SettingsTree(nest(message.fields)))
     except SettingsError as error:
         raise WireError(f"line {message.line}: {message.name} {error}") from None
     except ValueError as error:
         raise message.unreadable(str(error)) from None
 
 
-def load(message: Message) -> dict[str, float]:
+def decode_load(message: Message) -> dict[str, float]:
+    """Returns a unit's load report. Raises WireError."""
     report = {}
     for part in filter(None, message.fields.get("feedback", "").split(",")):
         name, _, value = part.partition(":")
@@ -79,7 +88,8 @@
     return report
 
 
-def payload(message: Message) -> bytes:
+def decode_payload(message: Message) -> bytes:
+    """Returns a datagram's bytes. Raises WireError."""
     text = message.text("body")
     try:
         return b"" if text == "-" else base64.b64decode(text, validate=True)
@@ -87,66 +97,83 @@
         raise message.unreadable("body") from None
 
 
-def listed(message: Message) -> list[face.Listed]:
+def decode_list(message: Message) -> list[face.Listed]:
+    """Returns the units of a list. Raises WireError."""
     return [
         face.Listed(
-            unit=entry.whole("unit"),
+            unit=entry.integer("unit"),
             zone=entry.fields.get("failure_domain", ""),
-            cell=entry.whole("block", 0),
+            cell=entry.integer("block", 0),
             build=round(entry.number("image", 0)),
-            health=one_of(entry, "health", HEALTH),
+            health=one_of(entry, "health", HEALTH_BY_PHASE),
             size=entry.number("nominal", 1),
-            started_at=entry.micros("since", 0) or face.START_UNKNOWN_US,
+            started_at=entry.microseconds("since", 0) or face.START_UNKNOWN_US,
         )
         for entry in message.entries
     ]
 
 
-def call(message: Message, lists: dict[int, list[face.Listed]]) -> Callable[..., list]:
-    """What one event asks of an instance, as a function of the instance and the time."""
-    get, name = message, message.name
+def decode_event(message: Message, lists: dict[int, list[face.Listed]]) -> Callable[..., list]:
+    """Returns the call that an event makes, as a function of the instance and the time. Raises WireError."""
+    name = message.name
     if name == "NEW_REQUEST":
-        req, lane, left = get.text("corr"), get.text("lane"), get.micros("left")
-        key = get.whole("key") if "key" in get.fields else None
-        tenant, repeated = get.fields.get("tenant", ""), bool(get.whole("attrs", 0) & REPEATED)
-        return lambda one, now: one.new_req(now, req, lane, tenant, key, left, repeated)
+        req, lane, left = message.text("corr"), message.text("lane"), message.microseconds("left")
+        key = message.integer("key") if "key" in message.fields else None
+        tenant, repeated = message.fields.get("tenant", ""), bool(message.integer("attrs", 0) & REPEATED_FLAG)
+        return lambda instance, now: instance.new_req(now, req, lane, tenant, key, left, repeated)
     if name == "OUTCOME":
-        req, number, unit = get.text("corr"), get.whole("try"), get.whole("unit")
-        status, lag, report = one_of(get, "disposition", STATUSES), get.micros("lag"), load(get)
-        last = get.whole("last", 0) != 0
-        return lambda one, now: one.outcome(now, req, number, unit, status, lag, last, report)
+        req, number, unit = message.text("corr"), message.integer("try"), message.integer("unit")
+        status, lag, report = (
+            one_of(message, "disposition", TRY_STATUSES),
+            message.microseconds("lag"),
+            decode_load(message),
+        )
+        last = message.integer("last", 0) != 0
+        return lambda instance, now: instance.outcome(now, req, number, unit, status, lag, last, report)
     if name == "WITHDRAWN":
-        req = get.text("corr")
-        return lambda one, now: one.withdrawn(now, req)
+        req = message.text("corr")
+        return lambda instance, now: instance.withdrawn(now, req)
     if name == "ACK_FIRST":
-        req, number = get.text("corr"), get.whole("try")
-        return lambda one, now: one.streaming(now, req, number)
+        req, number = message.text("corr"), message.integer("try")
+        return lambda instance, now: instance.streaming(now, req, number)
     if name == "DIRECTORY_UPDATE":
-        how = one_of(get, "how", NEWS)
-        if how != face.WATCH_BROKEN and get.whole("ref") not in lists:
-            raise WireError(f"line {get.line}: no list has the number {get.whole('ref')}")
-        entries = lists[get.whole("ref")] if how != face.WATCH_BROKEN else []
-        return lambda one, now: one.directory(now, how, entries)
+        how = one_of(message, "how", DIRECTORY_EVENTS)
+        if how != face.WATCH_BROKEN and message.integer("ref") not in lists:
+            raise WireError(f"line {message.line}: no list has the number {message.integer('ref')}")
+        entries = lists[message.integer("ref")] if how != face.WATCH_BROKEN else []
+        return lambda instance, now: instance.directory(now, how, entries)
     if name == "TICK_DUE":
-        token = get.text("nonce")
-        return lambda one, now: one.timer(now, token)
+        token = message.text("nonce")
+        return lambda instance, now: instance.timer(now, token)
     if name == "PONG":
-        unit, status = get.whole("unit"), one_of(get, "disposition", STATUSES)
-        lag, report = get.micros("lag", 0), load(get)
-        return lambda one, now: one.probed(now, unit, status, lag, report)
+        unit, status = message.integer("unit"), one_of(message, "disposition", TRY_STATUSES)
+        lag, report = message.microseconds("lag", 0), decode_load(message)
+        return lambda instance, now: instance.probed(now, unit, status, lag, report)
     if name == "PEER":
-        relay, body = get.whole("src"), payload(get)
-        return lambda one, now: one.peer(now, relay, body)
+        relay, body = message.integer("src"), decode_payload(message)
+        return lambda instance, now: instance.peer(now, relay, body)
     if name == "SHIP_STATE":
-        status = one_of(get, "disposition", ANSWERS)
-        build, stage, standing = get.whole("build", 0), get.whole("ring", 0), get.whole("standing", 0)
-        answers, cap, since = get.whole("sense", 0) == 1, get.number("most_share", 0), get.micros("since", 0)
-        return lambda one, now: one.stage(now, build, stage, standing, answers, status, cap, since)
+        status = one_of(message, "disposition", VOTE_STATUSES)
+        build, stage, standing = (
+            message.integer("build", 0),
+            message.integer("ring", 0),
+            message.integer("standing", 0),
+        )
+        answers, cap, since = (
+            message.integer("sense", 0) == 1,
+            message.number("most_share", 0),
+            message.microseconds("since", 0),
+        )
+        return lambda instance, now: instance.stage(now, build, stage, standing, answers, status, cap, since)
     if name == "METRICS":
-        since, lag, build = get.micros("since"), get.micros("lag", 0), get.whole("build")
-        lane, bad, samples = get.text("lane"), get.whole("bad"), get.whole("samples")
-        return lambda one, now: one.tally(now, since, lag, build, lane, bad, samples)
+        since, lag, build = (
+            message.microseconds("since"),
+            message.microseconds("lag", 0),
+            message.integer("build"),
+        )
+        lane, bad, samples = message.text("lane"), message.integer("bad"), message.integer("samples")
+        return lambda instance, now: instance.tally(now, since, lag, build, lane, bad, samples)
     if name == "COMPLAINT":
-        unit, since, lane = get.whole("unit"), get.micros("since"), get.text("lane")
-        return lambda one, now: one.complaint(now, unit, since, lane)
+        unit, since, lane = message.integer("unit"), message.microseconds("since"), message.text("lane")
+        return lambda instance, now: instance.complaint(now, unit, since, lane)
     raise WireError(f"line {message.line}: unknown message {name[:40]!r}")
--- a/laurelcourse/cli.py
+++ b/laurelcourse/cli.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from laurelcourse.operator.form import Operator
 
-CONFIG = click.option(
+CONFIG_OPTION = click.option(
     "--config",
     "path",
     envvar="EDGE_CONFIG",
@@ -24,7 +24,7 @@
     help="The configuration, a JSON file; else the variable EDGE_CONFIG names it.",
 )
 
-OPERATOR = click.option(
+OPERATOR_OPTION = click.option(
     "-o",
     "--operator",
     "operator",
@@ -33,7 +33,8 @@
 )
 
 
-def read(path: str) -> configuration.Config:
+def read_config(path: str) -> configuration.Config:
+    """Reads a configuration; prints what is wrong with it and exits with 2."""
     try:
         return configuration.read(path)
     except configuration.ConfigError as error:
@@ -42,9 +43,10 @@
 
 
 def read_operator(path: str | None) -> "Operator | None":
+    """Reads the operators' settings, if any; prints what is wrong with them and exits with 2."""
     if path is None:
         return None
-    # The plain relay has none of the libraries that this needs.
+    # The plain relay does not load the libraries that this needs.
     from laurelcourse.operator import reading
 
     try:
@@ -54,32 +56,34 @@
         sys.exit(2)
 
 
-def against(operator: "Operator | None", config: configuration.Config | None) -> None:
-    """Ends with what is wrong once the fleet's workflows are held against the platform's routes."""
+def check_against_routes(operator: "Operator | None", config: configuration.Config | None) -> None:
+    """Checks the fleet's workflows against the platform's routes; prints what is wrong and exits with 2."""
     if operator is None or operator.fleet is None or config is None:
         return
     from laurelcourse.operator import meaning_workflows
 
     faults = list(meaning_workflows.against(operator.fleet, config.settings.routes))
-    for one in faults:
-        click.echo(f"{operator.path}:{one.line}: {one.words}", err=True)
+    for fault in faults:
+        click.echo(f"{operator.path}:{fault.line}: {fault.words}", err=True)
     if faults:
         sys.exit(2)
 
 
-def more(operator: "Operator | None", host: ProcessContext) -> list[Assembly]:
-    """What the operators' settings name beside the platform's own front: further fronts, a fleet's books. The
-    plain relay has none of the libraries that these need."""
+def make_fronts(operator: "Operator | None", context: ProcessContext) -> list[Assembly]:
+    """Makes the fronts that the operators' settings name, and joins the fleet if they name one.
+
+    The plain relay does not load the libraries that these need.
+    """
     folder = Path(operator.path).parent if operator else Path()
     if operator is not None and operator.fleet is not None:
         from laurelcourse.fleet import wiring as fleet
 
-        fleet.join(host, operator.fleet, folder, host.config.settings.zone)
+        fleet.join(context, operator.fleet, folder, context.config.settings.zone)
     if operator is None or not operator.fronts:
         return []
     from laurelcourse.fronts.tuf import wiring
 
-    return [wiring.assemble(host, one, len(operator.fronts), folder) for one in operator.fronts]
+    return [wiring.assemble(context, front, len(operator.fronts), folder) for front in operator.fronts]
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -88,8 +92,8 @@
 
 
 @main.command()
-@CONFIG
-@OPERATOR
+@CONFIG_OPTION
+@OPERATOR_OPTION
 @click.option(
     "--log-level",
     default="info",
@@ -99,12 +103,12 @@
 )
 def serve(path: str, operator: str | None, log_level: str) -> None:
     """Serve clients until SIGTERM or SIGINT; SIGHUP reads the file again, SIGUSR1 prints the counters."""
-    read_config = read(path)
+    config = read_config(path)
     settings = read_operator(operator)
-    against(settings, read_config)
+    check_against_routes(settings, config)
     log.start(log_level)
     try:
-        Relay(read_config, lambda: configuration.read(path), lambda host: more(settings, host)).run()
+        Relay(config, lambda: configuration.read(path), lambda context: make_fronts(settings, context)).run()
     except configuration.ConfigError as error:
         click.echo(error, err=True)
         sys.exit(2)
@@ -115,27 +119,27 @@
 
 @main.command()
 @click.option("--config", "path", envvar="EDGE_CONFIG", type=click.Path(), help="As with serve.")
-@OPERATOR
+@OPERATOR_OPTION
 def check(path: str | None, operator: str | None) -> None:
     """Read a configuration, operators' settings or both, and say what is wrong, without serving."""
     if path is None and operator is None:
         raise click.UsageError("name a file: --config, --operator or both")
-    found = None
+    config = None
     if path is not None:
-        found = read(path)
+        config = read_config(path)
         click.echo(
-            f"{path}: good: relay {found.name}, {len(found.settings.routes)} routes, "
-            f"{len(found.known.entries)} units known"
+            f"{path}: good: relay {config.name}, {len(config.settings.routes)} routes, "
+            f"{len(config.known.entries)} units known"
         )
     if (settings := read_operator(operator)) is not None:
-        against(settings, found)
+        check_against_routes(settings, config)
         fleet = settings.fleet
-        kept = (
+        fleet_summary = (
             f", {len(fleet.keepers)} keepers, {len(fleet.budgets)} budgets, {len(fleet.workflows)} workflows"
             if fleet
             else ""
         )
-        click.echo(f"{operator}: good: {len(settings.fronts)} fronts{kept}")
+        click.echo(f"{operator}: good: {len(settings.fronts)} fronts{fleet_summary}")
 
 
 @main.command()
