--- a/laurelcourse/fleet/budgets/holder.py
+++ b/laurelcourse/fleet/budgets/holder.py
@@ -33,7 +33,7 @@
         """Whether `take` would say yes."""
         if self._unbound(now, name):
             return None
-        return self._use(now, name, key).could(now, amount, usable=self.session.usable(now))
+        return self._use(now, name, key).could(now, amount, usable=self.session.is_usable(now))
 
     def consume(self, now: int, name: str, key: str = "", amount: int = 1) -> bool | None:
         """Whether so much of the budget may be used now; if so it counts as used. The lease is looked at in
@@ -41,11 +41,13 @@
         share: whoever asks is left to its own bound."""
         if self._unbound(now, name):
             return None
-        return self._use(now, name, key).take(now, amount, usable=self.session.usable(now))
+        return self._use(now, name, key).take(now, amount, usable=self.session.is_usable(now))
 
     def _unbound(self, now: int, name: str) -> bool:
         budget = self.budgets.get(name)
-        return budget is None or (budget.floor == 0 and budget.kind != LEVEL and not self.session.usable(now))
+        return budget is None or (
+            budget.floor == 0 and budget.kind != LEVEL and not self.session.is_usable(now)
+        )
 
     def release(self, now: int, name: str, key: str = "", amount: int = 1) -> None:
         """Of a LEVEL: so much is held no longer."""
@@ -82,8 +84,8 @@
                 self.uses[scope] = Use(self.budgets[name], self.started + self.budgets[name].window)
                 self.asked_at[scope] = now
         # A session that is over takes its words with it: what is told next is another one's.
-        usable = self.session.usable(now)
-        until = self.session.granted_at + self.session.terms.holds() if usable else 0
+        usable = self.session.is_usable(now)
+        until = self.session.granted_at + self.session.terms.holder_lease() if usable else 0
         for scope in sorted(self.uses):
             self.uses[scope].told(now, shares.get(scope), until)
 
@@ -94,7 +96,7 @@
     def given(self, now: int, what: GiveBack) -> None:
         """The books have answered a giving back, by yes or no."""
         if what.budget in self.uses:
-            self.uses[what.budget].given(now + self.session.terms.holds())
+            self.uses[what.budget].given(now + self.session.terms.holder_lease())
 
     def _tidy(self, now: int) -> None:
         old = now - IDLE_LEASES * self.session.terms.lease
--- a/laurelcourse/fleet/calls/client.py
+++ b/laurelcourse/fleet/calls/client.py
@@ -27,9 +27,9 @@
     UnknownFateError,
     made,
 )
-from laurelcourse.fleet.handing import Routes, Try
-from laurelcourse.fleet.keeper.forms import Keepers
+from laurelcourse.fleet.keeper.messages import Keepers
 from laurelcourse.fleet.orders import Answer, Beat, Question, Submit
+from laurelcourse.fleet.routing import Attempt, LeaderRoutes
 from laurelcourse.prng import Prng
 
 log = logging.getLogger(__name__)
@@ -118,7 +118,7 @@
         names = tuple(self.ways)
         # Relays don't all turn to the same keeper first. A leader that was not heard is tried itself again
         # once in an order's time, which is no shorter than a lease.
-        self.routes = Routes(names, rng.below(len(names)), limits.answer)
+        self.routes = LeaderRoutes(names, rng.below(len(names)), limits.answer)
         self.closed, self.said = False, ""  # who hands orders on, as logged: a change is told once
         self.lanes = {name: Lane(self, name) for name in ("submit", "renew", "ask")}
 
@@ -211,7 +211,7 @@
             return StoppingError(self.me)
         return last if last is not None and last.code != "unknown_fate" else NoQuorumError(self.fleet)
 
-    def _asked(self, order: Order, to: Try, timeout: int) -> tuple[Answer, str]:
+    def _asked(self, order: Order, to: Attempt, timeout: int) -> tuple[Answer, str]:
         """The answer, and who gave it if it was handed on."""
         # All requests have the same fields; only their types differ.
         request = REQUESTS[order.verb](
--- a/laurelcourse/fleet/calls/codec.py
+++ b/laurelcourse/fleet/calls/codec.py
@@ -24,7 +24,7 @@
     TooLargeError,
     UnreadableError,
 )
-from laurelcourse.fleet.keeper import forms as keeper
+from laurelcourse.fleet.keeper import messages as keeper
 from laurelcourse.fleet.workflows import definition
 
 LEAST, VERSION, MINOR = 1, 1, 0
--- a/laurelcourse/fleet/calls/peers.py
+++ b/laurelcourse/fleet/calls/peers.py
@@ -15,7 +15,7 @@
 from laurelcourse.fleet.calls import fleet_pb2 as wire
 from laurelcourse.fleet.calls.ways import SECOND, Limits, UnheardError, Way
 from laurelcourse.fleet.errors import FleetError, made
-from laurelcourse.fleet.keeper import forms as keeper
+from laurelcourse.fleet.keeper import messages as keeper
 from laurelcourse.prng import Prng
 
 log = logging.getLogger(__name__)
--- a/laurelcourse/fleet/calls/service.py
+++ b/laurelcourse/fleet/calls/service.py
@@ -15,14 +15,14 @@
 import grpc
 from google.protobuf.message import Message
 
-from laurelcourse.fleet import handing
+from laurelcourse.fleet import routing
 from laurelcourse.fleet.books.forms import Done
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
 from laurelcourse.fleet.calls.hands import Hands
 from laurelcourse.fleet.calls.ways import SECOND, Limits, options
 from laurelcourse.fleet.errors import FleetError, OverloadedError, StoppingError, UnknownFateError
-from laurelcourse.fleet.keeper import forms as keeper
+from laurelcourse.fleet.keeper import messages as keeper
 from laurelcourse.fleet.orders import Answer, Beat, Question, Submit
 
 log = logging.getLogger(__name__)
@@ -153,7 +153,7 @@
             self._enter(wait)
             try:
                 answer = self._waited(ask(order), kind, wait, rest, context)
-                if leader := handing.leader_for(request.hand_on, answer, self.me, self.hands.ways):
+                if leader := routing.forward_target(request.hand_on, answer, self.me, self.hands.ways):
                     return self._handed_on(verb, request, sender, leader, rest)
             finally:
                 with self.lock:
@@ -164,7 +164,7 @@
 
     def _handed_on(self, verb: str, request: Message, sender: str, leader: str, rest: Time) -> Message:
         """The leader's answer as it is, whatever this version knows of it."""
-        reply = self.hands.on(verb, request, leader, handing.time_for(rest.left(), self.limits.call))
+        reply = self.hands.on(verb, request, leader, routing.forward_timeout(rest.left(), self.limits.call))
         return codec.fitting(
             wire.Reply(head=codec.head(self.fleet, self.me, sender), answer=reply.answer, by=leader),
             self.limits.message,
--- a/laurelcourse/fleet/calls/ways.py
+++ b/laurelcourse/fleet/calls/ways.py
@@ -39,15 +39,15 @@
     bounds, keepers = terms.bounds, len(terms.keepers.voters) + len(terms.keepers.learners)
     asks = 8 + terms.sessions // 4
     return Limits(
-        message=4 * max(bounds.batch, bounds.piece) + ROOM,
+        message=4 * max(bounds.max_batch_bytes, bounds.chunk_bytes) + ROOM,
         talks=2 * keepers + 2,
         asks=asks,
         hands=asks // 2,
-        queue=4 * (bounds.ahead + 4),
-        talk=bounds.patience,
-        call=2 * bounds.patience,
-        answer=max(terms.lease, 2 * bounds.patience),
-        pause=bounds.beat,
+        queue=4 * (bounds.max_in_flight + 4),
+        talk=bounds.election_timeout,
+        call=2 * bounds.election_timeout,
+        answer=max(terms.lease, 2 * bounds.election_timeout),
+        pause=bounds.heartbeat,
         idle=terms.lease,
     )
 
--- a/laurelcourse/fleet/keeper/dividing.py
+++ b/laurelcourse/fleet/keeper/allocation.py
@@ -1,4 +1,4 @@
-"""The leader's division of budgets: what the books and the relays' demands come to, as Grants. Pure."""
+"""The leader's division of budgets: turns the replicated state and the relays' demands into Grants. Pure."""
 
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import Grant
@@ -6,43 +6,45 @@
 from laurelcourse.fleet.members import Members
 
 
-class Dividing:
-    """`credit`: how far each session's word is believed, by scope; `rests`: until when a scope is left
-    alone, for its last Grant was refused."""
+class BudgetAllocator:
+    """`credit`: how far each session's demand is trusted, by scope; `paused_until`: by scope, after a Grant
+    of it was refused.
+    """
 
-    __slots__ = ("credit", "rests")
+    __slots__ = ("credit", "paused_until")
 
     def __init__(self) -> None:
         self.credit: dict[str, dict[int, int]] = {}
-        self.rests: dict[str, int] = {}
+        self.paused_until: dict[str, int] = {}
 
     def grants(self, now: int, books: Books, members: Members) -> list[Grant]:
-        """The changes worth proposing, by scope in order."""
+        """Returns the changes worth proposing, in the order of their scopes."""
         defined = {budget.name: budget for budget in books.defined()}
-        wanted, found = members.wanted(), []
+        wanted, grants = members.wanted(), []
         scopes = sorted({*books.scopes(), *wanted})
         for scope in scopes:
             name, slash, key = scope.partition("/")
-            if name not in defined or (slash and not key) or now < self.rests.get(scope, now):
+            if name not in defined or (slash and not key) or now < self.paused_until.get(scope, now):
                 continue
-            self.rests.pop(scope, None)
+            self.paused_until.pop(scope, None)
             shares = {session: (granted, wants) for session, granted, wants in books.shares(scope)}
-            asked, others = [], books.held(scope)
+            asked, held_by_others = [], books.held(scope)
             for session in sorted({*shares, *wanted.get(scope, ())}):
                 granted, wants = shares.get(session, (0, 0))
                 live = books.numbered(session)
                 if live is None or members.refuses(session):
-                    others += granted  # being lapsed: still in use, and nothing it could be asked
+                    # Its lease is ending: what it holds is still in use, and it can be asked for nothing.
+                    held_by_others += granted
                     continue
                 demand = members.demand(now, session, scope, wants + defined[name].floor)
                 used = members.used_of(session, scope)
                 asked.append(Asked(session, demand, granted, wants, used, live.site))
             credit = credited(defined[name], asked, self.credit.get(scope, {}))
             self.credit[scope] = credit
-            changes = divide(defined[name], tuple(asked), others, credit)
+            changes = divide(defined[name], tuple(asked), held_by_others, credit)
             if changes:
-                found.append(Grant(scope, tuple(changes)))
-        for kept in (self.credit, self.rests):
-            for gone in sorted(kept.keys() - set(scopes)):
-                del kept[gone]
-        return found
+                grants.append(Grant(scope, tuple(changes)))
+        for by_scope in (self.credit, self.paused_until):
+            for removed in sorted(by_scope.keys() - set(scopes)):
+                del by_scope[removed]
+        return grants
--- a/laurelcourse/fleet/keeper/snapshot.py
+++ b/laurelcourse/fleet/keeper/snapshot.py
@@ -1,26 +1,29 @@
-"""A snapshot on its way from one keeper to another, in pieces. Pure."""
+"""A snapshot sent from one keeper to another in chunks. Pure."""
 
-from laurelcourse.fleet.keeper.forms import Piece, Snapshot
+from laurelcourse.fleet.keeper.messages import Piece, Snapshot
 
 
-class Incoming:
-    """Pieces of one snapshot by one leader of one term: another leader's version may write the same books
-    in other bytes, so its pieces are never put together with these."""
+class IncomingSnapshot:
+    """Chunks of one snapshot by one leader of one term.
 
-    __slots__ = ("_of", "data")
+    Chunks of different leaders are never combined: another version may encode the same state in other bytes.
+    """
+
+    __slots__ = ("_id", "data")
 
     def __init__(self, piece: Piece) -> None:
-        self._of, self.data = (piece.term, piece.index, piece.index_term), bytearray()
+        self._id, self.data = (piece.term, piece.index, piece.index_term), bytearray()
 
-    def same(self, piece: Piece) -> bool:
-        return self._of == (piece.term, piece.index, piece.index_term)
+    def matches(self, piece: Piece) -> bool:
+        """Returns whether a chunk belongs to this snapshot."""
+        return self._id == (piece.term, piece.index, piece.index_term)
 
-    def outdated(self, piece: Piece) -> bool:
-        """A leader goes on to later snapshots only: a piece of an earlier one was long under way."""
-        return piece.term == self._of[0] and piece.index < self._of[1]
+    def is_outdated(self, piece: Piece) -> bool:
+        """Returns whether a chunk of an earlier snapshot was delayed: a leader only goes on to later ones."""
+        return piece.term == self._id[0] and piece.index < self._id[1]
 
-    def take(self, piece: Piece) -> Snapshot | None:
-        """The whole once the last piece is there. A piece that comes twice, or too early, changes nothing."""
+    def add(self, piece: Piece) -> Snapshot | None:
+        """Returns the snapshot once the last chunk is there. Repeated or early chunks change nothing."""
         if piece.offset != len(self.data):
             return None
         self.data += piece.data
@@ -29,8 +32,8 @@
         return Snapshot(piece.index, piece.index_term, piece.keepers, bytes(self.data))
 
 
-def piece_of(snapshot: Snapshot, term: int, offset: int, size: int, round_: int) -> Piece:
-    """The piece from `offset` on, of at most `size` bytes."""
+def chunk_of(snapshot: Snapshot, term: int, offset: int, size: int, round_: int) -> Piece:
+    """Returns the chunk from `offset` on, of at most `size` bytes."""
     data = snapshot.data[offset : offset + size]
     return Piece(
         term,
--- a/laurelcourse/fleet/member.py
+++ b/laurelcourse/fleet/member.py
@@ -100,18 +100,18 @@
             for done in [one for one in dones if isinstance(one, Done) and one.code]:
                 self._doubt(made(done.code, done.to, dict(done.told)))
         self.holder.renewed(now)
-        for command, done in self.session.settled():
+        for command, done in self.session.take_results():
             if isinstance(command.what, GiveBack):
                 self.holder.given(now, command.what)
             else:
                 self.others(command, done)
-        if self.fault and self.session.usable(now):
+        if self.fault and self.session.is_usable(now):
             self.fault = ""
             log.info("keepers are back")
 
     def _give_back(self) -> None:
         now = self.clock()
-        for what in self.holder.give_backs(now) if self.session.usable(now) else ():
+        for what in self.holder.give_backs(now) if self.session.is_usable(now) else ():
             try:
                 command = self.session.command(what, now)
             except FleetError as error:
@@ -126,7 +126,7 @@
         if isinstance(answer, FleetError | Done):
             self.session.lost(command, answer.code)
             return
-        self.session.known(now, command)
+        self.session.confirmed(now, command)
         self.holder.given(now, command.what)
 
     def _doubt(self, error: FleetError) -> None:
--- a/laurelcourse/fleet/session.py
+++ b/laurelcourse/fleet/session.py
@@ -1,8 +1,9 @@
-"""A relay's own side of its session with the keepers: pure; its state is changed by `Session._turn` alone.
+"""A relay's side of its session with the keepers. Pure; `Session._set_state` is the one place where it
+changes.
 
 All times are microseconds of the relay's own monotonic clock. The lease counts from when the relay asked for
-what was granted, never from when the answer came, and `usable` is looked at before each use: a relay that
-wakes from a pause finds out before it acts. The keepers' half of the argument is in `members.py`.
+what was granted, never from when the answer came, and `is_usable` is checked before each use: a relay that
+wakes from a pause notices before it acts. The keepers' half of the argument is in `members.py`.
 """
 
 from typing import NamedTuple
@@ -12,9 +13,14 @@
 from laurelcourse.fleet.orders import Answer, Beat, Renewed, Share, Submit, Terms
 from laurelcourse.prng import Prng
 
-AWAY, OPENING, HELD, LAPSED = "away", "opening", "held", "lapsed"
-CLOSING, ENDED = "closing", "ended"
-TURNS = {  # LAPSED: over by the own clock; the keepers may still have the session, and renew it
+# States, and which may follow.
+AWAY = "away"
+OPENING = "opening"
+HELD = "held"
+LAPSED = "lapsed"  # by the own clock; the keepers may still have the session, and renew it
+CLOSING = "closing"
+ENDED = "ended"
+NEXT_STATES = {
     AWAY: (OPENING, ENDED),
     OPENING: (HELD, AWAY, ENDED),
     HELD: (LAPSED, OPENING, CLOSING),
@@ -23,248 +29,273 @@
     ENDED: (),
 }
 
-OVER = ("lapsed_lease", "fenced_off")  # the keepers have ended the session
-MARKS = 64  # the books know what came of so many marks
-MARK_BOUND = 1 << 31
-DOUBLINGS = 5  # of the pause between openings, in beats; never longer than a lease
+SESSION_OVER_CODES = ("lapsed_lease", "fenced_off")  # the keepers have ended the session
+REMEMBERED_MARKS = 64  # results that the state machine remembers for a session
+OPEN_MARK_BOUND = 1 << 31
+MAX_BACKOFF_DOUBLINGS = 5  # of the renew interval; never longer than a lease
 
 
-class Kept(NamedTuple):
-    """A share given back: no more than `keeps` may be used until an answer surely knows of it."""
+class GivenBack(NamedTuple):
+    """A share being given back: no more than `keeps` may be used until an answer surely includes it."""
 
     budget: str
     keeps: int
-    made: int
-    lower: bool  # than what could be used until then: seen again that low, it was carried out
-    known: int | None = None  # when its outcome was heard
+    given_at: int
+    lowers: bool  # it is less than was usable: a share seen that low proves that it was carried out
+    confirmed_at: int | None = None  # when its result was received
 
 
 class Session:
+    """One relay's session: its lease, shares, and commands of unknown fate."""
+
     def __init__(self, name: str, site: str, terms: Terms, rng: Prng, now: int) -> None:
-        """`chance`: seeded otherwise at each start of the process, for its `Open` must not bear the mark of
-        the one before."""
+        """`rng` must be seeded differently at each start: an `Open` must not repeat the mark of the last
+        one.
+        """
         self.name, self.site, self.terms, self.rng = name, site, terms, rng
         self.state = AWAY
         self.fence: Fence | None = None
-        self.demands: tuple[tuple[str, int], ...] = ()  # told with each Beat, as in `orders.Beat`;
-        self.uses: tuple[tuple[str, int], ...] = ()  # set by whoever uses budgets
-        self.now = now  # the latest that was told
+        # Sent with each Beat, see `orders.Beat`; set by the user of the budgets.
+        self.demands: tuple[tuple[str, int], ...] = ()
+        self.uses: tuple[tuple[str, int], ...] = ()
+        self.now = now  # the latest time seen
         self.next_at = now  # when the next order is due
-        self.failures = 0  # openings that came to nothing, in a row
+        self.failures = 0  # failed openings in a row
         self.mark = self.open_mark = 0
-        self.first_asked = now  # of the Open under way, with its mark
-        self.granted_at: int | None = None  # asking time of the newest answer granted
+        self.first_asked = now  # of the Open with the current mark
+        self.granted_at: int | None = None  # when the newest lease granted was asked for
         self.held: dict[str, Share] = {}
-        self.given_back: dict[int, Kept] = {}  # by mark
-        self.unknown: dict[int, Command] = {}  # by mark
-        self.out: dict[int, tuple[int, ...]] = {}  # orders under way: marks by asking time
-        self.found: list[tuple[Command, Done]] = []
+        self.given_back: dict[int, GivenBack] = {}  # by mark
+        self.unknown: dict[int, Command] = {}  # commands of unknown fate, by mark
+        self.in_flight: dict[int, tuple[int, ...]] = {}  # marks of orders, by asking time
+        self.results: list[tuple[Command, Done]] = []
 
-    def _turn(self, state: str) -> None:
+    def _set_state(self, state: str) -> None:
         """The one place where `state` changes."""
-        if state not in TURNS[self.state]:
+        if state not in NEXT_STATES[self.state]:
             raise AssertionError(f"session {self.name}: {self.state} can't become {state}")
         self.state = state
         if state == OPENING:
-            self._forget()
+            self._forget_session()
         if state in (LAPSED, CLOSING, ENDED):
             self.held = {}
 
-    def _forget(self) -> None:
-        """The session before is over: what came of orders unanswered, nobody will tell any more."""
+    def _forget_session(self) -> None:
+        """The former session is over: the fate of its unanswered commands stays unknown."""
         for mark in sorted(self.unknown):
-            self.found.append((self.unknown[mark], Done(code="unknown_fate", to=self.name)))
-        self.unknown, self.out, self.held, self.given_back = {}, {}, {}, {}
+            self.results.append((self.unknown[mark], Done(code="unknown_fate", to=self.name)))
+        self.unknown, self.in_flight, self.held, self.given_back = {}, {}, {}, {}
         self.fence, self.granted_at, self.mark = None, None, 0
-        self.open_mark = 1 + self.rng.below(MARK_BOUND)
+        self.open_mark = 1 + self.rng.below(OPEN_MARK_BOUND)
 
-    def _look(self, now: int) -> None:
-        """A pause is found out here, whoever asks first after it."""
+    def _check_lease(self, now: int) -> None:
+        """Notices a lease that ended during a pause, whichever method is called first after it."""
         self.now = max(self.now, now)
         if self.state == HELD and not self._in_lease(now):
-            self._turn(LAPSED)
+            self._set_state(LAPSED)
             self.next_at = now
 
     def _in_lease(self, now: int) -> bool:
-        return self.granted_at is not None and now < self.granted_at + self.terms.holds()
+        return self.granted_at is not None and now < self.granted_at + self.terms.holder_lease()
 
     def due(self) -> int:
-        """When `orders` is wanted next."""
+        """Returns when `orders` has to be called next."""
         if self.state == HELD and self.granted_at is not None:
-            return min(self.next_at, self.granted_at + self.terms.holds())
+            return min(self.next_at, self.granted_at + self.terms.holder_lease())
         return self.next_at
 
-    def usable(self, now: int) -> bool:
-        self._look(now)
+    def is_usable(self, now: int) -> bool:
+        """Returns whether the lease is valid now."""
+        self._check_lease(now)
         return self.state == HELD and self._in_lease(now)
 
     def shares(self, now: int) -> dict[str, Share]:
-        """By budget, in order; empty when the lease is not usable. Never more than was kept at a giving
-        back: answers that set out before the keepers heard of it still tell the former share."""
-        if not self.usable(now):
+        """Returns the shares by budget, in order; none when the lease is not valid.
+
+        They never exceed what was kept in a GiveBack: answers sent before the keepers applied it still have
+        the former share.
+        """
+        if not self.is_usable(now):
             return {}
         return {name: self._capped(self.held[name]) for name in sorted(self.held)}
 
     def _capped(self, share: Share) -> Share:
-        least = min(
-            (kept.keeps for kept in self.given_back.values() if kept.budget == share.budget),
+        cap = min(
+            (
+                given_back.keeps
+                for given_back in self.given_back.values()
+                if given_back.budget == share.budget
+            ),
             default=share.granted,
         )
-        return share._replace(granted=min(share.granted, least), wanted=min(share.wanted, least))
+        return share._replace(granted=min(share.granted, cap), wanted=min(share.wanted, cap))
 
     def orders(self, now: int) -> list[Submit | Beat]:
-        """What is to be sent now. `asked_at` in each is to be given back with its answer."""
-        self._look(now)
+        """Returns what has to be sent now. `asked_at` of each has to be passed back with its answer."""
+        self._check_lease(now)
         if now < self.next_at or self.state == ENDED:
             return []
         if self.state == AWAY:
-            self._turn(OPENING)
+            self._set_state(OPENING)
             self.first_asked = now
-        # An order that is never answered nor failed must not hold up the next one for ever.
-        self.next_at = now + (self.terms.lease if self.state == OPENING else self.terms.beat)
-        self.out = {asked: marks for asked, marks in self.out.items() if asked > now - 2 * self.terms.lease}
+        # An order that is never answered nor fails must not delay the next one for ever.
+        self.next_at = now + (self.terms.lease if self.state == OPENING else self.terms.renew_interval)
+        self.in_flight = {
+            asked: marks for asked, marks in self.in_flight.items() if asked > now - 2 * self.terms.lease
+        }
         if self.state == OPENING:
-            self.out[now] = (self.open_mark,)
+            self.in_flight[now] = (self.open_mark,)
             return [Submit((Command(None, self.open_mark, Open(self.name, self.site)),), now)]
         if self.state == CLOSING:
-            self.out[now] = (self.mark,)
+            self.in_flight[now] = (self.mark,)
             return [Submit((Command(self.fence, self.mark, Close()),), now)]
-        self.out[now] = tuple(sorted(self.unknown))
+        self.in_flight[now] = tuple(sorted(self.unknown))
         lost = tuple(self.unknown[mark] for mark in sorted(self.unknown))
         return [Beat(self.fence, self.demands, now, self.uses), *([Submit(lost, now)] if lost else [])]
 
     def answered(self, now: int, asked_at: int, answer: Answer) -> None:
-        """An answer to an order of `orders`; one to an order of a former session is passed over."""
-        self._look(now)
-        if asked_at not in self.out or self.state == ENDED:
+        """Handles the answer to an order of `orders`; one of a former session is ignored."""
+        self._check_lease(now)
+        if asked_at not in self.in_flight or self.state == ENDED:
             return
         if isinstance(answer, Renewed):
-            self._renewed(now, asked_at, answer)
+            self._on_renewed(now, asked_at, answer)
         elif isinstance(answer, Done):
             self.failed(now, asked_at, answer.code)
         elif self.state == OPENING:
-            self._opened(now, answer[0])
+            self._on_opened(now, answer[0])
         elif self.state == CLOSING:
-            if self.out[asked_at] == (self.mark,):
-                self._turn(ENDED)
+            if self.in_flight[asked_at] == (self.mark,):
+                self._set_state(ENDED)
         else:
-            for mark, done in zip(self.out[asked_at], answer, strict=True):
-                if mark in self.unknown and done.code not in ("unknown_fate", "not_leader"):
-                    self.found.append((self.unknown[mark], done))
-                    self.known(now, self.unknown.pop(mark))
-            if any(done.code in OVER for done in answer):
+            for mark, result in zip(self.in_flight[asked_at], answer, strict=True):
+                if mark in self.unknown and result.code not in ("unknown_fate", "not_leader"):
+                    self.results.append((self.unknown[mark], result))
+                    self.confirmed(now, self.unknown.pop(mark))
+            if any(result.code in SESSION_OVER_CODES for result in answer):
                 self._reopen(now)
 
-    def _renewed(self, now: int, asked_at: int, answer: Renewed) -> None:
+    def _on_renewed(self, now: int, asked_at: int, answer: Renewed) -> None:
         if self.state not in (HELD, LAPSED) or (self.granted_at is not None and asked_at < self.granted_at):
             return
         self.granted_at = asked_at
         if not self._in_lease(now):
             return  # it came too late to be of use
         self.held = {share.budget: share for share in answer.shares}
-        self._uncap(now, asked_at)
+        self._remove_caps(now, asked_at)
         if self.state == LAPSED:
-            self._turn(HELD)
-
-    def _uncap(self, now: int, asked_at: int) -> None:
-        """A cap goes with an answer to a Beat asked after the outcome was heard. What was granted falls by
-        the session's own word alone: an answer that shows it that low proves that the word was heard."""
-        for mark, kept in sorted(self.given_back.items()):
-            share = self.held.get(kept.budget)
-            alone = sum(other.budget == kept.budget for other in self.given_back.values()) == 1
-            if kept.known is not None and asked_at > kept.known:
+            self._set_state(HELD)
+
+    def _remove_caps(self, now: int, asked_at: int) -> None:
+        """Removes caps of given-back shares that the answer surely includes.
+
+        That is so for an answer to a Beat asked after the result was received. And since only the session
+        itself lowers what was granted, an answer with a share that low proves that the GiveBack was carried
+        out.
+        """
+        for mark, given_back in sorted(self.given_back.items()):
+            share = self.held.get(given_back.budget)
+            only_one = sum(other.budget == given_back.budget for other in self.given_back.values()) == 1
+            if given_back.confirmed_at is not None and asked_at > given_back.confirmed_at:
                 del self.given_back[mark]
             elif (
-                kept.known is None
-                and alone
-                and kept.lower
-                and asked_at > kept.made
-                and (share is None or share.granted <= kept.keeps)
+                given_back.confirmed_at is None
+                and only_one
+                and given_back.lowers
+                and asked_at > given_back.given_at
+                and (share is None or share.granted <= given_back.keeps)
             ):
-                self.given_back[mark] = kept._replace(known=now)
+                self.given_back[mark] = given_back._replace(confirmed_at=now)
 
-    def _opened(self, now: int, done: Done) -> None:
-        if done.code:
-            # With another mark: the books' word on this one is a refusal for good.
-            self._away(now)
+    def _on_opened(self, now: int, result: Done) -> None:
+        if result.code:
+            # The next try has another mark: the state machine's refusal of this one is final.
+            self._set_state(AWAY)
+            self._back_off(now)
             return
-        self.fence, self.failures = Fence(*done.value), 0
-        self.out = {}
-        self._turn(HELD)
-        # The keepers count from when the Open was applied, which may have been at the first asking.
+        self.fence, self.failures = Fence(*result.value), 0
+        self.in_flight = {}
+        self._set_state(HELD)
+        # The keepers count from the Open's application, which may have followed the first request.
         self.granted_at, self.next_at = self.first_asked, now
-        self._look(now)
-
-    def _away(self, now: int) -> None:
-        self._turn(AWAY)
-        self._pause(now)
+        self._check_lease(now)
 
-    def _pause(self, now: int) -> None:
-        """Growing, and scattered, so that a fleet that lost its keepers does not come back at one instant."""
-        longest = min(self.terms.beat << min(self.failures, DOUBLINGS), self.terms.lease)
+    def _back_off(self, now: int) -> None:
+        """Backs off with jitter, so that a fleet that lost its keepers does not reconnect at one instant."""
+        max_delay = min(
+            self.terms.renew_interval << min(self.failures, MAX_BACKOFF_DOUBLINGS), self.terms.lease
+        )
         self.failures += 1
-        self.next_at = now + longest // 2 + self.rng.below(max(longest // 2, 1))
+        self.next_at = now + max_delay // 2 + self.rng.below(max(max_delay // 2, 1))
 
     def _reopen(self, now: int) -> None:
-        self._turn(OPENING)
+        self._set_state(OPENING)
         self.first_asked = self.next_at = now
 
     def failed(self, now: int, asked_at: int, code: str) -> None:
-        """An order of `orders` was refused, or no answer came. What may have been done is asked for again
-        with the same mark."""
-        self._look(now)
-        if asked_at not in self.out:
+        """An order of `orders` was refused or not answered.
+
+        What may have been carried out is repeated with the same mark.
+        """
+        self._check_lease(now)
+        if asked_at not in self.in_flight:
             return
         if self.state == OPENING:
-            self._pause(now)
+            self._back_off(now)
         elif self.state == CLOSING:
-            if code in OVER:
-                self._turn(ENDED)
-        elif self.state in (HELD, LAPSED) and code in OVER:
+            if code in SESSION_OVER_CODES:
+                self._set_state(ENDED)
+        elif self.state in (HELD, LAPSED) and code in SESSION_OVER_CODES:
             self._reopen(now)
-        self.out.pop(asked_at, None)
+        self.in_flight.pop(asked_at, None)
 
     def command(self, what: What, now: int = 0) -> Command:
-        """With the fence and the next mark. LapsedLeaseError: the lease is not usable. OverloadedError: one
-        of unknown fate would fall out of what the books remember."""
+        """Returns a command with the fence and the next mark.
+
+        Raises LapsedLeaseError if the lease is not valid, and OverloadedError if a command of unknown fate
+        would drop out of the results that the state machine remembers.
+        """
         now = max(now, self.now)
-        if not self.usable(now):
+        if not self.is_usable(now):
             raise LapsedLeaseError(self.name, session=self.fence.session if self.fence else 0)
-        if self.unknown and self.mark + 1 - min(self.unknown) >= MARKS:
-            raise OverloadedError(self.name, waiting=len(self.unknown), at_most=MARKS)
+        if self.unknown and self.mark + 1 - min(self.unknown) >= REMEMBERED_MARKS:
+            raise OverloadedError(self.name, waiting=len(self.unknown), at_most=REMEMBERED_MARKS)
         self.mark += 1
         if isinstance(what, GiveBack):
             share = self.held.get(what.budget)
-            lower = share is not None and what.keeps < self._capped(share).granted
-            self.given_back[self.mark] = Kept(what.budget, what.keeps, now, lower)
+            lowers = share is not None and what.keeps < self._capped(share).granted
+            self.given_back[self.mark] = GivenBack(what.budget, what.keeps, now, lowers)
         return Command(self.fence, self.mark, what)
 
     def lost(self, command: Command, code: str) -> None:
-        """No answer came (`code` says why): given again with each Beat until one does, see `settled`."""
+        """No answer came (`code` says why): the command is repeated with each Beat until `take_results` has
+        it.
+        """
         if command.fence == self.fence and self.state in (HELD, LAPSED):
             self.unknown[command.mark] = command
         else:
-            self.found.append((command, Done(code="unknown_fate", to=self.name, told=(("why", code),))))
+            result = Done(code="unknown_fate", to=self.name, told=(("why", code),))
+            self.results.append((command, result))
 
-    def known(self, now: int, command: Command) -> None:
-        """The command was answered, whatever with: Beats asked from now on know of it."""
+    def confirmed(self, now: int, command: Command) -> None:
+        """The command was answered, with whatever result: later Beats include its effect."""
         self.now = max(self.now, now)
-        kept = self.given_back.get(command.mark)
-        if kept is not None and command.fence == self.fence:
-            self.given_back[command.mark] = kept._replace(known=self.now)
+        given_back = self.given_back.get(command.mark)
+        if given_back is not None and command.fence == self.fence:
+            self.given_back[command.mark] = given_back._replace(confirmed_at=self.now)
 
-    def settled(self) -> list[tuple[Command, Done]]:
-        """What came of the commands told `lost`, each once."""
-        found, self.found = self.found, []
-        return found
+    def take_results(self) -> list[tuple[Command, Done]]:
+        """Returns the results of commands that were `lost`, each once."""
+        results, self.results = self.results, []
+        return results
 
     def close(self, now: int) -> None:
-        """Nothing is used any more; what is held is given back at once."""
-        self._look(now)
+        """Ends the session: nothing is used any more, and what is held is given back at once."""
+        self._check_lease(now)
         if self.state in (HELD, LAPSED):
             self.mark += 1
-            self._turn(CLOSING)
+            self._set_state(CLOSING)
             self.next_at = now
         elif self.state in (AWAY, OPENING):
-            # An Open under way is left to lapse: its fence is not known here.
-            self._turn(ENDED)
+            # An Open in flight is left to lapse: its fence is not known here.
+            self._set_state(ENDED)
--- a/laurelcourse/fleet/terms.py
+++ b/laurelcourse/fleet/terms.py
@@ -1,60 +1,66 @@
-"""From the operators' settings to what the fleet's modules take."""
+"""Converts the operators' settings to what the fleet's modules take."""
 
 from laurelcourse.fleet.books.forms import Budget, Link, Site
-from laurelcourse.fleet.keeper.forms import Bounds, Keepers
+from laurelcourse.fleet.keeper.messages import Bounds, Keepers
 from laurelcourse.fleet.orders import Terms
 from laurelcourse.operator import meaning_workflows
 from laurelcourse.operator.form import Address, Fleet
 
+MILLION = 1_000_000
+
 
 def terms(fleet: Fleet) -> Terms:
-    """Budgets and keepers sorted by name, so that their order in the file changes nothing in the books."""
-    told = fleet.bounds
-    budgets = sorted(fleet.budgets, key=lambda one: one.name)
+    """Returns the terms of a fleet.
+
+    Budgets and keepers are sorted by name, so that their order in the file does not change the replicated
+    state.
+    """
+    bounds = fleet.bounds
+    budgets = sorted(fleet.budgets, key=lambda budget: budget.name)
 
-    def longer(time: int) -> int:
-        """By a clock that may run fast, such a time is surely over only so much later."""
-        return time and time + time * fleet.drift // 1_000_000 + 1
+    def with_drift(time: int) -> int:
+        """Returns the time after which another clock, which may run fast, has surely counted `time`."""
+        return time and time + time * fleet.drift // MILLION + 1
 
     return Terms(
         fleet=fleet.name,
         lease=fleet.lease,
         drift=fleet.drift,
-        beat=fleet.beat,
+        renew_interval=fleet.beat,
         sessions=fleet.sessions,
         bounds=Bounds(
-            beat=told.heartbeat,
-            patience=told.patience,
-            batch=told.batch,
-            ahead=told.ahead,
-            piece=told.piece,
-            waiting=told.waiting,
+            heartbeat=bounds.heartbeat,
+            election_timeout=bounds.patience,
+            max_batch_bytes=bounds.batch,
+            max_in_flight=bounds.ahead,
+            chunk_bytes=bounds.piece,
+            max_waiting=bounds.waiting,
         ),
-        keepers=Keepers(tuple(sorted(one.name for one in fleet.keepers))),
+        keepers=Keepers(tuple(sorted(keeper.name for keeper in fleet.keepers))),
         budgets=tuple(
             Budget(
-                one.name,
-                one.kind,
-                one.whole,
-                one.floor,
-                one.relays,
-                longer(one.window),
-                longer(one.freed_after),
+                budget.name,
+                budget.kind,
+                budget.whole,
+                budget.floor,
+                budget.relays,
+                with_drift(budget.window),
+                with_drift(budget.freed_after),
             )
-            for one in budgets
+            for budget in budgets
         ),
-        snapshot_every=told.snapshot_every,
+        snapshot_every=bounds.snapshot_every,
         limits=meaning_workflows.limits(fleet),
-        links=tuple(sorted(Link(one.origin, one.to, one.capacity, one.kept) for one in fleet.links)),
-        sites=tuple(sorted(Site(one.name, one.slots) for one in fleet.sites)),
+        links=tuple(sorted(Link(link.origin, link.to, link.capacity, link.kept) for link in fleet.links)),
+        sites=tuple(sorted(Site(site.name, site.slots) for site in fleet.sites)),
     )
 
 
 def address_of(fleet: Fleet, relay: str) -> Address | None:
-    """Where the others reach this keeper; None for a relay that is a member only."""
-    return next((one.address for one in fleet.keepers if one.name == relay), None)
+    """Returns where the others reach a keeper; None for a relay that is no keeper."""
+    return next((keeper.address for keeper in fleet.keepers if keeper.name == relay), None)
 
 
 def site_of(fleet: Fleet, relay: str, otherwise: str = "") -> str:
-    """A keeper's site as the settings have it; a member's is its own to tell (`otherwise`)."""
-    return next((one.site for one in fleet.keepers if one.name == relay), otherwise)
+    """Returns a keeper's site from the settings; a relay that is no keeper reports its own (`otherwise`)."""
+    return next((keeper.site for keeper in fleet.keepers if keeper.name == relay), otherwise)
--- a/laurelcourse/fleet/transfers/work.py
+++ b/laurelcourse/fleet/transfers/work.py
@@ -61,7 +61,7 @@
         self.member, self.letters, self.site, self.folder = member, letters, site, folder
         self.doors, self.books, self.begin = doors, books, begin
         self.session, self.clock, self.counters = member.session, member.clock, member.counters
-        self.beat = self.session.terms.beat
+        self.beat = self.session.terms.renew_interval
         self.sending: dict[str, Sending] = {}
         self.busy: dict[str, int] = {}  # jobs with an order under way, and since when
         self.proven: dict[str, int] = {}  # told by the far end, not yet by the books
@@ -135,7 +135,7 @@
             if isinstance(answer, FleetError | Done):
                 self.session.lost(command, answer.code)
                 return
-            self.session.known(self.clock(), command)
+            self.session.confirmed(self.clock(), command)
             self._told(command, answer[0])
             if not answer[0].code:
                 then(answer[0])
@@ -154,8 +154,8 @@
         for name, since in sorted(self.busy.items()):
             if now > since + self.patience:
                 del self.busy[name]
-        usable = self.session.usable(now)
-        until = self.session.granted_at + self.session.terms.holds() if usable else 0
+        usable = self.session.is_usable(now)
+        until = self.session.granted_at + self.session.terms.holder_lease() if usable else 0
         for name in sorted(self.sending):
             one = self.sending[name]
             # A stream of a session that is over must not live on by the next one's lease.
@@ -168,7 +168,7 @@
 
     def _seen(self, done: Done) -> None:
         now = self.clock()
-        if not self.session.usable(now):
+        if not self.session.is_usable(now):
             return
         seen, mine = views.seen(done.value), set()
         for view in seen.views:
@@ -232,7 +232,7 @@
         if not doors or not (self.folder / name).is_file():
             return
         to = doors[self.turn.get(name, 0) % len(doors)]
-        until = self.session.granted_at + self.session.terms.holds()
+        until = self.session.granted_at + self.session.terms.holder_lease()
         one = self.sending[name] = self.begin(
             self.session.terms.fleet,
             self.session.name,
--- a/laurelcourse/fleet/wiring.py
+++ b/laurelcourse/fleet/wiring.py
@@ -18,9 +18,9 @@
 from laurelcourse.fleet.calls.peers import Peers
 from laurelcourse.fleet.calls.service import Service
 from laurelcourse.fleet.calls.ways import Limits, limits
-from laurelcourse.fleet.keeper.desk import Desk
-from laurelcourse.fleet.keeper.forms import Kept
-from laurelcourse.fleet.keeper.keeping import kept_in
+from laurelcourse.fleet.keeper.coordinator import Coordinator
+from laurelcourse.fleet.keeper.messages import Kept
+from laurelcourse.fleet.keeper.replica import open_replica
 from laurelcourse.fleet.member import Member, Shares
 from laurelcourse.fleet.orders import Terms
 from laurelcourse.fleet.session import Session
@@ -56,8 +56,8 @@
     ) -> None:
         """Raises OSError when the address is taken."""
 
-        def desk(kept: Kept) -> Desk:
-            return Desk(
+        def desk(kept: Kept) -> Coordinator:
+            return Coordinator(
                 name,
                 settings.site_of(fleet, name),
                 terms,
@@ -71,7 +71,7 @@
         self.bounds = bounds
         addresses = {one.name: shown(one.address) for one in fleet.keepers}
         self.peers = Peers(fleet.name, name, addresses, bounds, Prng(seed + 1))
-        self.keeping = kept_in(
+        self.keeping = open_replica(
             folder / fleet.folder, fleet.name, name, seed, desk, self.peers.send, clock, log
         )
         listen = fleet.listen or settings.address_of(fleet, name)
--- a/laurelcourse/fleet/workflows/work.py
+++ b/laurelcourse/fleet/workflows/work.py
@@ -76,8 +76,8 @@
         self.definitions, self.rng = definitions, rng
         self.session, self.clock, self.counters = member.session, member.clock, member.counters
         terms = member.session.terms
-        self.beat, self.patience = terms.beat, 2 * terms.lease + 2 * member.client.limits.answer
-        self.takeover = Takeover(Pace(ORPHANS, terms.beat, HELD, 2 * terms.beat))
+        self.beat, self.patience = terms.renew_interval, 2 * terms.lease + 2 * member.client.limits.answer
+        self.takeover = Takeover(Pace(ORPHANS, terms.renew_interval, HELD, 2 * terms.renew_interval))
         self.me = 0
         self.runs: dict[int, run.Run] = {}
         self.seen: dict[int, View] = {}
@@ -200,7 +200,7 @@
                 came[0](*came[1])
 
     def _usable(self, now: int) -> bool:
-        usable = self.session.usable(now)
+        usable = self.session.is_usable(now)
         if usable and self.session.fence.session != self.me:
             # A new session owns nothing: what the former had is for whoever the books give it to.
             self.me, self.runs, self.stuck = self.session.fence.session, {}, set()
@@ -249,7 +249,7 @@
                 self.owned_at.pop(number, None)
 
     def _may_undo(self) -> bool:
-        return self.member.holder.take(self.clock(), UNDOS) is not False
+        return self.member.holder.consume(self.clock(), UNDOS) is not False
 
     def _effects(self, number: int, effects: tuple[run.Effect, ...]) -> None:
         for effect in effects:
@@ -368,7 +368,7 @@
                 self.lost[command.fence.session, command.mark] = item
                 self.session.lost(command, answer.code)
             else:
-                self.session.known(now, command)
+                self.session.confirmed(now, command)
                 item.then(answer[place])
 
     def _settled(self, command: Command, done: Done) -> None:
--- a/laurelcourse/lab/checks/logs.py
+++ b/laurelcourse/lab/checks/logs.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from laurelcourse.fleet.keeper.forms import Append, Entry, Message, Piece, TakeOver
+from laurelcourse.fleet.keeper.messages import Append, Entry, Message, Piece, TakeOver
 
 LEADS = (Append, Piece, TakeOver)  # what only a leader sends
 
--- a/laurelcourse/lab/guards.py
+++ b/laurelcourse/lab/guards.py
@@ -289,12 +289,14 @@
 
 def _half_a_plan() -> None:
     from laurelcourse.fleet.books import reservations
-    from laurelcourse.fleet.keeper.moving import Moving
+    from laurelcourse.fleet.keeper.transfer_planning import TransferPlanner
 
-    plan = Moving.plan
+    plan = TransferPlanner.plan
     replace(reservations, "_check_plan", lambda *_: None)
     replace(
-        Moving, "plan", lambda *told: tuple(one._replace(rate=max(1, one.rate // 2)) for one in plan(*told))
+        TransferPlanner,
+        "plan",
+        lambda *told: tuple(one._replace(rate=max(1, one.rate // 2)) for one in plan(*told)),
     )
 
 
--- a/laurelcourse/lab/keepers.py
+++ b/laurelcourse/lab/keepers.py
@@ -13,7 +13,7 @@
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import COUNT, LEVEL, RATE, Batch, Budget
 from laurelcourse.fleet.calls.codec import unpacked
-from laurelcourse.fleet.keeper.forms import BOOKS, Bounds, Entry, Keepers
+from laurelcourse.fleet.keeper.messages import BOOKS, Bounds, Entry, Keepers
 from laurelcourse.fleet.orders import Terms
 from laurelcourse.lab import keepers_guards, keepers_scale
 from laurelcourse.lab.checks.logs import Breach
@@ -40,7 +40,14 @@
     Budget("opens", COUNT, 50, 0, 8, 400_000, 0),
     Budget("tries", RATE, 100, 2, 8, 0, 0),
 )
-BOUNDS = Bounds(beat=40_000, patience=200_000, batch=2_000, ahead=4, piece=500, waiting=200)
+BOUNDS = Bounds(
+    heartbeat=40_000,
+    election_timeout=200_000,
+    max_batch_bytes=2_000,
+    max_in_flight=4,
+    chunk_bytes=500,
+    max_waiting=200,
+)
 TRACED = 3  # broken runs whose trace is printed
 LASTS, SETTLES = 4_000_000, 2_000_000  # of a run's faults, and after the last one, true microseconds
 CHUNK = 6  # runs that a worker makes before it tells
@@ -69,7 +76,7 @@
         "fleet",
         lease=1_200_000,
         drift=10_000,
-        beat=300_000,
+        renew_interval=300_000,
         sessions=64,
         bounds=BOUNDS,
         keepers=keepers,
--- a/laurelcourse/lab/keepers_guards.py
+++ b/laurelcourse/lab/keepers_guards.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from laurelcourse.fleet.books import apply
+from laurelcourse.fleet.keeper.coordinator import Coordinator
 from laurelcourse.fleet.keeper.core import Core
-from laurelcourse.fleet.keeper.desk import Desk
-from laurelcourse.fleet.keeper.proving import NOTHING, Marks
+from laurelcourse.fleet.keeper.stale_disk import NO_MARK, Marks
 from laurelcourse.fleet.session import Session
 
 Put = Callable[[Any, str, Any], Any]  # in the place of what is there, which it gives back
@@ -36,7 +36,7 @@
     """One vote is enough, its own."""
 
     def alone(self: Core, now: int) -> None:
-        if self._trial:
+        if self._is_trial:
             self._campaign(now, trial=False)
         else:
             self._lead(now)
@@ -46,18 +46,18 @@
 
 def _votes_for_any(put: Put) -> None:
     """A keeper whose log is behind may be elected."""
-    put(Core, "_up_to_date", lambda *_: True)
+    put(Core, "_is_up_to_date", lambda *_: True)
 
 
 def _commits_alone(put: Put) -> None:
     """What the leader holds counts as committed, whoever else holds it."""
-    put(Core, "_agreed", lambda self, mine, theirs: mine)
+    put(Core, "_quorum_value", lambda self, mine, theirs: mine)
 
 
 def _own_time(put: Put) -> None:
     """Each keeper's own clock enters its books, not the time in the batch."""
 
-    def by_own(self: Desk, now: int, entry: Any) -> Any:  # noqa: ANN401
+    def by_own(self: Coordinator, now: int, entry: Any) -> Any:  # noqa: ANN401
         decode = self.decode
         self.decode = lambda data: decode(data)._replace(at=now)
         try:
@@ -65,7 +65,7 @@
         finally:
             self.decode = decode
 
-    books = put(Desk, "_books", by_own)
+    books = put(Coordinator, "_apply_batch", by_own)
 
 
 def _reads_unconfirmed(put: Put) -> None:
@@ -74,8 +74,8 @@
     def read(self: Core, now: int, token: int) -> Any:  # noqa: ANN401
         if self.role != "leader":
             return self._refuse(token, "not_leader")
-        self._answered.append((token, self.commit))
-        return self._out()
+        self._confirmed_reads.append((token, self.commit))
+        return self._take_out()
 
     put(Core, "read", read)
 
@@ -86,7 +86,7 @@
 
 
 def _marks_forgotten(put: Put) -> None:
-    put(Marks, "of", lambda *_: NOTHING)
+    put(Marks, "of", lambda *_: NO_MARK)
 
 
 def _refusals_raised(put: Put) -> None:
--- a/laurelcourse/lab/keepers_relays.py
+++ b/laurelcourse/lab/keepers_relays.py
@@ -4,8 +4,8 @@
 
 from laurelcourse.fleet.books.forms import Command, Done, GiveBack
 from laurelcourse.fleet.errors import FleetError
-from laurelcourse.fleet.handing import Routes, Try
 from laurelcourse.fleet.orders import Answer, Beat, Question, Renewed, Submit
+from laurelcourse.fleet.routing import Attempt, LeaderRoutes
 from laurelcourse.fleet.session import ENDED, Session
 from laurelcourse.lab.keepers_seen import Holder, Seen
 from laurelcourse.lab.keepers_world import SPIN, Clock, Node, World
@@ -30,7 +30,7 @@
         began: int,
         asked_at: int,
         command: Command | None,
-        tried: Try,
+        tried: Attempt,
     ) -> None:
         self.kind, self.order, self.began, self.asked_at = kind, order, began, asked_at
         self.command, self.hops, self.tried = command, 0, tried
@@ -44,7 +44,7 @@
         self.session: Session | None = None
         self.holder = Holder(name, clock)
         self.calls: dict[int, Call] = {}
-        self.routes: Routes | None = None
+        self.routes: LeaderRoutes | None = None
         self.demand = 0
         self.owed: dict[str, int] = {}  # budgets of which a giving back is under way, by the call
 
@@ -77,7 +77,7 @@
         relay.jobs.clear()
         relay.calls, relay.owed = {}, {}
         keepers = tuple(sorted(self.world.keepers))
-        relay.routes = Routes(keepers, self.rng.below(len(keepers)), self.world.terms.lease)
+        relay.routes = LeaderRoutes(keepers, self.rng.below(len(keepers)), self.world.terms.lease)
         relay.session = relay.holder.session = Session(
             relay.name,
             relay.site,
@@ -101,7 +101,7 @@
         if relay.up and not relay.paused:
             self.world.say(f"{relay.name} closes")
             self.seen.shares(self.world.now)
-            if relay.session.usable(relay.clock.local(self.world.now)):
+            if relay.session.is_usable(relay.clock.local(self.world.now)):
                 relay.holder.levels = {}
             relay.session.close(relay.clock.local(self.world.now))
             self._run(relay)
@@ -183,10 +183,10 @@
         target: str = "",
     ) -> None:
         self.count += 1
-        tried = Try(target) if target else relay.routes.first(relay.clock.local(self.world.now))
+        tried = Attempt(target) if target else relay.routes.first(relay.clock.local(self.world.now))
         call = relay.calls[self.count] = Call(kind, order, self.world.now, asked_at, command, tried)
         self._send(relay, self.count, call)
-        patience = self.world.terms.lease if kind == "ask" else self.world.terms.beat
+        patience = self.world.terms.lease if kind == "ask" else self.world.terms.renew_interval
         self.world.at(self.world.now + patience, self.world.post, relay.name, relay.life, "late", self.count)
 
     def _send(self, relay: RelayNode, number: int, call: Call) -> None:
@@ -233,7 +233,7 @@
             relay.session.answered(now, call.asked_at, answer)
         self.seen.shares(self.world.now)
 
-    def _routed(self, relay: RelayNode, tried: Try, code: str, by: str) -> None:
+    def _routed(self, relay: RelayNode, tried: Attempt, code: str, by: str) -> None:
         if code in ELSEWHERE:
             relay.routes.elsewhere(relay.clock.local(self.world.now), tried, code, by)
         else:
@@ -253,4 +253,4 @@
         if done.code in ("unknown_fate", "not_leader", "no_quorum", "overloaded", "stopping"):
             relay.session.lost(call.command, done.code)
         else:
-            relay.session.known(now, call.command)
+            relay.session.confirmed(now, call.command)
--- a/laurelcourse/lab/keepers_scale.py
+++ b/laurelcourse/lab/keepers_scale.py
@@ -5,7 +5,7 @@
 
 from laurelcourse.fleet.books.forms import LEVEL, RATE, Budget, GiveBack
 from laurelcourse.fleet.calls.codec import message_of, unpacked
-from laurelcourse.fleet.keeper.forms import Bounds, Keepers
+from laurelcourse.fleet.keeper.messages import Bounds, Keepers
 from laurelcourse.fleet.orders import Submit, Terms
 from laurelcourse.lab.keepers_relays import OWN, Call, RelayNode, Relays
 from laurelcourse.lab.keepers_seen import Seen
--- a/laurelcourse/lab/keepers_script.py
+++ b/laurelcourse/lab/keepers_script.py
@@ -3,7 +3,7 @@
 
 from typing import NamedTuple
 
-from laurelcourse.fleet.keeper.forms import REFUSED, Keepers
+from laurelcourse.fleet.keeper.messages import REFUSED, Keepers
 from laurelcourse.lab.keepers_relays import Relays
 from laurelcourse.lab.keepers_world import Disk, KeeperNode, Weather, World
 from laurelcourse.prng import Prng
--- a/laurelcourse/lab/keepers_seen.py
+++ b/laurelcourse/lab/keepers_seen.py
@@ -4,7 +4,7 @@
 from copy import copy
 
 from laurelcourse.fleet.books.forms import LEVEL, Batch, Command, Done, Fence, Lapse, Open
-from laurelcourse.fleet.keeper.forms import BOOKS, Entry
+from laurelcourse.fleet.keeper.messages import BOOKS, Entry
 from laurelcourse.fleet.orders import Question, Terms
 from laurelcourse.fleet.session import Session
 from laurelcourse.lab.checks.linearizability import NEVER, Op, linearizable, session_step, stale
@@ -44,7 +44,7 @@
                 for one in terms.budgets
                 if one.kind == LEVEL and one.name in shares
             }
-            self.ended_at = self.clock.true(self.session.granted_at + terms.holds())
+            self.ended_at = self.clock.true(self.session.granted_at + terms.holder_lease())
             self.number = self.session.fence.session
             # A lease that is over by its own clock may be renewed: what it held then, it holds now.
             self.former = [one for one in self.former if one[3] != self.number]
@@ -122,7 +122,7 @@
                 session
                 and session.fence
                 and session.fence.session in self.lapsed
-                and copy(session).usable(holder.clock.local(now))
+                and copy(session).is_usable(holder.clock.local(now))
             ):
                 self.breaches.append(
                     Breach(
--- a/laurelcourse/lab/keepers_world.py
+++ b/laurelcourse/lab/keepers_world.py
@@ -12,10 +12,10 @@
 
 from laurelcourse.fleet.books.forms import Done
 from laurelcourse.fleet.calls.codec import packed, unpacked
-from laurelcourse.fleet.handing import leader_for
-from laurelcourse.fleet.keeper.desk import Desk
-from laurelcourse.fleet.keeper.forms import LEADER, Entry, Kept, Mark, Snapshot, Write
+from laurelcourse.fleet.keeper.coordinator import Coordinator
+from laurelcourse.fleet.keeper.messages import LEADER, Entry, Kept, Mark, Snapshot, Write
 from laurelcourse.fleet.orders import Acts, Answer, Terms
+from laurelcourse.fleet.routing import forward_target
 from laurelcourse.lab.checks.logs import Breach, Ledger
 from laurelcourse.prng import Prng
 
@@ -142,7 +142,7 @@
     def __init__(self, name: str, site: str, clock: Clock) -> None:
         super().__init__(name, site, clock)
         self.disk = Disk(f"disk-{name}-0")
-        self.desk: Desk | None = None
+        self.desk: Coordinator | None = None
         self.asked: dict[int, Asked] = {}  # by token
         self.hands: dict[int, Asked] = {}  # handed on, by the number given to the leader
         self.token, self.applied, self.doom, self.slow = 0, 0, 0, 0
@@ -220,7 +220,7 @@
         keeper.hands.clear()
         disk = keeper.disk
         self.say(f"{keeper.name} starts: disk {disk.disk}, term {disk.term}, to {disk.last()}")
-        keeper.desk = Desk(
+        keeper.desk = Coordinator(
             keeper.name,
             keeper.site,
             self.terms,
@@ -369,7 +369,7 @@
         time: the later it comes there, the harder."""
         if self.size:
             self.bytes += self.size(answer)
-        if leader := leader_for(asked.hand_on, answer, keeper.name, self.keepers):
+        if leader := forward_target(asked.hand_on, answer, keeper.name, self.keepers):
             self._count += 1
             keeper.hands[self._count] = asked
             self.send(
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -25,7 +25,7 @@
 from laurelcourse.fleet.calls.peers import Peers, heartbeat
 from laurelcourse.fleet.calls.service import Service
 from laurelcourse.fleet.calls.ways import Limits, UnheardError, limits, options
-from laurelcourse.fleet.keeper import forms as keeper
+from laurelcourse.fleet.keeper import messages as keeper
 from laurelcourse.net.scheduler import Clock, Scheduler
 from laurelcourse.prng import Prng
 
@@ -417,7 +417,7 @@
     keepers = {name: at(ground.keeper(name, leading if name == "c" else others)) for name in "abc"}
     for turn in range(3):
         client = ground.client(keepers)
-        client.routes.turn = turn
+        client.routes.last_index = turn
         others.orders.clear()
         leading.orders.clear()
         assert told(client.renew, BEAT) == RENEWED
@@ -489,7 +489,7 @@
         client = ground.client(
             {"a": ground.half_open(), "b": ground.dead(), "c": at(ground.keeper("c", keeping))}
         )
-        client.routes.turn, began = turn, now()
+        client.routes.last_index, began = turn, now()
         assert told(client.renew, BEAT) == RENEWED and now() - began < 2 * LIMITS.call + SECOND // 2
         assert client.leader == "c"
 
@@ -646,7 +646,7 @@
         assert told(client.renew, BEAT) == RENEWED and now() - began < LIMITS.call // 2
     straight = ground.client({"a": at(a), "b": at(b)})
     others.orders.clear()
-    straight.routes.turn = 0
+    straight.routes.last_index = 0
     assert told(straight.renew, BEAT) == RENEWED and len(others.orders) == 1 and straight.routes.via == "b"
     assert told(straight.renew, BEAT) == RENEWED and len(others.orders) == 1 and straight.said == ""
 
@@ -756,7 +756,7 @@
     c = ground.keeper("c", Scripted(hinting), others={"a": at(a)})
     b.hands = Hands("fleet", "b", {}, LIMITS)  # as if the wish were not there
     client = ground.client({"a": ground.dead(), "b": at(b), "c": at(c)})
-    client.routes.turn = 0
+    client.routes.last_index = 0
     assert told(client.renew, BEAT) == RENEWED and client.routes.via == "c" and len(former.orders) > 0
     assert len(leading.orders) == 1
 
@@ -859,7 +859,9 @@
 
 
 def test_limits_follow_the_settings() -> None:
-    bounds = keeper.Bounds(SECOND // 4, SECOND, batch=1 << 18, ahead=4, piece=1 << 18, waiting=100)
+    bounds = keeper.Bounds(
+        SECOND // 4, SECOND, max_batch_bytes=1 << 18, max_in_flight=4, chunk_bytes=1 << 18, max_waiting=100
+    )
     found = limits(orders.Terms("fleet", 10 * SECOND, 1000, SECOND, 200, bounds, VOTERS, (), 1000))
     assert found.message > 4 * (1 << 18) and found.asks >= 200 // 4 and found.talks >= 2 * 3
     assert found.talk < found.call < found.answer
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -8,13 +8,20 @@
 
 import pytest
 
-from laurelcourse.fleet.keeper import changes, forms, progress, proving
-from laurelcourse.fleet.keeper.core import NEVER, Core
-from laurelcourse.fleet.keeper.forms import BOOKS, FOLLOWER, LEADER, PROVING, REFUSED, Entry, Keepers, Kept
+from laurelcourse.fleet.keeper import membership, messages, progress, stale_disk
+from laurelcourse.fleet.keeper.core import NEVER_US, Core
+from laurelcourse.fleet.keeper.messages import BOOKS, FOLLOWER, LEADER, PROVING, REFUSED, Entry, Keepers, Kept
 from laurelcourse.prng import Prng
 
 MS = 1_000
-BOUNDS = forms.Bounds(beat=50 * MS, patience=500 * MS, batch=150, ahead=4, piece=40, waiting=20)
+BOUNDS = messages.Bounds(
+    heartbeat=50 * MS,
+    election_timeout=500 * MS,
+    max_batch_bytes=150,
+    max_in_flight=4,
+    chunk_bytes=40,
+    max_waiting=20,
+)
 ABC, FIVE = Keepers(tuple("abc")), Keepers(tuple("abcde"))
 
 
@@ -26,7 +33,7 @@
     return Kept(f"disk-{name}", term or max(terms, default=0), vote, None, log(*terms), {})
 
 
-def written(kept: Kept, write: forms.Write) -> Kept:
+def written(kept: Kept, write: messages.Write) -> Kept:
     """In the order that `Write` names, as a store has to keep it."""
     entries, snap = kept.entries, write.snapshot or kept.snapshot
     if write.snapshot:
@@ -50,7 +57,7 @@
         self.now, self.keepers, self.rng, self.faults = 0, keepers, Prng(seed * 7919 + 13), False
         self.cores: dict[str, Core] = {}
         self.disks, self.books = dict(disks or {}), dict[str, list[bytes]]()
-        self.wire: list[tuple[int, int, str, str, forms.Message]] = []
+        self.wire: list[tuple[int, int, str, str, messages.Message]] = []
         self.sent, self.asleep = 0, dict[str, int]()
         self.cut: set[tuple[str, str]] = set()
         self.leaders, self.committed = dict[int, str](), dict[int, Entry]()
@@ -66,7 +73,7 @@
         self.cores[name] = Core(name, BOUNDS, rng, kept, self.keepers, self.now)
         self.books[name] = kept.snapshot.data.split(b"|")[1:] if kept.snapshot else []
 
-    def carry(self, name: str, out: forms.Out) -> forms.Out:
+    def carry(self, name: str, out: messages.Out) -> messages.Out:
         fate = self.rng.below(400) if self.faults else -1
         if fate == 0:  # it dies before its write
             del self.cores[name]
@@ -91,14 +98,14 @@
             assert len(self.books[name]) == one.index, "not each once, in order"
         for token, index in out.reads:
             assert index >= self.asked[token], "older than what was committed when it was asked"
-        self.taken |= {token: (index, term) for token, index, term in out.taken}
+        self.taken |= {token: (index, term) for token, index, term in out.appended}
         self.reads |= dict(out.reads)
         self.refused |= dict(out.refused)
         if core.role == LEADER:
             assert self.leaders.setdefault(core.term, name) == name, "two leaders in a term"
         return out
 
-    def say(self, sender: str, to: str, message: forms.Message) -> forms.Out:
+    def say(self, sender: str, to: str, message: messages.Message) -> messages.Out:
         return self.carry(to, self.cores[to].hear(self.now, sender, message))
 
     def sleepers(self) -> set[str]:
@@ -108,7 +115,7 @@
         """On to the next moment at which something happens."""
         awake = sorted(set(self.cores) - self.sleepers())
         dues = [self.cores[name].due() for name in awake] + [one[0] for one in self.wire if one[3] in awake]
-        self.now = max(self.now, min([*dues, self.now + BOUNDS.beat]))
+        self.now = max(self.now, min([*dues, self.now + BOUNDS.heartbeat]))
         ripe = sorted(one for one in self.wire if one[0] <= self.now and one[3] not in self.sleepers())
         self.wire = [one for one in self.wire if one not in ripe]
         for _, _, sender, to, message in ripe:
@@ -124,7 +131,7 @@
             self.step()
             assert self.now < end, {name: (one.role, one.term, one.last) for name, one in self.cores.items()}
 
-    def rest(self, time: int = 3 * BOUNDS.beat) -> None:
+    def rest(self, time: int = 3 * BOUNDS.heartbeat) -> None:
         end = self.now + time
         self.run(lambda: self.now >= end)
 
@@ -181,24 +188,24 @@
     """The keeper `b` by itself, proved, with that disk; what it says is looked at by hand."""
     fleet = Fleet(keepers, disks={"b": kept}, names="b")
     for other in "acde":
-        fleet.say(other, "b", forms.Known(0, kept.disk, False, forms.Mark("", 0, 0)))
+        fleet.say(other, "b", messages.Known(0, kept.disk, False, messages.Mark("", 0, 0)))
     return fleet, fleet.cores["b"]
 
 
 def elected(kept: Kept) -> tuple[Fleet, Core]:
     fleet, core = begun(kept)
-    fleet.run(lambda: core.role == forms.CANDIDATE)
-    fleet.say("a", "b", forms.Vote(core.term + 1, True, True))
+    fleet.run(lambda: core.role == messages.CANDIDATE)
+    fleet.say("a", "b", messages.Vote(core.term + 1, True, True))
     for sender, vote in (
-        ("x", forms.Vote(core.term, True, False)),  # it has no vote
-        ("a", forms.Vote(core.term + 1, True, True)),  # a trial, for another term
-        ("a", forms.Vote(core.term, False, False)),
+        ("x", messages.Vote(core.term, True, False)),  # it has no vote
+        ("a", messages.Vote(core.term + 1, True, True)),  # a trial, for another term
+        ("a", messages.Vote(core.term, False, False)),
     ):
         fleet.say(sender, "b", vote)
-        assert core.role == forms.CANDIDATE
-    fleet.say("a", "b", forms.Vote(core.term, True, False))
-    assert core.role == LEADER and core.marks.by_name == {"a": forms.Mark("", core.term, 0)}
-    fleet.say("c", "b", forms.Append(core.term, 0, 0, (), 0, 1))  # a term has one leader
+        assert core.role == messages.CANDIDATE
+    fleet.say("a", "b", messages.Vote(core.term, True, False))
+    assert core.role == LEADER and core.marks.by_name == {"a": messages.Mark("", core.term, 0)}
+    fleet.say("c", "b", messages.Append(core.term, 0, 0, (), 0, 1))  # a term has one leader
     assert core.role == LEADER
     return fleet, core
 
@@ -220,9 +227,9 @@
 )
 def test_who_gets_a_vote(held: tuple, term: int, vote: str, ask: tuple, granted: bool) -> None:
     fleet, core = begun(disk("b", *held, term=term, vote=vote))
-    asked = forms.AskVote(*ask, handed=False)
+    asked = messages.AskVote(*ask, handed=False)
     out = fleet.say("a", "b", asked)
-    assert out.send == (("a", forms.Vote(asked.term if granted else core.term, granted, asked.trial)),)
+    assert out.send == (("a", messages.Vote(asked.term if granted else core.term, granted, asked.trial)),)
     if asked.trial:
         assert out.write is None
     elif granted:
@@ -237,9 +244,9 @@
     handed: bool, trial: bool, late: int, heeded: bool
 ) -> None:
     fleet, core = begun(disk("b", 1))
-    fleet.say("a", "b", forms.Append(2, 1, 1, (), 1, 1))
+    fleet.say("a", "b", messages.Append(2, 1, 1, (), 1, 1))
     fleet.now += late * MS
-    out = fleet.say("c", "b", forms.AskVote(9, 9, 9, trial, handed))
+    out = fleet.say("c", "b", messages.AskVote(9, 9, 9, trial, handed))
     assert (core.term, core.leader) == ((9, "") if heeded else (2, "a"))
     assert any(vote.granted for _, vote in out.send) == heeded
 
@@ -270,29 +277,29 @@
 ) -> None:
     fleet, core = begun(disk("b", *held))
     entries = log(*terms)[before[0] :] if answer else log(*terms)
-    out = fleet.say("a", "b", forms.Append(term, *before, entries, known, 7))
-    said = [forms.Appended(core.term, *answer, 7 if term == core.term else 0)] if answer else []
+    out = fleet.say("a", "b", messages.Append(term, *before, entries, known, 7))
+    said = [messages.Appended(core.term, *answer, 7 if term == core.term else 0)] if answer else []
     assert [message for _, message in out.send] == said
     assert (tuple(one.term for one in core.log.entries), core.commit, core.applied) == (left, commit, commit)
 
 
 def test_what_is_committed_is_never_cut_and_counts_as_held() -> None:
     fleet, core = begun(disk("b", 1, 1))
-    fleet.say("a", "b", forms.Append(1, 2, 1, (), 2, 1))
-    out = fleet.say("a", "b", forms.Append(1, 0, 0, log(5), 0, 1))
-    assert core.last == 2 and out.send[0][1] == forms.Appended(1, True, 2, 1)
-    late = fleet.say("a", "b", forms.Piece(1, 1, 1, ABC, 0, b"", True, 1))
+    fleet.say("a", "b", messages.Append(1, 2, 1, (), 2, 1))
+    out = fleet.say("a", "b", messages.Append(1, 0, 0, log(5), 0, 1))
+    assert core.last == 2 and out.send[0][1] == messages.Appended(1, True, 2, 1)
+    late = fleet.say("a", "b", messages.Piece(1, 1, 1, ABC, 0, b"", True, 1))
     assert late.restore is None and late.send[0][1].done and core.commit == 2
 
 
 def named(at: int, term: int, keepers: Keepers) -> Entry:
-    return Entry(at, term, forms.KEEPERS, changes.told_keepers(keepers))
+    return Entry(at, term, messages.KEEPERS, membership.encode_keepers(keepers))
 
 
 def test_keepers_are_in_force_from_when_they_are_in_the_log_until_they_are_cut() -> None:
     fleet, core = begun(disk("b", 1)._replace(entries=(*log(1), named(2, 1, FIVE))))
     assert core.keepers == FIVE
-    fleet.say("a", "b", forms.Append(2, 1, 1, log(1, 2)[1:], 1, 1))
+    fleet.say("a", "b", messages.Append(2, 1, 1, log(1, 2)[1:], 1, 1))
     assert core.keepers == ABC and core.last == 2
 
 
@@ -308,7 +315,7 @@
         (3, 3, 3, b"b|c", 6),
     ):
         assert core.commit == 0
-        out = fleet.say("a", "b", forms.Piece(term, index, index_term, FIVE, at, data, at > 2, 1))
+        out = fleet.say("a", "b", messages.Piece(term, index, index_term, FIVE, at, data, at > 2, 1))
         assert [message.offset for _, message in out.send] == ([] if offset is None else [offset])
     assert fleet.books["b"] == [b"a", b"b", b"c"]
     assert (core.last, core.commit, core.keepers) == (last, 3, FIVE)
@@ -316,28 +323,28 @@
 
 def test_entries_of_former_terms_are_committed_only_by_one_of_the_own() -> None:
     fleet, core = elected(disk("b", 1, 2, term=3))
-    fleet.say("a", "b", forms.Appended(4, True, 2, 1))
-    fleet.say("a", "b", forms.Appended(4, True, 99, 1))  # more than there is
+    fleet.say("a", "b", messages.Appended(4, True, 2, 1))
+    fleet.say("a", "b", messages.Appended(4, True, 99, 1))  # more than there is
     assert core.commit == 0  # figure 8: a majority holds entry 2, and it may still be lost
-    assert [one.index for one in fleet.say("a", "b", forms.Appended(4, True, 3, 1)).apply] == [1, 2, 3]
+    assert [one.index for one in fleet.say("a", "b", messages.Appended(4, True, 3, 1)).apply] == [1, 2, 3]
 
 
 def test_a_read_is_confirmed_by_a_round_begun_after_it_and_after_the_first_commit_of_the_term() -> None:
     fleet, core = elected(disk("b", 1))
     fleet.read("b", 1)
-    assert not fleet.say("a", "b", forms.Appended(2, True, 1, 1)).reads and core.commit == 0
-    out = fleet.say("a", "b", forms.Appended(2, True, 3, 1))
+    assert not fleet.say("a", "b", messages.Appended(2, True, 1, 1)).reads and core.commit == 0
+    out = fleet.say("a", "b", messages.Appended(2, True, 3, 1))
     assert core.commit == 3 and not out.reads and {to for to, _ in out.send} == set("ac")
     fleet.read("b", 2)
-    assert not fleet.say("c", "b", forms.Appended(1, True, 3, 2)).reads  # of another term
-    assert fleet.say("c", "b", forms.Appended(2, True, 1, 2)).reads == ((1, 3),)
-    assert fleet.say("a", "b", forms.Appended(2, False, 1, 3)).reads == ((2, 3),)
+    assert not fleet.say("c", "b", messages.Appended(1, True, 3, 2)).reads  # of another term
+    assert fleet.say("c", "b", messages.Appended(2, True, 1, 2)).reads == ((1, 3),)
+    assert fleet.say("a", "b", messages.Appended(2, False, 1, 3)).reads == ((2, 3),)
 
 
 def test_a_word_to_a_leader_gone_by_confirms_no_read_of_the_term_in_which_it_leads_again() -> None:
-    word = begun(disk("c", 1, term=2))[0].say("a", "b", forms.Append(1, 1, 1, (), 1, 1_000)).send[0][1]
+    word = begun(disk("c", 1, term=2))[0].say("a", "b", messages.Append(1, 1, 1, (), 1, 1_000)).send[0][1]
     lead, one = elected(disk("b", 1))
-    lead.say("a", "b", forms.Appended(2, True, 3, 1))
+    lead.say("a", "b", messages.Appended(2, True, 3, 1))
     lead.read("b", 1)
     assert word.term == one.term and not lead.say("c", "b", word).reads
 
@@ -348,11 +355,11 @@
     fleet.part("a")
     fleet.read("a", 1)
     assert fleet.propose("a", 2) == ""
-    fleet.run(lambda: old.role != LEADER, BOUNDS.patience)
+    fleet.run(lambda: old.role != LEADER, BOUNDS.election_timeout)
     assert fleet.refused == {1: "no_quorum"} and old.leader == ""
-    fleet.run(lambda: fleet.leading() in ("b", "c"), 4 * BOUNDS.patience)
+    fleet.run(lambda: fleet.leading() in ("b", "c"), 4 * BOUNDS.election_timeout)
     fleet.propose(fleet.leading(), 3)
-    fleet.rest(10 * BOUNDS.patience)
+    fleet.rest(10 * BOUNDS.election_timeout)
     before = fleet.cores[fleet.leading()].term
     fleet.cut = set()
     fleet.run(fleet.same)
@@ -364,19 +371,19 @@
     old, start = fleet.lead("a"), fleet.now
     fleet.propose("a", 1)
     out = fleet.carry("a", old.hand_over(fleet.now, "c"))
-    assert forms.TakeOver(old.term) not in [message for _, message in out.send]  # entry 1 first
-    assert not fleet.say("b", "c", forms.TakeOver(old.term)).send  # not from the leader
+    assert messages.TakeOver(old.term) not in [message for _, message in out.send]  # entry 1 first
+    assert not fleet.say("b", "c", messages.TakeOver(old.term)).send  # not from the leader
     assert fleet.propose("a", 2) == "not_leader" and fleet.change("a", "ab") == "not_leader"
-    fleet.run(lambda: fleet.leading() == "c", BOUNDS.patience // 2)
+    fleet.run(lambda: fleet.leading() == "c", BOUNDS.election_timeout // 2)
     fleet.run(fleet.same)
-    assert b"1" in fleet.books["c"] and fleet.now - start < BOUNDS.patience
+    assert b"1" in fleet.books["c"] and fleet.now - start < BOUNDS.election_timeout
     fleet.part("b")
     fleet.carry("c", fleet.cores["c"].hand_over(fleet.now, "b"))  # it can't be reached: leads on
-    fleet.rest(BOUNDS.patience)
+    fleet.rest(BOUNDS.election_timeout)
     assert fleet.leading() == "c" and fleet.propose("c", 3) == ""
     fleet.rest()
     fleet.carry("c", fleet.cores["c"].hand_over(fleet.now))
-    fleet.run(lambda: fleet.leading() == "a", BOUNDS.patience // 2)  # the one furthest ahead
+    fleet.run(lambda: fleet.leading() == "a", BOUNDS.election_timeout // 2)  # the one furthest ahead
 
 
 def test_keepers_come_and_go_one_at_a_time() -> None:
@@ -404,38 +411,38 @@
     assert fleet.change("a", "abcd") == "" and lead.keepers.voters == tuple("abcd")
     fleet.rest()
     fleet.cut = {("b", "a"), ("c", "a")}
-    fleet.rest(BOUNDS.patience - 3 * BOUNDS.beat)
+    fleet.rest(BOUNDS.election_timeout - 3 * BOUNDS.heartbeat)
     fleet.cut = set()
     fleet.rest()
     assert lead.role == LEADER and fleet.change("a", "bcd") == ""
-    fleet.run(lambda: fleet.leading() in tuple("bcd") and lead.role == FOLLOWER, BOUNDS.patience)
-    fleet.rest(9 * BOUNDS.patience)
+    fleet.run(lambda: fleet.leading() in tuple("bcd") and lead.role == FOLLOWER, BOUNDS.election_timeout)
+    fleet.rest(9 * BOUNDS.election_timeout)
     assert fleet.leading() in tuple("bcd") and fleet.cores[fleet.leading()].keepers.voters == tuple("bcd")
 
 
 def test_no_change_before_an_entry_of_the_own_term_is_committed() -> None:
-    fleet, core = elected(disk("b", term=1)._replace(snapshot=forms.Snapshot(1, 1, ABC, b"|1")))
-    fleet.say("a", "b", forms.Appended(2, True, 1, 1))
+    fleet, core = elected(disk("b", term=1)._replace(snapshot=messages.Snapshot(1, 1, ABC, b"|1")))
+    fleet.say("a", "b", messages.Appended(2, True, 1, 1))
     assert core.commit == 1 and fleet.change("b", "abc", "d") == "change_under_way"
-    fleet.say("a", "b", forms.Appended(2, True, 2, 1))
+    fleet.say("a", "b", messages.Appended(2, True, 2, 1))
     assert fleet.change("b", "abc", "d") == "" and fleet.change("b", "abc") == "change_under_way"
-    out = fleet.say("a", "b", forms.Appended(2, True, 3, 1))
+    out = fleet.say("a", "b", messages.Appended(2, True, 3, 1))
     assert [to for to, message in out.send if message.commit == 3] == ["a", "c", "d"]  # told at once
 
 
 @pytest.mark.parametrize("without", [Keepers(("a", "c")), Keepers(("a", "c"), ("b",))])
 def test_one_whose_removal_may_not_be_committed_asks_for_votes_but_has_none(without: Keepers) -> None:
     fleet, core = begun(disk("b", 1)._replace(entries=(named(1, 1, ABC), named(2, 1, without))))
-    fleet.run(lambda: core.role == forms.CANDIDATE)
+    fleet.run(lambda: core.role == messages.CANDIDATE)
     for trial, sender in ((True, "a"), (True, "c"), (False, "a")):
-        fleet.say(sender, "b", forms.Vote(core.term + trial, True, trial))
-    assert core.role == forms.CANDIDATE
-    fleet.say("c", "b", forms.Vote(core.term, True, False))
+        fleet.say(sender, "b", messages.Vote(core.term + trial, True, trial))
+    assert core.role == messages.CANDIDATE
+    fleet.say("c", "b", messages.Vote(core.term, True, False))
     assert core.role == LEADER
     for sender in "ac":
-        fleet.say(sender, "b", forms.Appended(2, True, 3, 1))
+        fleet.say(sender, "b", messages.Appended(2, True, 3, 1))
     assert core.role == FOLLOWER and core.commit == 3
-    fleet.rest(9 * BOUNDS.patience)
+    fleet.rest(9 * BOUNDS.election_timeout)
     assert core.role == FOLLOWER and core.term == 2
 
 
@@ -452,7 +459,7 @@
     ],
 )
 def test_which_changes_fit(old: Keepers, new: Keepers, caught_up: str, alive: str, fits: bool) -> None:
-    assert changes.fit(old, new, set(caught_up), set(alive)) == fits
+    assert membership.is_allowed(old, new, set(caught_up), set(alive)) == fits
 
 
 @pytest.mark.parametrize("lost", range(5))
@@ -469,7 +476,7 @@
     fleet.cut, seen = set(), 0
     while fleet.cores["c"].commit < fleet.cores["a"].last:
         fleet.step()
-        for one in [one for one in fleet.wire if isinstance(one[4], forms.Piece)]:
+        for one in [one for one in fleet.wire if isinstance(one[4], messages.Piece)]:
             seen += 1
             if seen == lost:
                 fleet.wire.remove(one)
@@ -483,16 +490,16 @@
     fleet = Fleet()
     lead = fleet.lead("a")
     fleet.part("c")
-    for token in range(100, 100 + BOUNDS.waiting):
+    for token in range(100, 100 + BOUNDS.max_waiting):
         assert fleet.propose("a", token) == ""
     assert fleet.propose("a", 1) == "overloaded"
-    fleet.carry("a", lead.propose(fleet.now, 3, forms.KEEPERS, b"a;"))
+    fleet.carry("a", lead.propose(fleet.now, 3, messages.KEEPERS, b"a;"))
     assert fleet.refused[3] == "unfit_change"
     fleet.read("a", 2)
     assert fleet.refused[2] == "overloaded"
     with_entries = [one[4] for one in fleet.wire if one[3] == "b" and one[4].entries]
-    assert len(with_entries) == BOUNDS.ahead
-    fleet.run(lambda: lead.commit == lead.last, BOUNDS.patience)
+    assert len(with_entries) == BOUNDS.max_in_flight
+    fleet.run(lambda: lead.commit == lead.last, BOUNDS.election_timeout)
 
 
 def test_a_follower_whose_log_went_another_way_is_brought_back_in_few_messages() -> None:
@@ -505,10 +512,10 @@
         sizes = [
             sum(len(entry.data) + 32 for entry in one[4].entries)
             for one in fleet.wire
-            if isinstance(one[4], forms.Append)
+            if isinstance(one[4], messages.Append)
         ]
-        assert max(sizes, default=0) <= BOUNDS.batch
-        refused |= {one[1] for one in fleet.wire if isinstance(one[4], forms.Appended) and not one[4].ok}
+        assert max(sizes, default=0) <= BOUNDS.max_batch_bytes
+        refused |= {one[1] for one in fleet.wire if isinstance(one[4], messages.Appended) and not one[4].ok}
     assert len(refused) <= 3 and fleet.books["c"] == fleet.books["a"]
 
 
@@ -530,11 +537,11 @@
     del fleet.cores[leader]  # whoever is left must know it
     fleet.start("c", kept)
     assert fleet.cores["c"].role == PROVING
-    assert not fleet.say("b", "c", forms.AskVote(99, 99, 99, False, True)).send
-    fleet.rest(2 * BOUNDS.patience)
-    assert fleet.cores["c"].role == role and (role == FOLLOWER or fleet.cores["c"].due() == NEVER)
+    assert not fleet.say("b", "c", messages.AskVote(99, 99, 99, False, True)).send
+    fleet.rest(2 * BOUNDS.election_timeout)
+    assert fleet.cores["c"].role == role and (role == FOLLOWER or fleet.cores["c"].due() == NEVER_US)
     fleet.start(leader)
-    fleet.rest(9 * BOUNDS.patience)
+    fleet.rest(9 * BOUNDS.election_timeout)
     assert fleet.leading() and (fleet.cores["c"].role == REFUSED) == (role == REFUSED)
 
 
@@ -555,7 +562,7 @@
     assert fleet.leaders[term] == "c" and fleet.committed[last].term == term > former.term
     fleet.cut, fleet.wire = set(), []
     fleet.start("c", former)
-    fleet.rest(9 * BOUNDS.patience)
+    fleet.rest(9 * BOUNDS.election_timeout)
     assert fleet.cores["c"].role == REFUSED
     assert fleet.leading() and fleet.cores[fleet.leading()].log.term_at(last) == term
 
@@ -567,35 +574,35 @@
     fleet.start("c", disk("c", *[8] * 30)._replace(disk="another"))
     fleet.rest()
     assert fleet.cores["c"].role == REFUSED
-    fleet.say("c", "a", forms.Known(9, "disk-a", False, proving.NOTHING))
+    fleet.say("c", "a", messages.Known(9, "disk-a", False, stale_disk.NO_MARK))
     fleet.start("c", true)
-    fleet.rest(2 * BOUNDS.patience)
+    fleet.rest(2 * BOUNDS.election_timeout)
     assert fleet.cores["c"].role == FOLLOWER
 
 
-def told_of_disk(message: forms.Message, core: Core) -> forms.Mark:
+def told_of_disk(message: messages.Message, core: Core) -> messages.Mark:
     """What a message shows that its sender holds: its term, and an entry of that term."""
     if getattr(message, "trial", False):
-        return proving.NOTHING
-    last = message.before_index + len(message.entries) if isinstance(message, forms.Append) else 0
-    last = message.index if isinstance(message, forms.Appended) and message.ok else last
-    return forms.Mark("", message.term, last if core.log.term_at(last) == message.term else 0)
+        return stale_disk.NO_MARK
+    last = message.before_index + len(message.entries) if isinstance(message, messages.Append) else 0
+    last = message.index if isinstance(message, messages.Appended) and message.ok else last
+    return messages.Mark("", message.term, last if core.log.term_at(last) == message.term else 0)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_disk_from_before_what_its_keeper_has_told_is_known_to_who_heard_it_at_once(seed: int) -> None:
     """Votes asked for and entries sent are told, too: a candidate counts its own vote, and a leader what it
     holds itself."""
-    fleet, moments, told, refused = Fleet(seed=seed), [], [proving.NOTHING], 0
+    fleet, moments, told, refused = Fleet(seed=seed), [], [stale_disk.NO_MARK], 0
     carry, say = fleet.carry, fleet.say
 
-    def carried(name: str, out: forms.Out) -> forms.Out:
+    def carried(name: str, out: messages.Out) -> messages.Out:
         if name == "c" and out.write:
             moments.append(out.write)
         return carry(name, out)
 
-    def said(sender: str, to: str, message: forms.Message) -> forms.Out:
-        told_it = not isinstance(message, forms.Hello | forms.Known) and fleet.cores[to].role != PROVING
+    def said(sender: str, to: str, message: messages.Message) -> messages.Out:
+        told_it = not isinstance(message, messages.Hello | messages.Known) and fleet.cores[to].role != PROVING
         if sender == "c" and told_it:
             told.append(max(told[-1], told_of_disk(message, fleet.cores["c"])))
         return say(sender, to, message)
@@ -612,9 +619,9 @@
             disks.append(written(disks[-1], moments.pop(0)))
         for kept in disks:
             last = kept.entries[-1].index if kept.entries and kept.entries[-1].term == kept.term else 0
-            held = forms.Mark(kept.disk, kept.term, last)
-            found = any(proving.older(held, fleet.cores[name].marks.of("c")) for name in "ab")
-            assert found >= proving.older(held, told[-1]), (held, told[-1])
+            held = messages.Mark(kept.disk, kept.term, last)
+            found = any(stale_disk.is_older(held, fleet.cores[name].marks.of("c")) for name in "ab")
+            assert found >= stale_disk.is_older(held, told[-1]), (held, told[-1])
             refused += found
         assert not found, "its newest disk is not let in"
     assert refused > 1000 and "c" in fleet.leaders.values()
@@ -623,11 +630,11 @@
 @pytest.mark.parametrize("later, role", [(None, FOLLOWER), (True, REFUSED)])
 def test_one_that_may_have_noted_more_is_waited_for_a_patience(later: bool | None, role: str) -> None:
     fleet = Fleet(disks={"b": disk("b", 1)}, names="b")
-    fleet.say("a", "b", forms.Known(1, "disk-b", False, forms.Mark("", 0, 0)))
-    fleet.rest(BOUNDS.patience // 2)
+    fleet.say("a", "b", messages.Known(1, "disk-b", False, messages.Mark("", 0, 0)))
+    fleet.rest(BOUNDS.election_timeout // 2)
     if later:
-        fleet.say("c", "b", forms.Known(1, "disk-b", True, forms.Mark("disk-b", 1, 2)))
-    fleet.rest(BOUNDS.patience)
+        fleet.say("c", "b", messages.Known(1, "disk-b", True, messages.Mark("disk-b", 1, 2)))
+    fleet.rest(BOUNDS.election_timeout)
     assert fleet.cores["b"].role == role
 
 
@@ -646,39 +653,45 @@
 def test_what_the_others_know_of_a_disk(sender: str, said: tuple, role: str) -> None:
     fleet = Fleet(disks={"b": disk("b", 1)}, names="b")
     for one in sender:
-        fleet.say(one, "b", forms.Known(*said[:3], forms.Mark(*said[3])))
+        fleet.say(one, "b", messages.Known(*said[:3], messages.Mark(*said[3])))
     assert fleet.cores["b"].role == role
-    out = fleet.say("x", "b", forms.Hello(4, "disk-x", 0))
+    out = fleet.say("x", "b", messages.Hello(4, "disk-x", 0))
     assert out.send[0][1].older is False and out.write is None  # no keeper, no mark
-    out = fleet.say("c", "b", forms.Hello(4, "disk-c", 0))
-    assert out.send[0][1].older is False and out.write.marks == {"c": forms.Mark("disk-c", 4, 0)}
+    out = fleet.say("c", "b", messages.Hello(4, "disk-c", 0))
+    assert out.send[0][1].older is False and out.write.marks == {"c": messages.Mark("disk-c", 4, 0)}
 
 
 def test_marks_never_go_back_and_what_may_be_cut_is_not_told() -> None:
-    marks = proving.Marks("b", {})
+    marks = stale_disk.Marks("b", {})
     for mark in (("", 1, 5), ("d", 1, 3), ("other", 9, 9), ("", 2, 0), ("", 1, 9)):
-        marks.note("c", forms.Mark(*mark))
-    assert marks.by_name == {"c": forms.Mark("d", 2, 0)}
+        marks.note("c", messages.Mark(*mark))
+    assert marks.by_name == {"c": messages.Mark("d", 2, 0)}
     fleet = Fleet(disks={"b": disk("b", 1, 1, term=2)}, names="b")
-    assert fleet.carry("b", fleet.cores["b"].tick(0)).send[0][1] == forms.Hello(2, "disk-b", 0)
+    assert fleet.carry("b", fleet.cores["b"].tick(0)).send[0][1] == messages.Hello(2, "disk-b", 0)
 
 
 def test_a_leader_takes_no_late_answer_for_news() -> None:
     one = progress.Progress(0, 9, 4)
-    one.holds(5)
-    one.lacks(2)
+    one.record_match(5)
+    one.record_mismatch(2)
     assert (one.next, one.state) == (6, progress.PROBE)
-    one.send_pieces(forms.Snapshot(8, 1, ABC, b"x" * 99))
-    one.lacks(7)
-    assert one.state == progress.PIECES
-    assert [one.piece_taken(offset) for offset in (40, 40, 80, 40, 80)] == [True, False, True, False, True]
+    one.begin_snapshot(messages.Snapshot(8, 1, ABC, b"x" * 99))
+    one.record_mismatch(7)
+    assert one.state == progress.SNAPSHOT
+    assert [one.record_chunk_answer(offset) for offset in (40, 40, 80, 40, 80)] == [
+        True,
+        False,
+        True,
+        False,
+        True,
+    ]
 
 
 def test_one_alone_leads_at_once_and_what_it_commits_is_in_the_same_write() -> None:
     fleet = Fleet(Keepers(("a",)))
     fleet.step()
     out = fleet.carry("a", fleet.cores["a"].propose(fleet.now, 1, BOOKS, b"x"))
-    assert out.apply == out.write.entries and out.taken == ((1, 3, 1),)
+    assert out.apply == out.write.entries and out.appended == ((1, 3, 1),)
     fleet.read("a", 2)
     assert fleet.reads == {2: 3} and fleet.now == 0
     fleet.start("a")
@@ -705,7 +718,7 @@
     elif what < 39:
         fleet.compact(one)
     elif what == 39:
-        fleet.asleep[one] = fleet.now + rng.below(2 * BOUNDS.patience)
+        fleet.asleep[one] = fleet.now + rng.below(2 * BOUNDS.election_timeout)
     elif what == 40:
         fleet.carry(one, fleet.cores[one].hand_over(fleet.now))
     elif what < 45 and lead:
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_desk.py
@@ -11,10 +11,10 @@
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import Batch, Command, Done, Fence, GiveBack, Grant, Lapse, Open
 from laurelcourse.fleet.errors import CODES, LapsedLeaseError, OverloadedError, made
-from laurelcourse.fleet.keeper.clock import Account
-from laurelcourse.fleet.keeper.desk import Desk, Order, Under
-from laurelcourse.fleet.keeper.forms import BOOKS, Bounds, Entry, Keepers, Kept, Mark, Snapshot, Write
-from laurelcourse.fleet.keeper.together import merged
+from laurelcourse.fleet.keeper.batching import merge_writes
+from laurelcourse.fleet.keeper.coordinator import Coordinator, Order, Proposal
+from laurelcourse.fleet.keeper.leader_clock import LeaderClock
+from laurelcourse.fleet.keeper.messages import BOOKS, Bounds, Entry, Keepers, Kept, Mark, Snapshot, Write
 from laurelcourse.fleet.members import Member, Members
 from laurelcourse.fleet.orders import Acts, Answer, Beat, Question, Renewed, Share, Submit, Terms
 from laurelcourse.fleet.session import Session
@@ -33,7 +33,7 @@
         for drift in (0, 1, 333, 100_000):
             terms = TERMS._replace(lease=lease, drift=drift)
             # in true time, each clock as wrong as it may be in the worse direction
-            assert terms.holds() * (1_000_000 + drift) < terms.binds() * (1_000_000 - drift)
+            assert terms.holder_lease() * (1_000_000 + drift) < terms.keeper_lease() * (1_000_000 - drift)
 
 
 # The relay's side
@@ -85,7 +85,7 @@
         now = max([now, *numbers])
         match verb:
             case "at":
-                one.usable(now)
+                one.is_usable(now)
             case "ask":
                 one.next_at = now
                 assert len(one.orders(now)) == 1
@@ -97,14 +97,14 @@
                 one.answered(now, numbers[0], (Done(),))
             case "close":
                 one.close(now)
-    assert (one.state, one.usable(now)) == (state, usable)
+    assert (one.state, one.is_usable(now)) == (state, usable)
     assert bool(one.shares(now)) is False
 
 
 def test_a_state_is_not_left_but_as_stated() -> None:
     one = opened()
     with pytest.raises(AssertionError, match="held can't become away"):
-        one._turn(side.AWAY)
+        one._set_state(side.AWAY)
 
 
 def test_openings_bear_one_mark_until_refused_and_pause_longer_each_time() -> None:
@@ -116,7 +116,7 @@
         pauses.append(one.due() - now)
         assert one.orders(one.due() - 1) == []
         now = one.due()
-    longest = [min(TERMS.beat << min(times, 5), TERMS.lease) for times in range(8)]
+    longest = [min(TERMS.renew_interval << min(times, 5), TERMS.lease) for times in range(8)]
     assert all(most // 2 <= pause < most for most, pause in zip(longest, pauses, strict=True))
     assert len(set(marks)) == 1
     assert len({pause / most for pause, most in zip(pauses, longest, strict=True)}) > 4
@@ -127,7 +127,7 @@
     first, now = one.due() - TERMS.lease, one.due()
     order = one.orders(now)[0]
     one.answered(now, now, (Done(FENCE),))
-    assert order.commands[0].mark == one.open_mark and one.granted_at == first and not one.usable(now)
+    assert order.commands[0].mark == one.open_mark and one.granted_at == first and not one.is_usable(now)
 
 
 def test_unknown_fates_are_asked_again_with_the_same_mark() -> None:
@@ -141,32 +141,39 @@
     beat, submit = one.orders(40)
     assert submit == Submit(tuple(commands), 40) and beat.fence == FENCE
     one.answered(50, 40, (Done((20,)), Done(code="not_leader")))
-    assert one.settled() == [(commands[0], Done((20,)))] and one.settled() == []
+    assert one.take_results() == [(commands[0], Done((20,)))] and one.take_results() == []
     one.next_at = 60
     assert one.orders(60)[1].commands == (commands[1],)
-    for _ in range(side.MARKS - 1):
+    for _ in range(side.REMEMBERED_MARKS - 1):
         one.command(GiveBack("held", 0), 61)
     with pytest.raises(OverloadedError):  # or its fate would be forgotten by the books
         one.command(GiveBack("held", 0), 61)
     one.failed(70, 60, "fenced_off")
-    assert [done.code for _, done in one.settled()] == ["unknown_fate"]
+    assert [done.code for _, done in one.take_results()] == ["unknown_fate"]
     with pytest.raises(LapsedLeaseError):
         one.command(GiveBack("tries", 0), 80)
 
 
 @pytest.mark.parametrize(
-    "now, closed", [(TERMS.holds(), False), (TERMS.holds() + TERMS.lease, False), (TERMS.holds() - 1, True)]
+    "now, closed",
+    [
+        (TERMS.holder_lease(), False),
+        (TERMS.holder_lease() + TERMS.lease, False),
+        (TERMS.holder_lease() - 1, True),
+    ],
 )
 def test_no_command_is_made_without_a_usable_lease(now: int, closed: bool) -> None:
     """The look is in the making itself: what is sent after a pause has been made after it."""
     one = opened()
-    assert one.command(GiveBack("tries", 0), TERMS.holds() - 1) == Command(FENCE, 1, GiveBack("tries", 0))
+    assert one.command(GiveBack("tries", 0), TERMS.holder_lease() - 1) == Command(
+        FENCE, 1, GiveBack("tries", 0)
+    )
     if closed:
         one.close(now)
     before = one.mark
     with pytest.raises(LapsedLeaseError):
         one.command(GiveBack("tries", 0), now)
-    assert one.mark == before and not one.out
+    assert one.mark == before and not one.in_flight
 
 
 @pytest.mark.parametrize(
@@ -198,7 +205,7 @@
             command = one.command(GiveBack("tries", int(step[4:] or 10)), now)
             back = back or command
         elif step == "known":
-            one.known(now, back)
+            one.confirmed(now, back)
         elif step.startswith("old"):
             one.answered(now, 90, Renewed(TERMS.lease, (Share("tries", int(step[3:]), 10),)))
         else:
@@ -211,31 +218,31 @@
 
 
 def test_leases_as_the_leader_counts_them() -> None:
-    binds, one = TERMS.binds(), Members(TERMS, 1000, [2, 1])
-    assert one.due() == 1000 + binds and one.over(1000 + binds - 1) == []
+    binds, one = TERMS.keeper_lease(), Members(TERMS, 1000, [2, 1])
+    assert one.due() == 1000 + binds and one.take_expired(1000 + binds - 1) == []
     beats = [
         Beat(FENCE._replace(session=number), (("tries", 7),), 0, (("tries", 5),)) for number in range(10)
     ]
-    assert one.renewed(5000, beats[1]) and one.renewed(4000, beats[1]._replace(demands=()))
-    assert not one.renewed(5000, beats[9])
+    assert one.renew(5000, beats[1]) and one.renew(4000, beats[1]._replace(demands=()))
+    assert not one.renew(5000, beats[9])
     assert (one.used_of(1, "tries"), one.used_of(2, "tries")) == (5, -1)
     one.follow(6000, [1, 2, 3])
-    assert one.over(1000 + binds) == [2] and one.over(1000 + binds) == []
-    assert not one.renewed(1000 + binds, beats[2]) and one.refuses(2)
+    assert one.take_expired(1000 + binds) == [2] and one.take_expired(1000 + binds) == []
+    assert not one.renew(1000 + binds, beats[2]) and one.refuses(2)
     assert one.demand(6000, 2, "tries", 50) == 0 and one.demand(6000, 1, "tries", 50) == 7
     assert one.demand(6000, 3, "tries", 50) == 50  # it has told this leader nothing yet
-    assert one.over(5000 + binds - 1) == [] and one.over(5000 + binds) == [1]
-    one.spare(1)
-    assert one.due() <= 5000 + binds and one.renewed(6000, beats[1]._replace(demands=(("tries", 1000),)))
-    full, gone = 6000 + 2 * TERMS.beat, 6000 + TERMS.lease
+    assert one.take_expired(5000 + binds - 1) == [] and one.take_expired(5000 + binds) == [1]
+    one.cancel_lapse(1)
+    assert one.due() <= 5000 + binds and one.renew(6000, beats[1]._replace(demands=(("tries", 1000),)))
+    full, gone = 6000 + 2 * TERMS.renew_interval, 6000 + TERMS.lease
     fading = [one.demand(now, 1, "tries", 0) for now in (full, (full + gone) // 2, gone)]
     assert fading == [1000, 500, 0] and one.wanted() == {"tries": [1]}
     one.follow(7000, [2])
-    assert sorted(one.live) == [2]
+    assert sorted(one.by_session) == [2]
 
 
 def test_a_leaders_time_goes_on_from_the_books_and_never_back() -> None:
-    account = Account(500, 10_000)
+    account = LeaderClock(500, 10_000)
     assert [account.at(now) for now in (500, 600, 550, 700)] == [10_000, 10_100, 10_100, 10_200]
 
 
@@ -279,7 +286,7 @@
         entries = tuple(Entry(last + 1 + more, step, BOOKS, b"") for more in range(rng.below(4)))
         marks = {"b": Mark("x", step, 0)} if rng.below(2) else None
         apart.save(one := Write(step, "v", cut, entries, snapshot, whole, marks))
-        write = merged(write, one)
+        write = merge_writes(write, one)
         if rng.below(3) == 0:
             joined.save(write)
             write = None
@@ -335,17 +342,17 @@
         self.tokens = 0
         for name in names:
             self.start(name)
-        self.until(lambda: any(desk.lead for desk in self.desks.values()))
+        self.until(lambda: any(desk.leader_state for desk in self.desks.values()))
 
     def start(self, name: str) -> None:
         rng = Prng(ord(name) + self.now)
-        self.desks[name] = Desk(
+        self.desks[name] = Coordinator(
             name, "s", self.terms, rng, self.disks[name].kept, self.now, encode=encode, decode=decode
         )
 
-    def leader(self) -> Desk:
+    def leader(self) -> Coordinator:
         return max(
-            (desk for name, desk in self.desks.items() if desk.lead and name not in self.cut),
+            (desk for name, desk in self.desks.items() if desk.leader_state and name not in self.cut),
             key=lambda desk: desk.core.term,
         )
 
@@ -357,7 +364,7 @@
         for token, answer in acts.answers:
             self.answers.setdefault(token, []).append(answer)
 
-    def call(self, verb: str, asked: object, desk: Desk | None = None) -> int:
+    def call(self, verb: str, asked: object, desk: Coordinator | None = None) -> int:
         """Its token; what it leads to without any time passing is carried out."""
         self.tokens += 1
         desk = desk or self.leader()
@@ -410,7 +417,7 @@
     assert fence == (*fleet.ask("ask", Question("session", "r")).value[:-1],) and fence.boot == 1
     assert fleet.leader().books.defined() == fleet.terms.budgets
     assert fleet.renew(fence, tries=70) == Renewed(fleet.terms.lease, ())
-    fleet.pass_time(fleet.now + 3 * TERMS.beat)
+    fleet.pass_time(fleet.now + 3 * TERMS.renew_interval)
     shares = fleet.renew(fence, tries=70).shares
     assert [(one.budget, one.granted >= 50) for one in shares] == [("tries", True)]
     kept = fleet.ask(
@@ -421,7 +428,7 @@
     assert fleet.ask("ask", Question("budget", "tries")).value == (forms.RATE, 100, 10, 5, 0)
     assert fleet.ask("ask", Question("keepers")).value[2:] == (",".join(names), "")
     index, books = fleet.ask("ask", Question("hash")).value
-    fleet.pass_time(fleet.now + TERMS.bounds.beat)
+    fleet.pass_time(fleet.now + TERMS.bounds.heartbeat)
     assert {(desk.books.index, desk.books.hash()) for desk in fleet.desks.values()} == {(index, books)}
     assert [done.code for done in fleet.ask("submit", submit(fence, forms.Close(), 3))] == [""]
     assert fleet.ask("ask", Question("session", "r")).value == ()
@@ -433,7 +440,7 @@
     "lapsed_lease": lambda fence: ("renew", Beat(fence._replace(session=77))),
     "fenced_off": lambda fence: ("submit", submit(fence._replace(session=0), forms.Close())),
     "not_leader": lambda fence: ("renew", Beat(fence._replace(session=77, term=99))),
-    "too_large": lambda fence: ("submit", submit(None, Open("x" * (BOUNDS.batch + 1), ""))),
+    "too_large": lambda fence: ("submit", submit(None, Open("x" * (BOUNDS.max_batch_bytes + 1), ""))),
     "no_such_budget": lambda fence: ("ask", Question("budget", "none")),
     "unknown_command": lambda fence: ("ask", Question("colour")),
     "unfit_change": lambda fence: ("change", Keepers(("x",))),
@@ -468,14 +475,16 @@
     fleet.carry(leader.name, leader.stop(fleet.now))
     told = [fleet.answers[fleet.call(verb, asked, leader)][0].code for verb, asked in calls]
     assert set(told) == {"stopping"} and waiting in fleet.answers
-    fleet.until(lambda: any(desk.lead for desk in fleet.desks.values() if desk is not leader), 50 * MS)
+    fleet.until(
+        lambda: any(desk.leader_state for desk in fleet.desks.values() if desk is not leader), 50 * MS
+    )
 
 
 def test_too_many_at_once_are_refused_and_none_is_forgotten() -> None:
     fleet = Fleet()
     fence = fleet.open("r")
     fleet.cut = set(fleet.desks) - {fleet.leader().name}
-    most = TERMS.bounds.waiting
+    most = TERMS.bounds.max_waiting
     beats = [fleet.call("renew", Beat(fence)) for _ in range(most + 1)]
     opens = [fleet.call("submit", submit(None, Open(f"r{one}", ""))) for one in range(most + 2)]
     assert [fleet.answers[token][0].code for token in (beats[-1], opens[-1])] == ["overloaded"] * 2
@@ -492,12 +501,12 @@
     fence, other = fleet.open("r"), fleet.open("s")
     fleet.renew(fence, tries=40)
     heard, leader = fleet.now, fleet.leader()
-    fleet.until(lambda: fleet.now >= heard + TERMS.binds() - 10 * MS)
+    fleet.until(lambda: fleet.now >= heard + TERMS.keeper_lease() - 10 * MS)
     fleet.renew(other)
-    fleet.pass_time(heard + TERMS.binds() - 1)
+    fleet.pass_time(heard + TERMS.keeper_lease() - 1)
     assert leader.books.numbered(fence.session)
     fleet.cut = set(fleet.desks) - {leader.name}  # the Lapse is proposed and not committed
-    fleet.pass_time(heard + TERMS.binds())
+    fleet.pass_time(heard + TERMS.keeper_lease())
     token = fleet.call("renew", Beat(fence))
     assert fleet.answers[token][0].code == "lapsed_lease" and leader.books.numbered(fence.session)
     fleet.cut = set()
@@ -512,7 +521,7 @@
     fleet = Fleet()
     fence, other = fleet.open("r"), fleet.open("s")
     leader = fleet.leader()
-    fleet.pass_time(leader.lead.beat_at + phase * MS)
+    fleet.pass_time(leader.leader_state.interval_at + phase * MS)
     fleet.renew(fence, tries=70)
     while leader.books.numbered(fence.session):
         fleet.renew(other, tries=70)
@@ -524,26 +533,26 @@
     fleet = Fleet()
     fence = fleet.open("r")
     fleet.renew(fence, tries=60)
-    fleet.pass_time(fleet.now + 3 * TERMS.beat)
+    fleet.pass_time(fleet.now + 3 * TERMS.renew_interval)
     shares, old = fleet.renew(fence, tries=60).shares, fleet.leader()
     heard = fleet.now
-    fleet.pass_time(heard + TERMS.beat)
+    fleet.pass_time(heard + TERMS.renew_interval)
     fleet.cut = {old.name}
     beats = [
         fleet.call("renew", Beat(fence), old),
         fleet.call("submit", submit(fence, GiveBack("tries", 1)), old),
     ]
-    fleet.until(lambda: any(desk.lead for desk in fleet.desks.values() if desk is not old))
+    fleet.until(lambda: any(desk.leader_state for desk in fleet.desks.values() if desk is not old))
     began, new = fleet.now, fleet.leader()
-    fleet.pass_time(began + TERMS.beat)
+    fleet.pass_time(began + TERMS.renew_interval)
     # what it holds is its demand, until it has told this leader: nothing is asked back
     assert [(one.granted, one.wanted) for one in shares] == [one[1:] for one in new.books.shares("tries")]
     fleet.until(lambda: all(token in fleet.answers for token in beats))
     assert [fleet.answers[token][0].code for token in beats] == ["no_quorum", "unknown_fate"]
     fleet.cut = set()
-    fleet.pass_time(began + TERMS.binds() - 20 * MS)
-    assert fleet.now > heard + TERMS.binds() and fleet.renew(fence, tries=60).lease == TERMS.lease
-    fleet.until(lambda: not new.books.sessions(), TERMS.binds() + 100 * MS)
+    fleet.pass_time(began + TERMS.keeper_lease() - 20 * MS)
+    assert fleet.now > heard + TERMS.keeper_lease() and fleet.renew(fence, tries=60).lease == TERMS.lease
+    fleet.until(lambda: not new.books.sessions(), TERMS.keeper_lease() + 100 * MS)
     assert {desk.core.term for desk in fleet.desks.values()} == {new.core.term}
     assert new.books.time <= fleet.now
 
@@ -554,15 +563,15 @@
     fleet.cut = {old.name}
     token = fleet.call("submit", submit(None, Open("r", "")), old)
     fleet.desks.pop(old.name)  # paused: it neither beats nor finds out
-    fleet.until(lambda: any(desk.lead for desk in fleet.desks.values()))
+    fleet.until(lambda: any(desk.leader_state for desk in fleet.desks.values()))
     fleet.cut, fleet.desks[old.name] = set(), old
     fleet.until(lambda: token in fleet.answers)
     assert [answer.code for answer in fleet.answers[token]] == ["unknown_fate"]
     assert fleet.open("r", 1).session == 1  # with the same mark: it was not carried out
     fleet = Fleet("a")
     desk = fleet.desks["a"]
-    desk.under[desk.core.last + 1] = Under(7, (Order(99, (), 0),))
-    desk._carry(fleet.now, desk.core.propose(fleet.now, 1 << 40, BOOKS, encode(Batch(0, 1, ()))))
+    desk.appended[desk.core.last + 1] = Proposal(7, (Order(99, (), 0),))
+    desk._carry_out(fleet.now, desk.core.propose(fleet.now, 1 << 40, BOOKS, encode(Batch(0, 1, ()))))
     fleet.carry("a", desk.tick(fleet.now))
     assert [answer.code for answer in fleet.answers[99]] == ["unknown_fate"]
 
@@ -582,7 +591,7 @@
     desk.books.apply = refusing
     for _ in range(25):
         fleet.renew(fence, tries=60)
-        fleet.pass_time(fleet.now + TERMS.beat)
+        fleet.pass_time(fleet.now + TERMS.renew_interval)
     assert 2 <= len(refused) <= 3 and refused[1] - refused[0] >= TERMS.lease
     assert [note.level for note in fleet.notes].count("warning") == len(refused)
 
@@ -595,7 +604,7 @@
     lapsed, books = fleet.now, fleet.leader().books
     assert books.held("held") > 0
     fleet.until(lambda: not books.held("held"))
-    assert LEVEL.freed_after - 10 * MS <= fleet.now - lapsed <= LEVEL.freed_after + 2 * TERMS.beat
+    assert LEVEL.freed_after - 10 * MS <= fleet.now - lapsed <= LEVEL.freed_after + 2 * TERMS.renew_interval
 
 
 def test_books_are_written_out_and_read_again_by_who_starts_or_was_behind() -> None:
@@ -610,7 +619,7 @@
         assert disk.kept.snapshot.index > 5 and len(disk.kept.entries) < 10
         fleet.start(name)
         assert fleet.desks[name].books.index >= fences[0].session
-    fleet.until(lambda: any(desk.lead for desk in fleet.desks.values()))
+    fleet.until(lambda: any(desk.leader_state for desk in fleet.desks.values()))
     assert fleet.renew(fences[-1]).lease == TERMS.lease
 
 
@@ -618,8 +627,8 @@
     fleet = Fleet("a")
     desk = fleet.desks["a"]
     fleet.carry("a", Acts())
-    desk._carry(fleet.now, desk.core.propose(fleet.now, 1 << 40, BOOKS, b"{"))
-    fleet.pass_time(fleet.now + TERMS.beat)
+    desk._carry_out(fleet.now, desk.core.propose(fleet.now, 1 << 40, BOOKS, b"{"))
+    fleet.pass_time(fleet.now + TERMS.renew_interval)
     assert [note.level for note in fleet.notes if note.msg == "entry that can't be read"] == ["error"]
     assert fleet.open("r").session == 1
 
@@ -628,7 +637,9 @@
 # and a change of leader as what it leaves: a new account of leases, and proposals that are lost.
 
 WHOLE, UNTIL = 2, 3  # microseconds; by then a lease is over and what it held can be granted again
-SMALL = TERMS._replace(lease=2, drift=0, beat=2, budgets=(forms.Budget("x", forms.RATE, WHOLE, 0, 2, 0, 0),))
+SMALL = TERMS._replace(
+    lease=2, drift=0, renew_interval=2, budgets=(forms.Budget("x", forms.RATE, WHOLE, 0, 2, 0, 0),)
+)
 
 
 def copied(one: Session | Member) -> Session | Member:
@@ -657,7 +668,7 @@
         *one.held.values(),
         *sorted(one.given_back.items()),
         *sorted(one.unknown),
-        *sorted(item for item in one.out.items() if item[0] in under_way),
+        *sorted(item for item in one.in_flight.items() if item[0] in under_way),
     )
 
 
@@ -706,7 +717,7 @@
             for requests, answers, heard in zip(self.requests, self.answers, self.heard, strict=True)
         ]
         counted = tuple(
-            (one, max(member.heard, self.now - SMALL.binds()), member.lapsing)
+            (one, max(member.renewed_at, self.now - SMALL.keeper_lease()), member.lapse_proposed)
             for one, member in self.live.items()
         )
         relays = (plain(one, under, self.now) for one, under in zip(self.relays, asked, strict=True))
@@ -726,8 +737,8 @@
 
     def members(self) -> Members:
         members = Members(SMALL, 0, ())
-        members.live = self.live = {session: copied(one) for session, one in self.live.items()}
-        members.soonest = 0
+        members.by_session = self.live = {session: copied(one) for session, one in self.live.items()}
+        members.next_expiry = 0
         return members
 
     def apply(self, *commands: Command) -> tuple[Done, ...]:
@@ -743,7 +754,7 @@
         for place in (0, 1):
             if not (place == 0 and self.paused) and self.relays[place].due() <= self.now:
                 relay = self.relay(place)
-                relay.settled()
+                relay.take_results()
                 self.requests[place] = tuple(relay.orders(self.now)) or self.requests[place]
 
     def steps(self) -> Iterator[tuple[str, Callable[["World"], None]]]:
@@ -774,7 +785,7 @@
 
     def time(self) -> None:
         self.now += 1
-        self.lapses += tuple(self.members().over(self.now))
+        self.lapses += tuple(self.members().take_expired(self.now))
         self.act()
 
     def serve(self) -> None:
@@ -795,7 +806,7 @@
     def confirm(self, place: int = 0) -> None:
         (beat, heard), self.heard[place] = self.heard[place], None
         answer: Answer = Done(code="lapsed_lease")
-        if self.books.refusal(beat.fence) is None and self.members().renewed(heard, beat):
+        if self.books.refusal(beat.fence) is None and self.members().renew(heard, beat):
             shares = self.books.shares_of(beat.fence.session)
             answer = Renewed(SMALL.lease, tuple(Share(*one) for one in shares))
         self.answers[place] = ((beat.asked_at, answer),)  # one that did not come by now is lost
@@ -835,10 +846,10 @@
     def lead(self) -> None:
         self.left = tuple(one for one in self.left if one != "lead")
         self.heard, self.live = [None] * 2, self.counted_anew()
-        self.lapses = tuple(self.members().over(self.now))
+        self.lapses = tuple(self.members().take_expired(self.now))
 
     def counted_anew(self) -> dict[int, Member]:
-        return Members(SMALL, self.now, [one.number for one in self.books.sessions()]).live
+        return Members(SMALL, self.now, [one.number for one in self.books.sessions()]).by_session
 
     def pause(self) -> None:
         self.left, self.paused = tuple(one for one in self.left if one != "pause"), True
@@ -853,7 +864,7 @@
             if not (place == 0 and self.paused):
                 relay = copied(relay)
                 used += sum(share.granted for share in relay.shares(self.now).values())
-                if relay.usable(self.now) and self.books.numbered(relay.fence.session) is None:
+                if relay.is_usable(self.now) and self.books.numbered(relay.fence.session) is None:
                     return f"relay {place} thinks session {relay.fence.session} usable, which has lapsed"
         return f"{used} of {WHOLE} in use" if used > WHOLE else ""
 
@@ -898,11 +909,11 @@
     return {one.number: Member(0) for one in self.books.sessions()}
 
 
-RENEWED = Session._renewed
+RENEWED = Session._on_renewed
 BROKEN = {
-    "a pause is not looked for at use": (Session, "usable", lambda self, now: self.state == side.HELD),
-    "a lease counts from the answer": (Session, "_renewed", counted_from_the_answer),
-    "renewed though a Lapse is proposed": (Members, "refuses", lambda self, one: one not in self.live),
+    "a pause is not looked for at use": (Session, "is_usable", lambda self, now: self.state == side.HELD),
+    "a lease counts from the answer": (Session, "_on_renewed", counted_from_the_answer),
+    "renewed though a Lapse is proposed": (Members, "refuses", lambda self, one: one not in self.by_session),
     "a new leader does not count anew": (World, "counted_anew", not_counted_anew),
 }
 
@@ -940,7 +951,7 @@
             fleet.pass_time(start + theirs)
         if true >= resumes[0]:
             live = fleet.desks["a"].books.sessions()
-            faults += relay.usable(mine) and all(one.fence != relay.fence for one in live)
+            faults += relay.is_usable(mine) and all(one.fence != relay.fence for one in live)
             for token in [token for token in asked if token in fleet.answers and rng.below(3)]:
                 relay.answered(mine, asked.pop(token), fleet.answers[token][0])
             if relay.due() <= mine:
@@ -967,11 +978,11 @@
     for seed in SEEDS:
         for holder, keeper in ((-FAST, FAST), (0, 0), (FAST, -FAST)):
             assert pair(seed, holder, keeper, True) == 0, f"seed {seed}, clocks {holder} and {keeper}"
-    monkeypatch.setattr(Session, "_renewed", counted_from_the_answer)
+    monkeypatch.setattr(Session, "_on_renewed", counted_from_the_answer)
     assert sum(pair(seed, 0, 0, True) for seed in SEEDS) > 0, "the way by hand shows no difference"
 
 
 def test_beyond_the_bound_or_without_a_look_at_use_it_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
     assert sum(pair(seed, -6 * FAST, 3 * FAST) for seed in SEEDS) > 0
-    monkeypatch.setattr(Session, "usable", lambda self, now: self.state == side.HELD)
+    monkeypatch.setattr(Session, "is_usable", lambda self, now: self.state == side.HELD)
     assert sum(pair(seed, 0, 0) for seed in SEEDS) > 0
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -17,9 +17,9 @@
 from laurelcourse.fleet.calls.service import Service, refusal
 from laurelcourse.fleet.calls.ways import limits
 from laurelcourse.fleet.errors import CODES, FleetError
-from laurelcourse.fleet.keeper.desk import Desk
-from laurelcourse.fleet.keeper.forms import Bounds, Keepers
-from laurelcourse.fleet.keeper.keeping import Keeping, kept_in
+from laurelcourse.fleet.keeper.coordinator import Coordinator
+from laurelcourse.fleet.keeper.messages import Bounds, Keepers
+from laurelcourse.fleet.keeper.replica import Replica, open_replica
 from laurelcourse.fleet.orders import Terms
 from laurelcourse.fleet.wiring import clock, log
 from laurelcourse.prng import Prng
@@ -88,12 +88,14 @@
 
 class Running:
     def __init__(self, folder: Path) -> None:
-        def desk(kept: object) -> Desk:
-            return Desk("k1", "a", TERMS, Prng(1), kept, clock(), encode=codec.packed, decode=codec.unpacked)
+        def desk(kept: object) -> Coordinator:
+            return Coordinator(
+                "k1", "a", TERMS, Prng(1), kept, clock(), encode=codec.packed, decode=codec.unpacked
+            )
 
         self.limits = limits(TERMS)
-        self.keeping = kept_in(folder, "agenda", "k1", 1, desk, lambda to, message: None, clock, log)
-        assert isinstance(self.keeping, Keeping)
+        self.keeping = open_replica(folder, "agenda", "k1", 1, desk, lambda to, message: None, clock, log)
+        assert isinstance(self.keeping, Replica)
         self.service = Service(
             self.keeping, "agenda", "k1", "127.0.0.1:0", self.limits, Hands("agenda", "k1", {}, self.limits)
         )
--- a/tests/test_fleet_handing.py
+++ b/tests/test_fleet_handing.py
@@ -6,8 +6,8 @@
 import pytest
 
 from laurelcourse.fleet.books.forms import Done
-from laurelcourse.fleet.handing import Routes, Try, leader_for, time_for
 from laurelcourse.fleet.orders import Answer, Renewed
+from laurelcourse.fleet.routing import Attempt, LeaderRoutes, forward_target, forward_timeout
 from laurelcourse.prng import Prng
 
 REST = 100
@@ -32,21 +32,21 @@
     ],
 )
 def test_what_a_keeper_hands_on(wished: bool, answer: Answer, to: str) -> None:
-    assert leader_for(wished, answer, "b", ("a", "c")) == to
+    assert forward_target(wished, answer, "b", ("a", "c")) == to
 
 
 @pytest.mark.parametrize(
     ("left", "time"), [(None, 1000), (800, 700), (10_000, 1000), (8, 7), (1, 0), (0, 0), (-5, 0)]
 )
 def test_an_eighth_of_the_askers_time_stays_for_the_way_back(left: int | None, time: int) -> None:
-    assert time_for(left, 1000) == time
+    assert forward_timeout(left, 1000) == time
 
 
 def played(steps: str, turn: int = 2) -> list[str]:
     """Whom an order goes to, by name, with '>' where that one is to hand it on. Steps: 'x' not heard, '-b'
     not leader but b ('--': nobody), '!' overloaded, '?' another refusal, 'a>' an answer that a gave to the
     one who handed on, '=' an answer; '+' time passes until leaders rest no more."""
-    routes, now, told = Routes(("a", "b", "c"), turn, REST), 0, []
+    routes, now, told = LeaderRoutes(("a", "b", "c"), turn, REST), 0, []
     tried = routes.first(now)
     for step in (*steps.split(), None):
         told.append(tried.keeper + ">" * tried.hand_on)
@@ -111,14 +111,14 @@
 
 
 def test_a_leader_that_is_heard_is_asked_by_itself_whatever_befell_the_others() -> None:
-    routes = Routes(("a", "b", "c"), 2, REST)
-    routes.answered(Try("a"))
-    routes.rests.update(b=REST, c=REST)
-    assert [routes.first(0)] * 3 == [Try("a")] * 3
+    routes = LeaderRoutes(("a", "b", "c"), 2, REST)
+    routes.answered(Attempt("a"))
+    routes.retry_at.update(b=REST, c=REST)
+    assert [routes.first(0)] * 3 == [Attempt("a")] * 3
 
 
 def test_lanes_that_share_their_routes_never_turn_to_nobody() -> None:
-    routes, strange = Routes(("a", "b", "c"), 0, REST), []
+    routes, strange = LeaderRoutes(("a", "b", "c"), 0, REST), []
 
     def lane(seed: int) -> None:
         rng, now = Prng(seed), 0
--- a/tests/test_fleet_holder.py
+++ b/tests/test_fleet_holder.py
@@ -7,7 +7,7 @@
 from laurelcourse import interface as face
 from laurelcourse.fleet.books.forms import COUNT, LEVEL, RATE, Budget, Done, Fence, GiveBack
 from laurelcourse.fleet.budgets.holder import IDLE_LEASES, USES, Holder
-from laurelcourse.fleet.keeper.forms import Bounds, Keepers
+from laurelcourse.fleet.keeper.messages import Bounds, Keepers
 from laurelcourse.fleet.orders import Beat, Renewed, Share, Terms
 from laurelcourse.fleet.session import Session
 from laurelcourse.prng import Prng
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
 from laurelcourse.fleet.calls.client import Client
 from laurelcourse.fleet.calls.ways import limits
 from laurelcourse.fleet.errors import DamagedBooksError, FleetError, OlderDiskError
-from laurelcourse.fleet.keeper.forms import BOOKS
+from laurelcourse.fleet.keeper.messages import BOOKS
 from laurelcourse.fleet.keeper.store import Store
 from laurelcourse.fleet.orders import Answer, Question, Submit
 from laurelcourse.fleet.terms import terms
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -10,7 +10,7 @@
 from laurelcourse import cli
 from laurelcourse.fleet import terms
 from laurelcourse.fleet.books.forms import Budget
-from laurelcourse.fleet.keeper.forms import Bounds
+from laurelcourse.fleet.keeper.messages import Bounds
 from laurelcourse.operator import form, reading
 
 EXAMPLE = (ROOT / "deploy" / "fleet.xml").read_text()
@@ -30,7 +30,7 @@
 def test_the_example_becomes_terms_with_units_and_defaults(tmp_path: Path) -> None:
     fleet = read(tmp_path, EXAMPLE)
     found = terms.terms(fleet)
-    assert (found.fleet, found.lease, found.beat, found.drift, found.sessions) == (
+    assert (found.fleet, found.lease, found.renew_interval, found.drift, found.sessions) == (
         "agenda",
         12_000_000,
         2_500_000,
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -18,10 +18,10 @@
 
 from laurelcourse.fleet import errors
 from laurelcourse.fleet.books.forms import Batch, Command, Done, Fence, Open
-from laurelcourse.fleet.keeper.desk import Desk
-from laurelcourse.fleet.keeper.forms import Bounds, Entry, Keepers, Kept, Mark, Snapshot, TakeOver, Write
-from laurelcourse.fleet.keeper.keeping import Aside, Keeping, kept_in
-from laurelcourse.fleet.keeper.store import FILE, Store, read_log, read_marks, read_snapshot
+from laurelcourse.fleet.keeper.coordinator import Coordinator
+from laurelcourse.fleet.keeper.messages import Bounds, Entry, Keepers, Kept, Mark, Snapshot, TakeOver, Write
+from laurelcourse.fleet.keeper.replica import DisabledReplica, Replica, open_replica
+from laurelcourse.fleet.keeper.store import FILE_NAME, Store, read_log, read_marks, read_snapshot
 from laurelcourse.fleet.orders import Acts, Note, Submit, Terms
 from laurelcourse.prng import Prng
 
@@ -30,7 +30,7 @@
 CHILD = """
 import sys, resource
 from pathlib import Path
-from laurelcourse.fleet.keeper.forms import Entry, Keepers, Snapshot, Write
+from laurelcourse.fleet.keeper.messages import Entry, Keepers, Snapshot, Write
 from laurelcourse.fleet.keeper.store import Store
 store, limit = Store.open(Path(sys.argv[1]), "f", "a", 1), int(sys.argv[2])
 if limit: resource.setrlimit(resource.RLIMIT_FSIZE, (limit, limit))
@@ -178,7 +178,7 @@
 )
 def test_what_was_changed_behind_its_back_is_refused(tmp_path: Path, sql: str) -> None:
     filled(tmp_path).close()
-    db = sqlite3.connect(tmp_path / FILE, isolation_level=None)
+    db = sqlite3.connect(tmp_path / FILE_NAME, isolation_level=None)
     db.execute(sql)
     db.close()
     newer = sql.endswith("version = 2")
@@ -190,13 +190,15 @@
 def test_a_damaged_file_is_refused_or_read_as_it_was(tmp_path: Path) -> None:
     filled(tmp_path / "whole").close()
     (tmp_path / "hurt").mkdir()
-    raw, want = (tmp_path / "whole" / FILE).read_bytes(), kept(tmp_path / "whole")
+    raw, want = (tmp_path / "whole" / FILE_NAME).read_bytes(), kept(tmp_path / "whole")
     rng, refused = Prng(5), 0
     for turn in range(240):
         at, hurt = rng.below(len(raw)), bytearray(raw)
         hurt[at] ^= 1 << rng.below(8)
-        (tmp_path / "hurt" / FILE).unlink(missing_ok=True)  # ext4 syncs a file that is overwritten
-        (tmp_path / "hurt" / FILE).write_bytes((hurt, raw[:at], raw[: at - at % 512])[max(turn - 200, 0) % 3])
+        (tmp_path / "hurt" / FILE_NAME).unlink(missing_ok=True)  # ext4 syncs a file that is overwritten
+        (tmp_path / "hurt" / FILE_NAME).write_bytes(
+            (hurt, raw[:at], raw[: at - at % 512])[max(turn - 200, 0) % 3]
+        )
         try:
             assert kept(tmp_path / "hurt") == want
         except (errors.DamagedBooksError, errors.NewerBooksError):
@@ -211,11 +213,11 @@
     """Without its journal: as on a disk that said that it had written, and had not. From the front and from
     the end on, so that either page may be the one that is there."""
     one, hurt, refused = filled(tmp_path / "a"), tmp_path / "hurt", 0
-    old = (tmp_path / "a" / FILE).read_bytes()
+    old = (tmp_path / "a" / FILE_NAME).read_bytes()
     before = kept_by(one)
     one.save(LAST)
     one.close()
-    new, after = (tmp_path / "a" / FILE).read_bytes(), kept(tmp_path / "a")
+    new, after = (tmp_path / "a" / FILE_NAME).read_bytes(), kept(tmp_path / "a")
     assert (after.term, after.vote, after.entries[-1:]) == (8, "a", LAST.entries) and len(old) == len(new)
     hurt.mkdir()
     places = [at for at in range(len(new)) if old[at] != new[at]]
@@ -224,8 +226,8 @@
         torn = bytearray(old)
         for at in row[:-1]:
             torn[at] = new[at]
-            (hurt / FILE).unlink(missing_ok=True)
-            (hurt / FILE).write_bytes(torn)
+            (hurt / FILE_NAME).unlink(missing_ok=True)
+            (hurt / FILE_NAME).write_bytes(torn)
             try:
                 found.append(kept(hurt))
             except errors.DamagedBooksError:
@@ -254,21 +256,21 @@
     """With its journal, some of its pages written, the last of them to any length; and a journal cut off, as
     no disk that keeps its word leaves it."""
     one, rng = filled(tmp_path / "a"), Prng(9)
-    old, before = (tmp_path / "a" / FILE).read_bytes(), kept_by(one)
+    old, before = (tmp_path / "a" / FILE_NAME).read_bytes(), kept_by(one)
     real, one.db = one.db, Amid(one.db, tmp_path / "a", tmp_path / "amid")
     real.execute("PRAGMA cache_size = 1")  # pages go to the file before the end
     one.save(Write(8, "a", 25, tuple(entry(at, 8, 3000) for at in range(25, 40))))
     one.db = real
     one.close()
-    amid, journal = ((tmp_path / "amid" / name).read_bytes() for name in (FILE, f"{FILE}-journal"))
+    amid, journal = ((tmp_path / "amid" / name).read_bytes() for name in (FILE_NAME, f"{FILE_NAME}-journal"))
     assert amid[: len(old)] != old and len(amid) > len(old) and any(journal[:8])
     hurt, refused = tmp_path / "hurt", 0
     hurt.mkdir()
     for turn in range(60):
         whole = turn < 40
         at = rng.below(len(amid)) if whole else rng.below(len(journal))
-        (hurt / FILE).write_bytes(amid[:at] + old[at:] if whole else amid)
-        (hurt / f"{FILE}-journal").write_bytes(journal if whole else journal[:at])
+        (hurt / FILE_NAME).write_bytes(amid[:at] + old[at:] if whole else amid)
+        (hurt / f"{FILE_NAME}-journal").write_bytes(journal if whole else journal[:at])
         try:
             assert kept(hurt) == before
         except errors.DamagedBooksError:
@@ -286,10 +288,10 @@
         with pytest.raises(errors.ForeignBooksError):
             Store.open(tmp_path / "a", fleet, keeper, 1)
     assert kept(tmp_path / "a").disk != kept(tmp_path / "b").disk
-    (tmp_path / "a" / FILE).write_bytes(b"")
+    (tmp_path / "a" / FILE_NAME).write_bytes(b"")
     with pytest.raises(errors.DamagedBooksError, match="it is empty"):
         opened(tmp_path / "a")
-    for folder in (tmp_path / "a" / FILE, Path("/proc/no")):
+    for folder in (tmp_path / "a" / FILE_NAME, Path("/proc/no")):
         with pytest.raises(errors.DiskFailedError):
             opened(folder)
 
@@ -382,8 +384,8 @@
     def close(self) -> None:
         self.closed = True
 
-    def begin(self) -> Keeping:
-        return Keeping(self, self, self.send, clock, self.log)
+    def begin(self) -> Replica:
+        return Replica(self, self, self.send, clock, self.log)
 
     def send(self, to: str, message: object) -> None:
         self.seen.append(("send", to, message))
@@ -469,7 +471,7 @@
 
     desk.submit = desk.renew = desk.ask = desk.change = desk.hear = noted
     came = [0]
-    one = Keeping(desk, desk, desk.send, lambda: next(ticks), desk.log)
+    one = Replica(desk, desk, desk.send, lambda: next(ticks), desk.log)
     for turn in range(40):  # nearly always it waits for the next one by then
         for ask in (one.submit, one.renew, one.ask, one.change):
             came[0] = next(ticks)
@@ -492,7 +494,7 @@
     assert futures[1].cancel() and isinstance(one.submit(ORDER).exception(10), errors.OverloadedError)
     for _ in range(5):
         one.heard("c", TakeOver(1))
-    assert one.lost == 1
+    assert one.messages_lost == 1
     desk.free.set()
     assert [futures[at].result(10) for at in (0, 2, 3)] == [Done("yes")] * 3
     ended = threading.Thread(target=one.stop, args=(5_000_000,))
@@ -529,13 +531,13 @@
         at, term, opens = json.loads(data)
         return Batch(at, term, tuple(Command(None, mark, Open(*what)) for mark, *what in opens))
 
-    def begun() -> Keeping | Aside:
-        return kept_in(
+    def begun() -> Replica | DisabledReplica:
+        return open_replica(
             tmp_path,
             "f",
             "a",
             1,
-            lambda kept: Desk("a", "s", terms, Prng(1), kept, clock(), encode=encode, decode=decode),
+            lambda kept: Coordinator("a", "s", terms, Prng(1), kept, clock(), encode=encode, decode=decode),
             lambda to, message: None,
             clock,
             logging.getLogger("alone"),
@@ -543,16 +545,20 @@
 
     for boot in range(1, 6):
         one = begun()
-        until(lambda: one.desk.core.role == "leader" and one.desk.lead)  # noqa: B023
+        until(lambda: one.coordinator.core.role == "leader" and one.coordinator.leader_state)  # noqa: B023
         done = one.submit(Submit((Command(None, boot, Open(f"r{boot}", "s")),))).result(10)
         assert isinstance(done[0].value, Fence) and done[0].value.session == boot
         assert one.stop(2_000_000)
     for _ in range(2):  # the folder is let go of when no desk can be made
         with pytest.raises(AttributeError):
-            kept_in(tmp_path, "f", "a", 1, lambda kept: kept.no, print, clock, logging.getLogger("alone"))
-    raw = (tmp_path / FILE).read_bytes()
-    (tmp_path / FILE).write_bytes(raw[: len(raw) // 2])
+            open_replica(
+                tmp_path, "f", "a", 1, lambda kept: kept.no, print, clock, logging.getLogger("alone")
+            )
+    raw = (tmp_path / FILE_NAME).read_bytes()
+    (tmp_path / FILE_NAME).write_bytes(raw[: len(raw) // 2])
     caplog.clear()
     one = begun()
-    assert isinstance(one, Aside) and isinstance(one.renew(None).exception(10), errors.DamagedBooksError)
+    assert isinstance(one, DisabledReplica) and isinstance(
+        one.renew(None).exception(10), errors.DamagedBooksError
+    )
     assert [record.message for record in caplog.records] == ["keeper takes no part"] and one.stop(0)
--- a/tests/test_fleet_transfers.py
+++ b/tests/test_fleet_transfers.py
@@ -25,7 +25,7 @@
     Stretch,
 )
 from laurelcourse.fleet.books.state import GRACE, SLICE
-from laurelcourse.fleet.keeper.moving import Moving
+from laurelcourse.fleet.keeper.transfer_planning import TransferPlanner
 from laurelcourse.fleet.transfers import best, pace, plan
 from laurelcourse.prng import Prng
 
@@ -512,7 +512,7 @@
     play.give(None, Places(links, PLACES.sites))
     least, all_of_it = JOB._replace(size=900 * MIB, deadline=12 * S), Stretch(2, 12, 100 * MIB, ("a", "b"))
     assert not play.give(play.fences[0], Reserve(least, (all_of_it,))).code
-    comes, moving = JOB._replace(name="n", size=900 * MIB, deadline=13 * S, earnings=20), Moving()
+    comes, moving = JOB._replace(name="n", size=900 * MIB, deadline=13 * S, earnings=20), TransferPlanner()
     assert not moving.plan(play.books, 0, comes)
     assert moving.recall(play.books, 0, BEAT) == (recall := Recall(("x",)))
     assert play.give(None, recall).value == ("x",) and not play.give(play.fences[0], Move("x", ())).code
@@ -520,7 +520,7 @@
 
 
 def test_after_a_recall_room_is_kept_for_whom_it_was_made_and_others_go_on() -> None:
-    play, moving = Play(1), Moving()
+    play, moving = Play(1), TransferPlanner()
     play.give(None, Places(tuple(Link(x, y, 110 * MIB, 10 * MIB) for x, y in ("ab", "ca")), PLACES.sites))
     assert not play.give(
         play.fences[0],
@@ -544,20 +544,20 @@
 
 
 def test_a_site_lost_by_the_settings_ends_no_leader_that_plans() -> None:
-    play, moving = Play(1), Moving()
+    play, moving = Play(1), TransferPlanner()
     job = JOB._replace(slots=0, size=900 * MIB, deadline=12 * S)
     play.give(None, Places((Link("a", "b", 110 * MIB, 10 * MIB),), PLACES.sites))
     assert not play.give(play.fences[0], Reserve(job, (Stretch(2, 12, 100 * MIB, ("a", "b")),))).code
     comes = job._replace(name="n", deadline=13 * S, earnings=20)
     assert not moving.plan(play.books, 0, comes)
-    assert moving.recall(play.books, 0, BEAT) and "n" in moving.meant
+    assert moving.recall(play.books, 0, BEAT) and "n" in moving.intended
     play.give(None, Places((), PLACES.sites[2:]))
     assert not moving.plan(play.books, 0, job) and not moving.plan(play.books, 0, JOB._replace(name="o"))
 
 
 def test_who_is_late_by_what_is_not_told_yet_alone_is_not_recalled() -> None:
     """All that was due by slice 4 has come; the books have heard of what came until slice 3, not more."""
-    play, moving = Play(1), Moving()
+    play, moving = Play(1), TransferPlanner()
     play.give(None, Places((Link("a", "b", 110 * MIB, 10 * MIB),), PLACES.sites))
     for name, first, size in (("x", 2, 300 * MIB), ("y", 5, 900 * MIB)):
         job = JOB._replace(name=name, size=size, deadline=14 * S, earnings=9)
@@ -568,7 +568,7 @@
     assert not play.give(play.fences[0], Progress("x", 110 * MIB)).code
     comes = JOB._replace(name="n", size=900 * MIB, deadline=14 * S)
     assert not moving.plan(play.books, play.at, comes)
-    assert moving.wishes and moving.recall(play.books, play.at, BEAT) is None
+    assert moving.waiting_jobs and moving.recall(play.books, play.at, BEAT) is None
     play.at = 5 * S  # nothing more came meanwhile
     play.give(None, Recall(()))
     assert not moving.plan(play.books, play.at, comes)
@@ -593,7 +593,7 @@
     RATE, SLOTS, STEP = 256 << 10, 2, 50_000
 
     def __init__(self, seed: int) -> None:
-        self.books, self.moving, self.rng, self.now, self.count = Books(), Moving(), Prng(seed), 0, 0
+        self.books, self.moving, self.rng, self.now, self.count = Books(), TransferPlanner(), Prng(seed), 0, 0
         self.give(
             None,
             Places(
