--- a/laurelcourse/fleet/books/forms.py
+++ b/laurelcourse/fleet/books/forms.py
@@ -79,7 +79,7 @@
 
 
 class Grant(NamedTuple):
-    """Shares of one budget for sessions, from the leader, as `budgets/divide.py` made them. A lower share
+    """Shares of one budget for sessions, from the leader, as `budgets/division.py` made them. A lower share
     than before is asked back: what was granted before counts until its holder has given it back."""
 
     budget: str
--- a/laurelcourse/fleet/keeper/allocation.py
+++ b/laurelcourse/fleet/keeper/allocation.py
@@ -2,7 +2,7 @@
 
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import Grant
-from laurelcourse.fleet.budgets.divide import Asked, credited, divide
+from laurelcourse.fleet.budgets.division import SessionDemand, divide, update_credit
 from laurelcourse.fleet.members import Members
 
 
@@ -37,9 +37,9 @@
                     held_by_others += granted
                     continue
                 demand = members.demand(now, session, scope, wants + defined[name].floor)
-                used = members.used_of(session, scope)
-                asked.append(Asked(session, demand, granted, wants, used, live.site))
-            credit = credited(defined[name], asked, self.credit.get(scope, {}))
+                used = members.used_ppm(session, scope)
+                asked.append(SessionDemand(session, demand, granted, wants, used, live.site))
+            credit = update_credit(defined[name], asked, self.credit.get(scope, {}))
             self.credit[scope] = credit
             changes = divide(defined[name], tuple(asked), held_by_others, credit)
             if changes:
--- a/laurelcourse/fleet/member.py
+++ b/laurelcourse/fleet/member.py
@@ -63,7 +63,7 @@
         while not self.letters.closed:
             now = self.clock()
             if now >= self.session.due():
-                self.holder.beat(now)
+                self.holder.update_session(now)
             for order in self.session.orders(now):
                 self._send(order, self._heard)
             self._give_back()
@@ -102,7 +102,7 @@
         self.holder.renewed(now)
         for command, done in self.session.take_results():
             if isinstance(command.what, GiveBack):
-                self.holder.given(now, command.what)
+                self.holder.give_back_answered(now, command.what)
             else:
                 self.others(command, done)
         if self.fault and self.session.is_usable(now):
@@ -116,7 +116,7 @@
                 command = self.session.command(what, now)
             except FleetError as error:
                 # The word was never sent: it must not bind this relay for ever.
-                self.holder.given(now, what)
+                self.holder.give_back_answered(now, what)
                 self._doubt(error)
                 continue
             self._send(Submit((command,), now), self._given)
@@ -127,7 +127,7 @@
             self.session.lost(command, answer.code)
             return
         self.session.confirmed(now, command)
-        self.holder.given(now, command.what)
+        self.holder.give_back_answered(now, command.what)
 
     def _doubt(self, error: FleetError) -> None:
         self.counters.add(f"fleet.failed.{error.code}")
--- a/laurelcourse/fleet/members.py
+++ b/laurelcourse/fleet/members.py
@@ -119,7 +119,7 @@
         left = min(max(fade_time - (now - member.reported_at - silent_time), 0), fade_time)
         return (held if member.demands is None else member.demands.get(budget, 0)) * left // fade_time
 
-    def used_of(self, session: int, budget: str) -> int:
+    def used_ppm(self, session: int, budget: str) -> int:
         """Returns parts in a million that were used of what was granted; -1 if not reported."""
         return self.by_session[session].uses.get(budget, -1)
 
--- a/laurelcourse/lab/guards.py
+++ b/laurelcourse/lab/guards.py
@@ -245,31 +245,31 @@
 
 
 def _any_use() -> None:
-    from laurelcourse.fleet.budgets.use import Use
+    from laurelcourse.fleet.budgets.usage import BudgetUse
 
-    replace(Use, "_fits", lambda *_: True)
+    replace(BudgetUse, "_fits", lambda *_: True)
 
 
 def _lease_for_ever() -> None:
     from laurelcourse.fleet.budgets.holder import Holder
-    from laurelcourse.fleet.budgets.use import Use
+    from laurelcourse.fleet.budgets.usage import BudgetUse
 
-    told, take = Use.told, Use.take
+    set_share, consume = BudgetUse.set_share, BudgetUse.consume
 
-    def kept(self: Any, now: int, share: Any, until: int) -> None:  # noqa: ANN401
+    def keep_share(self: Any, now: int, share: Any, until: int) -> None:  # noqa: ANN401
         if share is not None:
-            told(self, now, share, until)
+            set_share(self, now, share, until)
 
-    replace(Use, "told", kept)
-    replace(Use, "allowed", lambda self, _: self.budget.floor + self._share())
-    replace(Use, "take", lambda self, now, amount=1, **_: take(self, now, amount, usable=True))
-    replace(Holder, "_unbound", lambda self, _, name: name not in self.budgets)
+    replace(BudgetUse, "set_share", keep_share)
+    replace(BudgetUse, "allowed", lambda self, _: self.budget.floor + self._share())
+    replace(BudgetUse, "consume", lambda self, now, amount=1, **_: consume(self, now, amount, usable=True))
+    replace(Holder, "_is_unlimited", lambda self, _, name: name not in self.budgets)
 
 
 def _floors_gone() -> None:
-    from laurelcourse.fleet.budgets.use import Use
+    from laurelcourse.fleet.budgets.usage import BudgetUse
 
-    replace(Use, "allowed", lambda self, now: self._share() if now < self.until else 0)
+    replace(BudgetUse, "allowed", lambda self, now: self._share() if now < self.until else 0)
 
 
 def _no_pace() -> None:
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -8,8 +8,16 @@
 import pytest
 
 from laurelcourse.fleet.books.forms import COUNT, LEVEL, RATE, Budget
-from laurelcourse.fleet.budgets.divide import LEAST, MILLION, Asked, credited, divide, divided, fill
-from laurelcourse.fleet.budgets.use import BURST, SECOND, Use
+from laurelcourse.fleet.budgets.division import (
+    MILLION,
+    MIN_CREDIT,
+    SessionDemand,
+    divide,
+    divisible,
+    update_credit,
+    water_fill,
+)
+from laurelcourse.fleet.budgets.usage import BURST_DIVISOR, SECOND, BudgetUse
 from laurelcourse.fleet.orders import Share
 from laurelcourse.prng import Prng
 
@@ -17,10 +25,10 @@
 RATES = Budget("tries", RATE, 1000, 4, 10, 0, 0)  # 960 are divided, 30 of them kept free
 
 
-def asked(*rows: tuple) -> tuple[Asked, ...]:
+def asked(*rows: tuple) -> tuple[SessionDemand, ...]:
     """Rows of demand beyond the floor, granted, wanted, part used."""
     return tuple(
-        Asked(session, 4 + row[0], *row[1:3], int(row[3] * MILLION) if row[3] >= 0 else -1, "s")
+        SessionDemand(session, 4 + row[0], *row[1:3], int(row[3] * MILLION) if row[3] >= 0 else -1, "s")
         for session, row in enumerate(rows, 1)
     )
 
@@ -46,11 +54,11 @@
             {},
             [(2, 320)],
         ),  # only what is needed
-        ([(9, 0, 0, -1)] * 3, 928, {1: LEAST * 8}, [(2, 1), (3, 1)]),  # fewer than there are relays
+        ([(9, 0, 0, -1)] * 3, 928, {1: MIN_CREDIT * 8}, [(2, 1), (3, 1)]),  # fewer than there are relays
         (
             [(900, 0, 0, -1)] * 100,
             0,
-            {1: LEAST},  # a liar can prove itself again
+            {1: MIN_CREDIT},  # a liar can prove itself again
             [(1, 1), *((one, 10 if one < 40 else 9) for one in range(2, 101))],
         ),
         ([(100, 500, 500, 0.2), (10, 5, 5, 1)], 0, {}, [(1, 125), (2, 12)]),  # far too much; headroom
@@ -60,10 +68,15 @@
         (
             [(9000, 100, 100, 1), (9000, 100, 100, 0)],
             0,
-            {2: LEAST},
+            {2: MIN_CREDIT},
             [(1, 830), (2, 29)],
         ),  # no idle part to liars
-        ([(9000, 100, 100, 0.5), (9000, 100, 100, 0.5)], 0, {1: LEAST, 2: LEAST}, [(1, 75), (2, 75)]),
+        (
+            [(9000, 100, 100, 0.5), (9000, 100, 100, 0.5)],
+            0,
+            {1: MIN_CREDIT, 2: MIN_CREDIT},
+            [(1, 75), (2, 75)],
+        ),
         # What nobody asks for, little by little: all together worth it,
         ([(9000, 918, 918, 1), *[(0, 1, 1, 0)] * 12], 0, {}, [(one, 0) for one in range(2, 14)]),
         ([(9000, 921, 921, 1), *[(0, 1, 1, 0)] * 9], 0, {}, []),  # or not,
@@ -81,10 +94,10 @@
         (None, (50, 0, 0, -1), MILLION),
         (MILLION, (50, 50, 50, 0.4), MILLION // 2),
         (MILLION, (50, 50, 50, 0.5), MILLION),
-        (LEAST, (50, 50, 50, 0), LEAST),
-        (LEAST, (50, 50, 50, 0.8), LEAST * 2),
+        (MIN_CREDIT, (50, 50, 50, 0), MIN_CREDIT),
+        (MIN_CREDIT, (50, 50, 50, 0.8), MIN_CREDIT * 2),
         (MILLION, (0, 50, 50, 0), MILLION),
-        (LEAST, (50, 50, 50, -1), LEAST),
+        (MIN_CREDIT, (50, 50, 50, -1), MIN_CREDIT),
         (MILLION, (1, 1, 1, 0.1), MILLION),
         (MILLION, (1, 1, 1, 0), MILLION),
         (MILLION, (2, 2, 2, 0), MILLION),
@@ -94,17 +107,17 @@
     ],
 )
 def test_credit_is_lost_by_idle_shares_and_won_by_use(before: int | None, row: tuple, after: int) -> None:
-    assert credited(RATES, asked(row), {9: 5} if before is None else {1: before}) == {1: after}
+    assert update_credit(RATES, asked(row), {9: 5} if before is None else {1: before}) == {1: after}
 
 
 @pytest.mark.parametrize("seed", range(7, 12))
 def test_filling_is_exact_and_no_change_breaks_the_whole(seed: int) -> None:
     rng = Prng(seed)
-    assert fill(5, [9, 8, 7, 7]) == [2, 1, 1, 1] and fill(9, [1, 9, 3, 7]) == [1, 3, 3, 2]
+    assert water_fill(5, [9, 8, 7, 7]) == [2, 1, 1, 1] and water_fill(9, [1, 9, 3, 7]) == [1, 3, 3, 2]
     for _ in range(400):
         wants = [rng.below(1 << rng.below(12)) for _ in range(rng.below(40))]
         amount = rng.below(20_000) - 100
-        given = fill(amount, wants)
+        given = water_fill(amount, wants)
         assert sum(given) == min(max(0, amount), sum(wants))
         short = [part for part, want in zip(given, wants, strict=True) if part < want]
         assert all(0 <= part <= want for part, want in zip(given, wants, strict=True))
@@ -113,9 +126,9 @@
         rows = [(rng.below(most), part, rng.below(part + 1), rng.below(101) / 100) for part in given]
         if rows:
             rows[0] = (9000, *rows[0][1:])
-        others, credit = rng.below(900), {one: LEAST << rng.below(5) for one in range(1, 20, 3)}
+        others, credit = rng.below(900), {one: MIN_CREDIT << rng.below(5) for one in range(1, 20, 3)}
         changes = dict(divide(RATES, asked(*rows), others, credit))
-        room = max(divided(RATES) - others, sum(given))
+        room = max(divisible(RATES) - others, sum(given))
         assert sum(max(part, changes.get(one, 0)) for one, part in enumerate(given, 1)) <= room
         assert all(share >= 0 and share != rows[one - 1][2] for one, share in changes.items())
 
@@ -128,11 +141,11 @@
             for one, demand in demands.items()
         ]
         told = tuple(ask._replace(session=one) for one, ask in zip(demands, asked(*rows), strict=True))
-        credit.update(credited(budget, told, credit))
+        credit.update(update_credit(budget, told, credit))
         if not (changes := divide(budget, told, 0, credit)):
             return beat
         held.update(changes)
-        assert sum(held.values()) <= divided(budget)
+        assert sum(held.values()) <= divisible(budget)
     return most
 
 
@@ -149,7 +162,7 @@
             left = max(held, key=lambda one: held[one])
             del demands[left], held[left]
         beats(budget, held, demands, {}, credit, 3)
-        ideal = fill(divided(budget) * 31 // 32, list(demands.values()))
+        ideal = water_fill(divisible(budget) * 31 // 32, list(demands.values()))
         assert all(held[one] * 8 >= best * 7 - 8 for one, best in zip(demands, ideal, strict=True))
         assert beats(budget, held, demands, {}, credit, 12) < 12
 
@@ -175,7 +188,7 @@
     rng, budget = Prng(3), Budget("b", RATE, 500_000, 10, 1000, 0, 0)
     told = asked(*((rng.below(2000), 400, 300 + rng.below(101), rng.fraction()) for _ in range(1000)))
     began = time.perf_counter()
-    assert divide(budget, told, 0, credited(budget, told, {}))
+    assert divide(budget, told, 0, update_credit(budget, told, {}))
     assert time.perf_counter() - began < 0.5  # measured: about a hundredth of it
 
 
@@ -279,18 +292,18 @@
     ],
 )
 def test_what_may_be_taken(kind: int, doings: list) -> None:
-    use = Use(TAKEN[kind])
+    use = BudgetUse(TAKEN[kind])
     for place, (now, what, *told) in enumerate(doings):
         if what == "t":
-            use.told(now, None if told[0] is None else Share("b", *told[:2]), told[2])
+            use.set_share(now, None if told[0] is None else Share("b", *told[:2]), told[2])
         elif what == "keeps":
-            assert use.keeps(now) == told[0], place
+            assert use.give_back(now) == told[0], place
         elif what == "given":
-            use.given(told[0])
+            use.give_back_answered(told[0])
         elif what == "back":
-            use.back(now, told[0])
+            use.release(now, told[0])
         else:
-            assert sum(use.take(now, usable=what == "u") for _ in range(told[0])) == told[1], place
+            assert sum(use.consume(now, usable=what == "u") for _ in range(told[0])) == told[1], place
 
 
 @pytest.mark.parametrize(
@@ -325,18 +338,18 @@
     ],
 )
 def test_demand_is_what_was_taken_and_refused_lately(kind: int, looks: list) -> None:
-    use, seen = Use(TAKEN[kind], closed_until=4 * S), []
-    assert not use.take(S, usable=True)
-    use.told(4 * S, Share("b", 10, 10), 20 * S)
+    use, seen = BudgetUse(TAKEN[kind], closed_until=4 * S), []
+    assert not use.consume(S, usable=True)
+    use.set_share(4 * S, Share("b", 10, 10), 20 * S)
     for turn in range(400):
         at = 4 * S + turn * S // 40
         if any(at == int(now * S) for now, _, _ in looks):
-            seen.append((at / S, use.demand(at), use.used_of(at) // 1000))
+            seen.append((at / S, use.demand(at), use.used_ppm(at) // 1000))
         if turn < 80:
-            use.take(at, usable=True)
+            use.consume(at, usable=True)
     assert seen == looks
     with pytest.raises(ValueError):
-        use.back(14 * S, 99)
+        use.release(14 * S, 99)
 
 
 @pytest.mark.parametrize(
@@ -358,14 +371,14 @@
     of the deviations that the events themselves make, and a hundredth."""
     told, true = 0, rate * S / BEAT
     for seed in range(relays):
-        rng, use, at = Prng(seed), Use(TAKEN[0]), 99 * S + seed * 7919
-        use.take(at, usable=True)
+        rng, use, at = Prng(seed), BudgetUse(TAKEN[0]), 99 * S + seed * 7919
+        use.consume(at, usable=True)
         looks = [at + 2 * S + (turn + 1) * BEAT for turn in range(beats)]
         while looks:
             at += int(-log(1 - rng.fraction()) * BEAT / rate) + 1
             while looks and looks[0] <= at:
                 told += use.demand(looks.pop(0))
-            use.take(at, usable=True)
+            use.consume(at, usable=True)
     mean, by_chance = told / relays / beats, 3 / (rate * beats * relays) ** 0.5 + 0.01
     print(f"true={true} mean={mean:.3f} {relays} relays together over by {(mean - true) * relays:.1f}")
     assert abs(mean - true) <= by_chance * true
@@ -373,27 +386,27 @@
 
 def test_what_is_left_over_of_the_mean_is_told_later_and_the_least_is_told_where_there_is_no_floor() -> None:
     for floor, told in ((2, [0, 1, 0, 1, 0, 0]), (0, [1, 1, 1, 1, 0, 0])):
-        use = Use(TAKEN[0]._replace(floor=floor))
-        assert not use.take(20 * S, usable=True) and use.demand(20 * S) == 1  # nothing is known of before
+        use = BudgetUse(TAKEN[0]._replace(floor=floor))
+        assert not use.consume(20 * S, usable=True) and use.demand(20 * S) == 1  # nothing is known of before
         use.demand(25 * S)
-        use.take(30 * S - 1, usable=True)
+        use.consume(30 * S - 1, usable=True)
         assert [use.demand(30 * S + turn * BEAT) for turn in range(6)] == told
 
 
 def test_what_is_told_of_few_uses_and_of_a_share_that_changed() -> None:
-    use = Use(TAKEN[0])
+    use = BudgetUse(TAKEN[0])
     for at in (18, 19.5, 20.3, 20.6, 20.9):
-        use.take(int(at * S), usable=True)
+        use.consume(int(at * S), usable=True)
     assert use.demand(21 * S) == 2  # 4 in two units of time
-    use.told(21 * S, Share("b", 10, 10), 90 * S)
-    assert use.used_of(21 * S + S // 8) == 0
-    use.told(30 * S, Share("b", 96, 96), 90 * S)
-    assert all(use.take(32 * S + turn * S // 20, usable=True) for turn in range(20))
-    assert 40_000 < use.used_of(33 * S) < 99_000
-    use.told(33 * S, Share("b", 4, 4), 90 * S)
-    assert use.used_of(33 * S) == MILLION
-    assert sum(use.take(60 * S + turn * S // 6, usable=True) for turn in range(7)) == 7
-    assert use.used_of(61 * S) > 200_000
+    use.set_share(21 * S, Share("b", 10, 10), 90 * S)
+    assert use.used_ppm(21 * S + S // 8) == 0
+    use.set_share(30 * S, Share("b", 96, 96), 90 * S)
+    assert all(use.consume(32 * S + turn * S // 20, usable=True) for turn in range(20))
+    assert 40_000 < use.used_ppm(33 * S) < 99_000
+    use.set_share(33 * S, Share("b", 4, 4), 90 * S)
+    assert use.used_ppm(33 * S) == MILLION
+    assert sum(use.consume(60 * S + turn * S // 6, usable=True) for turn in range(7)) == 7
+    assert use.used_ppm(61 * S) > 200_000
 
 
 class Fleet:
@@ -405,7 +418,7 @@
         self.uses, self.held, self.credit, self.freeing = [], {}, {}, []
         self.relays = [
             SimpleNamespace(
-                use=Use(budget),
+                use=BudgetUse(budget),
                 clock=self.rng.below(99 * S),
                 stopped=0,
                 renewed=0,
@@ -441,26 +454,26 @@
             one.open.pop(0)
             one.loose += 1
             self.uses.append((self.now, -1))
-        one.use.back(self.now + one.clock, one.loose)
+        one.use.release(self.now + one.clock, one.loose)
         one.loose = 0
         for _ in range(int(mean * 2 * self.rng.fraction() + self.rng.fraction())):
-            if one.use.take(self.now + one.clock, usable=True):
+            if one.use.consume(self.now + one.clock, usable=True):
                 self.uses.append((self.now, 1))
                 one.open += [(self.now + 2 * S, one.session)] if self.budget.kind == LEVEL else []
 
     def renews(self, one: SimpleNamespace) -> None:
         now = self.now + one.clock
         if one.session not in self.held:
-            one.use.told(now, None, 0)
+            one.use.set_share(now, None, 0)
             self.sessions += 1
             one.session, self.held[self.sessions] = self.sessions, [0, 0]
         granted, wanted = self.held[one.session]
-        one.renewed, one.told = self.now, (one.use.demand(now), one.use.used_of(now))
-        one.use.told(now, Share("b", granted, wanted), now + HOLDS)
-        if (keeps := one.use.keeps(now)) is not None:
+        one.renewed, one.told = self.now, (one.use.demand(now), one.use.used_ppm(now))
+        one.use.set_share(now, Share("b", granted, wanted), now + HOLDS)
+        if (keeps := one.use.give_back(now)) is not None:
             self.freeing.append((self.now + self.budget.window, granted - keeps, -1))
             self.held[one.session] = [keeps, min(wanted, keeps)]
-            one.use.given(now + HOLDS)
+            one.use.give_back_answered(now + HOLDS)
 
     def over(self, one: SimpleNamespace) -> bool:
         return one.session in self.held and self.now >= one.renewed + BINDS
@@ -476,17 +489,17 @@
             self.uses += [(self.now, -1)] * len(shut)
         self.freeing = [freed for freed in self.freeing if freed[0] > self.now]
         told = tuple(
-            Asked(one.session, one.told[0], *self.held[one.session], one.told[1], "s")
+            SessionDemand(one.session, one.told[0], *self.held[one.session], one.told[1], "s")
             for one in self.relays
             if one.session in self.held
         )
         others = sum(amount for _, amount, _ in self.freeing)
-        self.credit = credited(self.budget, told, self.credit)
+        self.credit = update_credit(self.budget, told, self.credit)
         changes = divide(self.budget, told, others, self.credit)
         self.proposed += bool(changes)
         for session, share in changes:
             self.held[session] = [max(share, self.held[session][0]), share]
-        assert sum(granted for granted, _ in self.held.values()) + others <= divided(self.budget)
+        assert sum(granted for granted, _ in self.held.values()) + others <= divisible(self.budget)
 
 
 def beyond_whole(budget: Budget, uses: list, relays: int) -> int:
@@ -497,7 +510,7 @@
         if budget.kind == RATE:
             # Full at the stated burst: a bucket that leaks at the whole holds what any stretch had beyond it.
             level, last = max(0, level - budget.whole * (at - last)) + amount * MILLION, at
-            worst = max(worst, level - (budget.whole // BURST + relays) * MILLION)
+            worst = max(worst, level - (budget.whole // BURST_DIVISOR + relays) * MILLION)
         else:
             level += amount
             window.append((at, amount))
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_desk.py
@@ -225,7 +225,7 @@
     ]
     assert one.renew(5000, beats[1]) and one.renew(4000, beats[1]._replace(demands=()))
     assert not one.renew(5000, beats[9])
-    assert (one.used_of(1, "tries"), one.used_of(2, "tries")) == (5, -1)
+    assert (one.used_ppm(1, "tries"), one.used_ppm(2, "tries")) == (5, -1)
     one.follow(6000, [1, 2, 3])
     assert one.take_expired(1000 + binds) == [2] and one.take_expired(1000 + binds) == []
     assert not one.renew(1000 + binds, beats[2]) and one.refuses(2)
--- a/tests/test_fleet_holder.py
+++ b/tests/test_fleet_holder.py
@@ -6,7 +6,7 @@
 
 from laurelcourse import interface as face
 from laurelcourse.fleet.books.forms import COUNT, LEVEL, RATE, Budget, Done, Fence, GiveBack
-from laurelcourse.fleet.budgets.holder import IDLE_LEASES, USES, Holder
+from laurelcourse.fleet.budgets.holder import IDLE_LEASES, MAX_USES, Holder
 from laurelcourse.fleet.keeper.messages import Bounds, Keepers
 from laurelcourse.fleet.orders import Beat, Renewed, Share, Terms
 from laurelcourse.fleet.session import Session
@@ -48,7 +48,7 @@
     def beat(self, *shares: tuple[str, int, int]) -> Beat:
         """A second on, and a renewal that brings these."""
         self.now += SECOND
-        self.holder.beat(self.now)
+        self.holder.update_session(self.now)
         beat = next(one for one in self.session.orders(self.now) if isinstance(one, Beat))
         told = Renewed(TERMS.lease, tuple(Share(*one) for one in shares))
         self.session.answered(self.now, beat.asked_at, told)
@@ -92,9 +92,11 @@
 
 def test_keys_are_apart_and_those_beyond_the_bound_share_one_floor() -> None:
     one = Relay().open()
-    assert [one.takes("connections", str(unit)) for unit in range(USES)] == [1] * USES
+    assert [one.takes("connections", str(unit)) for unit in range(MAX_USES)] == [1] * MAX_USES
     assert [one.takes("connections", f"more-{unit}") for unit in range(3)] == [1, 0, 0]
-    assert len(one.beat().demands) == USES  # what is beyond is not told: it is nobody's demand in the books
+    assert (
+        len(one.beat().demands) == MAX_USES
+    )  # what is beyond is not told: it is nobody's demand in the books
 
 
 def test_uses_that_nobody_asks_for_go_but_not_what_is_held() -> None:
