--- a/laurelcourse/fleet/books/apply.py
+++ b/laurelcourse/fleet/books/apply.py
@@ -294,7 +294,7 @@
 
 
 def _refused(error: FleetError) -> Done:
-    return Done(code=error.code, to=error.to, told=tuple(sorted(error.told.items())))
+    return Done(code=error.code, to=error.to, told=tuple(sorted(error.figures.items())))
 
 
 def _live(session: Session) -> Live:
--- a/laurelcourse/fleet/calls/client.py
+++ b/laurelcourse/fleet/calls/client.py
@@ -25,7 +25,7 @@
     StoppingError,
     TooLargeError,
     UnknownFateError,
-    made,
+    error_from_code,
 )
 from laurelcourse.fleet.keeper.messages import Keepers
 from laurelcourse.fleet.orders import Answer, Beat, Question, Submit
@@ -181,7 +181,7 @@
                 if answer.code == "not_leader":
                     then = routes.not_leader(self.clock(), tried, str(told.get("leader", "")), by)
                 else:
-                    last = made(answer.code, answer.to, told)
+                    last = error_from_code(answer.code, answer.to, told)
                     sent |= answer.code in ("unknown_fate", "disk_full", "disk_failed", "books_differ")
                     then = routes.elsewhere(self.clock(), tried, answer.code, by)
             asked += 1
--- a/laurelcourse/fleet/calls/peers.py
+++ b/laurelcourse/fleet/calls/peers.py
@@ -14,7 +14,7 @@
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
 from laurelcourse.fleet.calls.ways import SECOND, Limits, UnheardError, Way
-from laurelcourse.fleet.errors import FleetError, made
+from laurelcourse.fleet.errors import FleetError, error_from_code
 from laurelcourse.fleet.keeper import messages as keeper
 from laurelcourse.prng import Prng
 
@@ -108,7 +108,7 @@
             codec.check(answer, self.fleet, self.me)
             if answer.HasField("refused"):
                 done = codec.form_of(Done, answer.refused)
-                raise made(done.code, done.to, dict(done.told))
+                raise error_from_code(done.code, done.to, dict(done.told))
         except UnheardError as error:
             self.lost += len(envelope.messages)
             # Grows from a beat to a call's time, scattered so that keepers don't knock in step.
--- a/laurelcourse/fleet/calls/service.py
+++ b/laurelcourse/fleet/calls/service.py
@@ -44,7 +44,7 @@
 
 
 def refusal(error: FleetError) -> Done:
-    told = tuple((name, _cut(value)) for name, value in sorted(error.told.items()))
+    told = tuple((name, _cut(value)) for name, value in sorted(error.figures.items()))
     return Done(code=error.code, to=_cut(error.to), told=told)
 
 
--- a/laurelcourse/fleet/transfers/stream.py
+++ b/laurelcourse/fleet/transfers/stream.py
@@ -33,7 +33,7 @@
     StoppingError,
     TooFastError,
     WrongBytesError,
-    made,
+    error_from_code,
 )
 from laurelcourse.fleet.orders import Question
 from laurelcourse.fleet.transfers import pace, views
@@ -84,7 +84,7 @@
         if isinstance(answer, FleetError):
             raise answer
         if answer.code:
-            raise made(answer.code, answer.to, dict(answer.told))
+            raise error_from_code(answer.code, answer.to, dict(answer.told))
         seen = views.seen(answer.value)
         self.hear(asked, seen.time)
         return seen
@@ -290,7 +290,7 @@
                 codec.check(proof, self.fleet, self.me)
                 if proof.HasField("refused"):
                     done = codec.form_of(codec.books.Done, proof.refused)
-                    raise made(done.code, done.to, dict(done.told))
+                    raise error_from_code(done.code, done.to, dict(done.told))
                 if not self.begin.is_set():
                     self.start_at = proof.proven
                     self.begin.set()
--- a/laurelcourse/fleet/transfers/work.py
+++ b/laurelcourse/fleet/transfers/work.py
@@ -29,7 +29,7 @@
 from laurelcourse.fleet.books.reservations import ORPHAN, RECALLED, RESERVED
 from laurelcourse.fleet.books.state import SLICE
 from laurelcourse.fleet.calls.mailbox import Letters
-from laurelcourse.fleet.errors import FleetError, NoDirectLinkError, made
+from laurelcourse.fleet.errors import FleetError, NoDirectLinkError, error_from_code
 from laurelcourse.fleet.orders import Answer, Question, Submit
 from laurelcourse.fleet.transfers import views
 
@@ -120,7 +120,9 @@
             and answer.to not in self.linkless
         ):
             self.linkless.add(answer.to)
-            log.warning("transfer can't go", extra=made(answer.code, answer.to, dict(answer.told)).fields())
+            log.warning(
+                "transfer can't go", extra=error_from_code(answer.code, answer.to, dict(answer.told)).fields()
+            )
 
     def _order(self, job: str, what: What, then: Then = lambda _: None) -> None:
         now = self.clock()
@@ -140,7 +142,7 @@
             if not answer[0].code:
                 then(answer[0])
 
-        self.member._send(Submit((command,), now), heard)
+        self.member.send(Submit((command,), now), heard)
 
     def _told(self, command: Command, done: Done) -> None:
         kind = type(command.what).__name__.lower()
--- a/laurelcourse/fleet/wiring.py
+++ b/laurelcourse/fleet/wiring.py
@@ -1,7 +1,8 @@
-"""A relay's part in the fleet's common books, put together from the operators' settings.
+"""Builds a relay's part in its fleet from the operators' settings.
 
-Every relay is a member, with a session. One that the settings name as a keeper also keeps the books: if its
-disk can't be voted with, it says so in one line and serves on as a member."""
+Every relay is a member with a session. One that the settings name as a keeper also replicates the books; if
+its disk must not vote, it logs this in one line and goes on as a member.
+"""
 
 import logging
 import time
@@ -36,27 +37,28 @@
 
 log = logging.getLogger(__name__)
 
-LETTERS = 8192  # of workflows, waiting for their task
+MAX_LETTERS = 8192  # results that wait for the task of workflows or of transfers
 
 
 def clock() -> int:
-    """Microseconds that go on while the machine sleeps: a lease must not outlast a suspended machine."""
+    """Returns microseconds that also pass during suspension: no lease may outlast a suspended machine."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-def shown(address: tuple[str, int]) -> str:
+def join_address(address: tuple[str, int]) -> str:
+    """Returns an address as host:port."""
     return "{}:{}".format(*address)
 
 
 class Keeper:
-    """The books' keeping on this relay: disk, decisions, and the way to the other keepers."""
+    """A keeper on this relay: its replica, the service for callers and connections to other keepers."""
 
     def __init__(
         self, name: str, fleet: Fleet, terms: Terms, bounds: Limits, folder: Path, seed: int
     ) -> None:
-        """Raises OSError when the address is taken."""
+        """Starts the replica and its service. Raises OSError if the address is in use."""
 
-        def desk(kept: Kept) -> Coordinator:
+        def new_coordinator(kept: Kept) -> Coordinator:
             return Coordinator(
                 name,
                 settings.site_of(fleet, name),
@@ -69,43 +71,54 @@
             )
 
         self.bounds = bounds
-        addresses = {one.name: shown(one.address) for one in fleet.keepers}
+        addresses = {keeper.name: join_address(keeper.address) for keeper in fleet.keepers}
         self.peers = Peers(fleet.name, name, addresses, bounds, Prng(seed + 1))
-        self.keeping = open_replica(
-            folder / fleet.folder, fleet.name, name, seed, desk, self.peers.send, clock, log
+        self.replica = open_replica(
+            folder / fleet.folder, fleet.name, name, seed, new_coordinator, self.peers.send, clock, log
         )
         listen = fleet.listen or settings.address_of(fleet, name)
         self.service = Service(
-            self.keeping, fleet.name, name, shown(listen), bounds, Hands(fleet.name, name, addresses, bounds)
+            self.replica,
+            fleet.name,
+            name,
+            join_address(listen),
+            bounds,
+            Hands(fleet.name, name, addresses, bounds),
         )
         self.service.start()
 
     def close(self) -> None:
-        """Hands the lead over while what comes is refused, then ends."""
+        """Refuses new calls, hands leadership over, then ends."""
         self.service.refuse()
-        self.keeping.stop(self.bounds.call)
+        self.replica.stop(self.bounds.call)
         self.service.stop(self.bounds.talk)
         self.peers.close(self.bounds.talk)
 
 
 def join(host: ProcessContext, fleet: Fleet, folder: Path, zone: str) -> None:
-    """`folder`: where relative names start from; `zone`: this relay's site if it is a member alone."""
-    terms, name, seed = settings.terms(fleet), host.config.name, host.config.seed
-    bounds, ends = limits(terms), []
+    """Joins a fleet with the process of `host`.
+
+    Relative folders start from `folder`; `zone` is this relay's site unless the settings name it.
+    """
+    terms = settings.terms(fleet)
+    name = host.config.name
+    seed = host.config.seed
+    bounds = limits(terms)
+    on_close = []
     if settings.address_of(fleet, name):
-        ends.append(Keeper(name, fleet, terms, bounds, folder, seed).close)
+        on_close.append(Keeper(name, fleet, terms, bounds, folder, seed).close)
     client = Client(
         fleet.name,
         name,
-        {one.name: shown(one.address) for one in fleet.keepers},
+        {keeper.name: join_address(keeper.address) for keeper in fleet.keepers},
         bounds,
         clock,
         Prng(seed + 2),
     )
-    # Another chance at each start of the process, for its session must not bear the mark of the one before.
+    # Seeded differently at each start: the session must not reuse the mark of the process before it.
     session = Session(name, settings.site_of(fleet, name, zone), terms, Prng(seed ^ clock()), clock())
     letters = Letters(host.scheduler, bounds.queue)
-    waiting = [one.name for one in fleet.budgets if one.when_used_up == "wait"]
+    waiting = [budget.name for budget in fleet.budgets if budget.when_used_up == "wait"]
     holder = Holder(session, terms.budgets, clock(), waiting)
     member = Member(host.scheduler, session, holder, client, letters, clock, host.counters)
     host.main.heed(Shares(holder, clock))
@@ -114,56 +127,61 @@
         host.on_close.extend(workflows(host, fleet, member, bounds))
     if fleet.sites:
         host.on_close.extend(transfers(host, fleet, member, bounds, folder))
-    host.on_close.extend([lambda: member.close(bounds.talk), *ends])
+    host.on_close.extend([lambda: member.close(bounds.talk), *on_close])
 
 
 def transfers(
     host: ProcessContext, fleet: Fleet, member: Member, bounds: Limits, folder: Path
 ) -> list[Callable[[], None]]:
-    """Transfers from this relay's site, and into it; gives what is to be called at the end."""
-    name, books = host.config.name, Books(member.client, clock)
-    site = next((one for one in fleet.sites if any(door.relay == name for door in one.doors)), None)
+    """Starts transfers from and to this relay's site; returns what to call at the end."""
+    name = host.config.name
+    books = Books(member.client, clock)
+    site = next((site for site in fleet.sites if any(door.relay == name for door in site.doors)), None)
     if site is None:
         return []
-    place = folder / site.folder
+    site_folder = folder / site.folder
     door = Door(
         fleet.name,
         name,
         site.name,
-        Arrivals(place),
+        Arrivals(site_folder),
         books,
         fleet.beat,
         bounds,
-        shown(next(one.address for one in site.doors if one.relay == name)),
+        join_address(next(door.address for door in site.doors if door.relay == name)),
     )
     door.start()
-    doors = {one.name: tuple((each.relay, shown(each.address)) for each in one.doors) for one in fleet.sites}
-    moves = Moves(member, Letters(host.scheduler, LETTERS), site.name, place, doors, books, Sending)
+    doors = {
+        each.name: tuple((other.relay, join_address(other.address)) for other in each.doors)
+        for each in fleet.sites
+    }
+    moves = Moves(member, Letters(host.scheduler, MAX_LETTERS), site.name, site_folder, doors, books, Sending)
     host.loops.append(moves.work)
     return [lambda: moves.close(bounds.talk), lambda: door.stop(bounds.talk)]
 
 
 def workflows(host: ProcessContext, fleet: Fleet, member: Member, bounds: Limits) -> list[Callable[[], None]]:
-    """Workflows at this relay, and the service for their clients; gives what is to be called at the end."""
-    main, routes = host.main, host.config.settings.routes
+    """Starts workflows and the service for their clients; returns what to call at the end."""
+    main = host.main
+    routes = host.config.settings.routes
     steps = Steps(
         host.scheduler,
         main.dispatcher,
         main.tries,
         host.counters,
-        {one.name: one.repeat_policy for one in routes},
+        {route.name: route.repeat_policy for route in routes},
     )
     flows = Flows(
         member,
-        Letters(host.scheduler, LETTERS),
+        Letters(host.scheduler, MAX_LETTERS),
         steps,
         meaning.definitions(fleet, routes),
         Prng(host.config.seed + 3),
     )
     host.loops.append(flows.work)
-    ends = [flows.letters.close]
+    on_close = [flows.letters.close]
     if fleet.flows_port:
-        service = FlowsService(flows, shown((host.config.listen[0], fleet.flows_port)), bounds)
+        service = FlowsService(flows, join_address((host.config.listen[0], fleet.flows_port)), bounds)
         service.start()
-        ends.insert(0, lambda: service.stop(bounds.talk))
-    return ends
+        on_close.insert(0, lambda: service.stop(bounds.talk))
+    return on_close
--- a/laurelcourse/fleet/workflows/run.py
+++ b/laurelcourse/fleet/workflows/run.py
@@ -13,7 +13,7 @@
 from laurelcourse.fleet.books import forms as f
 from laurelcourse.fleet.books import workflows as books
 from laurelcourse.fleet.books.workflows import View
-from laurelcourse.fleet.errors import CODES, FleetError, StepStuckError, UndoStuckError
+from laurelcourse.fleet.errors import ERRORS_BY_CODE, FleetError, StepStuckError, UndoStuckError
 from laurelcourse.prng import Prng
 
 FAR = 1 << 62
@@ -167,7 +167,9 @@
         if self.state != WRITING:
             return ()
         what, self._what = self._what, None
-        if type(what) is f.Result and not (done.code in CODES and CODES[done.code].again):
+        if type(what) is f.Result and not (
+            done.code in ERRORS_BY_CODE and ERRORS_BY_CODE[done.code].is_temporary
+        ):
             self._known = None
         if done.code:
             # Fenced off, or the books stand elsewhere than was thought: look again, not at once.
--- a/laurelcourse/fleet/workflows/work.py
+++ b/laurelcourse/fleet/workflows/work.py
@@ -30,7 +30,7 @@
     FleetError,
     UnknownFateError,
     UnreadableError,
-    made,
+    error_from_code,
 )
 from laurelcourse.fleet.orders import Answer, Question, Submit
 from laurelcourse.fleet.workflows import run, statements, steps, views
@@ -91,7 +91,7 @@
         self.next_round, self.stuck = 0, set()
         self.by_client: dict[int, int] = {}
         self.owned_at: dict[int, int] = {}  # of each run: since when, by the own clock
-        member.others = self._settled
+        member.on_result = self._settled
 
     # From other threads: a letter each. Raises FleetErrors at once.
 
@@ -115,7 +115,7 @@
             told(DefinitionRefusedError(name, fault="the settings name no such workflow"))
             return
         if len(self.opening) + sum(map(len, self.clients.values())) >= WAITING:
-            told(made("overloaded", self.session.name, {"waiting": WAITING, "at_most": WAITING}))
+            told(error_from_code("overloaded", self.session.name, {"waiting": WAITING, "at_most": WAITING}))
             return
         fault = statements.unfit(definition, values)
         if fault is not None:
@@ -130,7 +130,7 @@
                 self.opening.remove(entry)
             if done.code or not waits:
                 if waits:
-                    told(made(done.code, done.to, dict(done.told)))
+                    told(error_from_code(done.code, done.to, dict(done.told)))
                 elif not done.code:
                     # Nobody waits any more: it is turned back before its first step.
                     self.by_client[done.value[0]] = 0
@@ -166,7 +166,7 @@
     def _word(self, what: Leave | Settle, number: int, told: Told) -> None:
         def then(done: Done) -> None:
             if done.code:
-                told(made(done.code, done.to, dict(done.told)))
+                told(error_from_code(done.code, done.to, dict(done.told)))
             else:
                 self.look(number, told)
 
@@ -342,7 +342,7 @@
             try:
                 pairs.append((self.session.command(item.what, now), item))
             except FleetError as error:
-                item.then(Done(code=error.code, to=error.to, told=tuple(sorted(error.told.items()))))
+                item.then(Done(code=error.code, to=error.to, told=tuple(sorted(error.figures.items()))))
         del self.outbox[:taken]
         if not pairs:
             return
--- a/laurelcourse/lab/flows_seen.py
+++ b/laurelcourse/lab/flows_seen.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-from laurelcourse.fleet.flows_client import DONE, ERRORED, UNDONE, UNHEARD, Told
+from laurelcourse.fleet.flows_client import DONE, ERRORED, UNDONE, UNHEARD, WorkflowStatus
 from laurelcourse.standins.holds import Effect
 
 HOLDS = ("room", "device", "slot")  # in the order of the steps; a thing is named `room.MARK`
@@ -20,7 +20,7 @@
     began: float
     took: float
     wait: float
-    told: Told | None
+    told: WorkflowStatus | None
     calm: bool
 
 
@@ -87,7 +87,7 @@
     return [one.thing for one in seen.came if one.what == "free"]
 
 
-def judged(seen: dict[str, Seen], asked: list[Asked], final: dict[str, Told]) -> dict[str, int]:
+def judged(seen: dict[str, Seen], asked: list[Asked], final: dict[str, WorkflowStatus]) -> dict[str, int]:
     """Each check's count. `final`: what a client that asked after all faults was told of each mark."""
     ended = {mark: told.answer for mark, told in final.items()}
     quick = {
--- a/laurelcourse/lab/transfers.py
+++ b/laurelcourse/lab/transfers.py
@@ -16,7 +16,7 @@
 from laurelcourse.fleet.errors import LapsedLeaseError
 from laurelcourse.fleet.orders import Question, Submit
 from laurelcourse.fleet.transfers import best, plan, views
-from laurelcourse.fleet.wiring import clock, shown
+from laurelcourse.fleet.wiring import clock, join_address
 from laurelcourse.lab import faults
 from laurelcourse.lab.host import Host
 from laurelcourse.lab.report import Check, Progress, Report
@@ -78,7 +78,7 @@
         self.client = Client(
             "lab",
             "lab",
-            {one.name: shown(one.address) for one in fleet.keepers},
+            {one.name: join_address(one.address) for one in fleet.keepers},
             limits(told),
             clock,
             Prng(9),
--- a/laurelcourse/lab/workflows.py
+++ b/laurelcourse/lab/workflows.py
@@ -8,7 +8,7 @@
 from functools import partial
 from pathlib import Path
 
-from laurelcourse.fleet.flows_client import DONE, UNDONE, FlowsClient, Told
+from laurelcourse.fleet.flows_client import DONE, UNDONE, FlowsClient, WorkflowStatus
 from laurelcourse.lab import faults
 from laurelcourse.lab.flows_seen import Asked, by_mark, judged
 from laurelcourse.lab.host import FLEET, Host
@@ -181,9 +181,9 @@
             except OSError:
                 client = None
 
-    def final(self, over: float) -> dict[str, Told]:
+    def final(self, over: float) -> dict[str, WorkflowStatus]:
         """How each booking ended, as a client that asks with its mark is told."""
-        found: dict[str, Told] = {}
+        found: dict[str, WorkflowStatus] = {}
         client = FlowsClient([f"{RELAY}:{port}" for _, port in sorted(self.host.flows.items())])
         while (left := [mark for mark in self.tenants if mark not in found]) and time.monotonic() < over:
             for mark in left:
--- a/tests/test_fleet_books.py
+++ b/tests/test_fleet_books.py
@@ -11,7 +11,7 @@
 from laurelcourse.fleet.books import budgets, sessions
 from laurelcourse.fleet.books import forms as f
 from laurelcourse.fleet.books.apply import Books
-from laurelcourse.fleet.errors import CODES, DamagedBooksError, made
+from laurelcourse.fleet.errors import ERRORS_BY_CODE, DamagedBooksError, error_from_code
 from laurelcourse.prng import Prng
 
 A = f.Fence("a", 1, 1, 3)
@@ -58,7 +58,10 @@
     commands = tuple(read(one) if type(one) is str else one for one in steps)
     done = books.apply(books.index + 1, f.Batch(at, 3, commands))
     for one in done:
-        assert not one.code or type(made(one.code, one.to, dict(one.told))) is CODES[one.code], one
+        assert (
+            not one.code
+            or type(error_from_code(one.code, one.to, dict(one.told))) is ERRORS_BY_CODE[one.code]
+        ), one
     return [one.code or " ".join(map(str, one.value)) for one in done]
 
 
@@ -119,8 +122,10 @@
         before = books.plain()[5:9]
         told = do(books, at, *([] if order.startswith("at ") else [order]))
         assert not wanted or told == [wanted], step
-        assert told in ([], [wanted]) or told[0] not in CODES, step
-        assert not set(told) & set(CODES) or books.plain()[5:9] == before, f"{step}: refused, yet it did"
+        assert told in ([], [wanted]) or told[0] not in ERRORS_BY_CODE, step
+        assert not set(told) & set(ERRORS_BY_CODE) or books.plain()[5:9] == before, (
+            f"{step}: refused, yet it did"
+        )
 
 
 def test_marks_too_old() -> None:
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_desk.py
@@ -10,7 +10,7 @@
 from laurelcourse.fleet.books import forms
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import Batch, Command, Done, Fence, GiveBack, Grant, Lapse, Open
-from laurelcourse.fleet.errors import CODES, LapsedLeaseError, OverloadedError, made
+from laurelcourse.fleet.errors import ERRORS_BY_CODE, LapsedLeaseError, OverloadedError, error_from_code
 from laurelcourse.fleet.keeper.batching import merge_writes
 from laurelcourse.fleet.keeper.coordinator import Coordinator, Order, Proposal
 from laurelcourse.fleet.keeper.leader_clock import LeaderClock
@@ -455,7 +455,7 @@
     verb, asked = REFUSALS[code](fence)
     done = fleet.answers[fleet.call(verb, asked)][0]  # at once, without any time passing
     assert done.code == code and fleet.leader().core.last == index
-    assert isinstance(made(done.code, done.to, dict(done.told)), CODES[code])
+    assert isinstance(error_from_code(done.code, done.to, dict(done.told)), ERRORS_BY_CODE[code])
     assert fleet.renew(fence)._replace(shares=()) == Renewed(TERMS.lease, ())
 
 
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -16,7 +16,7 @@
 from laurelcourse.fleet.calls.hands import Hands
 from laurelcourse.fleet.calls.service import Service, refusal
 from laurelcourse.fleet.calls.ways import limits
-from laurelcourse.fleet.errors import CODES, FleetError
+from laurelcourse.fleet.errors import ERRORS_BY_CODE, FleetError
 from laurelcourse.fleet.keeper.coordinator import Coordinator
 from laurelcourse.fleet.keeper.messages import Bounds, Keepers
 from laurelcourse.fleet.keeper.replica import Replica, open_replica
@@ -43,7 +43,7 @@
 
 def figures(kind: type[FleetError]) -> dict[str, int | str]:
     """Something for each figure that the two sentences name."""
-    names = [name for _, name, _, _ in string.Formatter().parse(kind.what) if name]
+    names = [name for _, name, _, _ in string.Formatter().parse(kind.problem) if name]
     return {name: f"a {name}" if name in WORDS else 7 + place for place, name in enumerate(names)}
 
 
@@ -56,33 +56,40 @@
 
 
 def test_the_page_has_the_same_sentences_for_each_code_and_no_code_more() -> None:
-    assert rows() == {code: (kind.what, kind.do) for code, kind in CODES.items()}
+    assert rows() == {code: (kind.problem, kind.remedy) for code, kind in ERRORS_BY_CODE.items()}
 
 
 def test_each_type_has_a_code_of_its_own() -> None:
-    assert len(CODES) == len(FleetError.__subclasses__()) and "" not in CODES
+    assert len(ERRORS_BY_CODE) == len(FleetError.__subclasses__()) and "" not in ERRORS_BY_CODE
 
 
-@pytest.mark.parametrize("kind", CODES.values(), ids=CODES)
+@pytest.mark.parametrize("kind", ERRORS_BY_CODE.values(), ids=ERRORS_BY_CODE)
 def test_an_error_says_what_happened_to_what_and_what_to_do(kind: type[FleetError]) -> None:
     told = figures(kind)
     error = kind("relay-7", **told)
-    text, said = str(error), kind.what.format(**told)
-    assert text == f"relay-7: {said}; {kind.do}"
-    assert all(str(value) in said for value in told.values()) and kind.do and "{" not in kind.do + said
-    assert error.fields() == {"fault": kind.code, "to": "relay-7", "what": said, "do": kind.do}
+    text, said = str(error), kind.problem.format(**told)
+    assert text == f"relay-7: {said}; {kind.remedy}"
+    assert (
+        all(str(value) in said for value in told.values()) and kind.remedy and "{" not in kind.remedy + said
+    )
+    assert error.fields() == {"fault": kind.code, "to": "relay-7", "what": said, "do": kind.remedy}
     # To another process and back.
     message = codec.message_of(refusal(error))
     done = codec.form_of(orders.Answer, wire.Answer.FromString(message.SerializeToString()))
-    back = errors.made(done.code, done.to, dict(done.told))
-    assert type(back) is kind and str(back) == text and back.told == told and back.again == kind.again
+    back = errors.error_from_code(done.code, done.to, dict(done.told))
+    assert (
+        type(back) is kind
+        and str(back) == text
+        and back.figures == told
+        and back.is_temporary == kind.is_temporary
+    )
     # With a figure missing it is unreadable, and never a fault of whoever hears it.
     if told:
-        assert isinstance(errors.made(kind.code, "relay-7", {}), errors.UnreadableError)
+        assert isinstance(errors.error_from_code(kind.code, "relay-7", {}), errors.UnreadableError)
 
 
 def test_a_code_of_another_version_is_told_as_unreadable() -> None:
-    error = errors.made("of_next_year", "relay-7", {"x": 1})
+    error = errors.error_from_code("of_next_year", "relay-7", {"x": 1})
     assert isinstance(error, errors.UnreadableError) and "of_next_year" in str(error)
 
 
--- a/tests/test_fleet_flows.py
+++ b/tests/test_fleet_flows.py
@@ -20,7 +20,7 @@
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.calls import codec
 from laurelcourse.fleet.calls import fleet_pb2 as wire
-from laurelcourse.fleet.flows_client import DONE, ERRORED, UNDONE, FlowsClient, Told
+from laurelcourse.fleet.flows_client import DONE, ERRORED, UNDONE, FlowsClient, WorkflowStatus
 from laurelcourse.fleet.orders import Question
 from laurelcourse.fleet.workflows import definition as d
 from laurelcourse.fleet.workflows import steps, views
@@ -58,12 +58,14 @@
     def client(self, *names: str) -> FlowsClient:
         return FlowsClient([f"{RELAY}:{self.host.flows[one]}" for one in names])
 
-    def start(self, mark: str, *names: str, wait: float = WAIT, **values: str) -> Told:
+    def start(self, mark: str, *names: str, wait: float = WAIT, **values: str) -> WorkflowStatus:
         values = {"room": f"r-{mark}", "device": f"d-{mark}"} | values
         return self.client(*(names or ("m1",))).start("booking", "firm", mark, values, wait)
 
-    def behind(self, mark: str, *names: str, wait: float = WAIT) -> tuple[threading.Thread, list[Told]]:
-        told: list[Told] = []
+    def behind(
+        self, mark: str, *names: str, wait: float = WAIT
+    ) -> tuple[threading.Thread, list[WorkflowStatus]]:
+        told: list[WorkflowStatus] = []
         thread = threading.Thread(target=lambda: told.append(self.start(mark, *names, wait=wait)))
         thread.start()
         return thread, told
@@ -295,8 +297,8 @@
     ],
 )
 def test_how_the_lab_judges(words: str, answer: str, ended: str, took: float, broken: dict[str, int]) -> None:
-    asked = [flows_seen.Asked("m", 0.0, took, 8.0, Told(1, answer, answer, ()), True)]
-    counts = flows_seen.judged(seen(words), asked, {"m": Told(1, ended, ended, ())})
+    asked = [flows_seen.Asked("m", 0.0, took, 8.0, WorkflowStatus(1, answer, answer, ()), True)]
+    counts = flows_seen.judged(seen(words), asked, {"m": WorkflowStatus(1, ended, ended, ())})
     assert {name: count for name, count in counts.items() if count} == broken
 
 
--- a/tests/test_fleet_flows_service.py
+++ b/tests/test_fleet_flows_service.py
@@ -13,7 +13,7 @@
 from laurelcourse.fleet.calls import fleet_pb2 as wire
 from laurelcourse.fleet.calls import fleet_pb2_grpc
 from laurelcourse.fleet.calls.flows_service import FlowsService
-from laurelcourse.fleet.errors import FleetError, made
+from laurelcourse.fleet.errors import FleetError, error_from_code
 from laurelcourse.fleet.workflows.run import Tell
 from laurelcourse.standins.base import RELAY
 from laurelcourse.standins.ports import reserve_port
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize(
     "refuses, wait, code",
     [
-        (made("overloaded", "letters", {"waiting": 1, "at_most": 1}), 20_000_000, "overloaded"),
+        (error_from_code("overloaded", "letters", {"waiting": 1, "at_most": 1}), 20_000_000, "overloaded"),
         (None, 100_000, "unknown_fate"),
     ],
 )
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_moves.py
@@ -20,7 +20,7 @@
 from laurelcourse.fleet.orders import Question, Submit
 from laurelcourse.fleet.transfers import views
 from laurelcourse.fleet.transfers.arrivals import Arrivals
-from laurelcourse.fleet.wiring import clock, shown
+from laurelcourse.fleet.wiring import clock, join_address
 from laurelcourse.lab.host import Host
 from laurelcourse.operator import reading
 from laurelcourse.prng import Prng
@@ -55,7 +55,7 @@
         self.client = Client(
             "lab",
             "test",
-            {one.name: shown(one.address) for one in settings.keepers},
+            {one.name: join_address(one.address) for one in settings.keepers},
             self.limits,
             clock,
             Prng(1),
--- a/tests/test_fleet_workflows.py
+++ b/tests/test_fleet_workflows.py
@@ -9,7 +9,7 @@
 from laurelcourse.fleet.books import forms as f
 from laurelcourse.fleet.books import workflows as w
 from laurelcourse.fleet.books.apply import Books
-from laurelcourse.fleet.errors import CODES
+from laurelcourse.fleet.errors import ERRORS_BY_CODE
 from laurelcourse.fleet.workflows import definition as d
 from laurelcourse.fleet.workflows import run as r
 from laurelcourse.fleet.workflows.takeover import Pace, Takeover, rank
@@ -136,8 +136,8 @@
             continue
         before = it.books.plain()[9]
         told = it.say(order)
-        assert told == wanted if wanted else told not in CODES, step
-        assert told not in CODES or it.books.plain()[9] == before, f"{step}: refused, yet it did"
+        assert told == wanted if wanted else told not in ERRORS_BY_CODE, step
+        assert told not in ERRORS_BY_CODE or it.books.plain()[9] == before, f"{step}: refused, yet it did"
     again = Books()
     for batch in it.batches:
         again = Books.restored(again.snapshot())
@@ -565,7 +565,7 @@
 
 def scripted(kind: str, *orders: str) -> Script:
     it = Script(kind)
-    assert not [one for one in orders if it.say(one) in CODES]
+    assert not [one for one in orders if it.say(one) in ERRORS_BY_CODE]
     return it
 
 
@@ -640,7 +640,7 @@
 def test_what_is_stuck_is_named_and_settled_there(orders: str, place: int, code: str, step: str) -> None:
     it = scripted("short", *orders.split("; "))
     at, error = r.stuck(it.books.workflow(1))
-    assert (at, error.code, error.told) == (place, code, {"step": step, "tries": 3})
+    assert (at, error.code, error.figures) == (place, code, {"step": step, "tries": 3})
     assert "by hand at its unit, then tell the books" in error.fields()["do"]
     # The place that is named is the one that the books take an operator's word for, and no other.
     assert it.say(f"settle b {1 - at} by_hand") == "out_of_order"
