--- a/laurelcourse/fleet/calls/client.py
+++ b/laurelcourse/fleet/calls/client.py
@@ -1,9 +1,9 @@
-"""A member's side: orders to whichever keeper leads, each answered once, by a callback from another thread.
+"""A member's client: sends orders to the leading keeper; a callback from another thread gets each answer.
 
-The leader is found by asking keepers in turn and following their hints; if it is not heard, others are asked
-to hand orders on to it (`fleet/handing.py`). An order is given again, with the marks it bears, until its time
-is over; what then may have been carried out ends as UnknownFateError, what surely was not as NoQuorumError
-(or as the keepers' own last word).
+The leader is found by calling keepers in turn and following their hints; if it can't be reached, others are
+asked to forward orders to it (`fleet/routing.py`). An order is retried, with its marks, until its time is
+over; then it ends as UnknownFateError if it may have been applied, else as NoQuorumError (or as the last
+error that a keeper returned).
 """
 
 import logging
@@ -17,7 +17,7 @@
 from laurelcourse.fleet.books.forms import Done
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
-from laurelcourse.fleet.calls.ways import SECOND, Limits, UnheardError, Way
+from laurelcourse.fleet.calls.channel import SECOND, Limits, NoAnswerError, RpcChannel
 from laurelcourse.fleet.errors import (
     FleetError,
     NoQuorumError,
@@ -34,9 +34,10 @@
 
 log = logging.getLogger(__name__)
 
-Told = Callable[[Answer | FleetError], None]
-# A keeper's words after which another keeper, or the same one later, may do better. All others are final.
-ELSEWHERE = (
+OnAnswer = Callable[[Answer | FleetError], None]
+
+# Errors after which another keeper, or the same one later, may succeed. All others are final.
+RETRIED_CODES = (
     "no_quorum",
     "not_leader",
     "other_fleet",
@@ -53,56 +54,76 @@
 )
 
 
+# Errors after which the order may have been applied.
+MAYBE_APPLIED_CODES = ("unknown_fate", "disk_full", "disk_failed", "books_differ")
+
+# Errors of processes that refuse the order, as this one refuses their answer.
+FOREIGN_CODES = ("other_fleet", "other_version")
+
+# Calls that change the books.
+WRITES = ("Submit", "Change")
+
+HEAD_TEXTS = 4  # texts of the largest size that a request may hold beside its order
+
+
 class Order(NamedTuple):
-    verb: str  # the call's name
-    what: Message
-    told: Told
-    until: int
+    """An order on its way to the keepers."""
+
+    verb: str  # the name of the call
+    payload: Message
+    on_answer: OnAnswer
+    until: int  # microseconds of the client's clock
 
 
 class Lane:
-    """One kind of order, one at a time and in order: a renewal never waits behind what takes long."""
+    """A queue and a thread for one kind of order, so that no renewal waits behind a slow order."""
 
     def __init__(self, client: "Client", name: str) -> None:
-        self.client, self.name = client, name
+        self.client = client
+        self.name = name
         self.queue: deque[Order] = deque()
-        self.news = threading.Condition()
+        self.changed = threading.Condition()
         self.thread = threading.Thread(target=self._run, name=f"fleet-client-{name}", daemon=True)
         self.thread.start()
 
     def put(self, order: Order) -> None:
-        at_most = self.client.limits.queue
-        with self.news:
+        """Queues an order. Raises OverloadedError or StoppingError."""
+        at_most = self.client.limits.queue_length
+        with self.changed:
             if self.client.closed:
                 raise StoppingError(self.client.me)
             if len(self.queue) >= at_most:
                 raise OverloadedError(self.client.me, waiting=len(self.queue), at_most=at_most)
             self.queue.append(order)
-            self.news.notify()
+            self.changed.notify()
 
     def wake(self) -> None:
-        with self.news:
-            self.news.notify()
+        """Has the thread look whether the client is closed."""
+        with self.changed:
+            self.changed.notify()
 
     def pause(self, length: int) -> None:
-        with self.news:
-            self.news.wait_for(lambda: self.client.closed, length / SECOND)
+        """Waits for so many microseconds, or until the client is closed."""
+        with self.changed:
+            self.changed.wait_for(lambda: self.client.closed, length / SECOND)
 
     def _run(self) -> None:
         while True:
-            with self.news:
-                self.news.wait_for(lambda: self.queue or self.client.closed)
+            with self.changed:
+                self.changed.wait_for(lambda: self.queue or self.client.closed)
                 if not self.queue:
                     return
                 order = self.queue.popleft()
             try:
-                order.told(self.client.carried(order, self))
+                order.on_answer(self.client.execute(order, self))
             except Exception:
-                # The lane serves the orders to come, whatever became of this one's asker.
+                # The lane goes on with the next orders, whatever the caller of this one did.
                 log.exception("answer not taken", extra={"order": order.verb})
 
 
 class Client:
+    """Sends the orders of one relay to the keepers."""
+
     def __init__(
         self,
         fleet: str,
@@ -112,114 +133,131 @@
         clock: Callable[[], int],
         rng: Prng,
     ) -> None:
-        """`keepers`: addresses by name. `clock`: monotonic, whole microseconds, any thread."""
-        self.fleet, self.me, self.limits, self.clock = fleet, me, limits, clock
-        self.ways = {name: Way(keepers[name], limits, fleet_pb2_grpc.BooksStub) for name in sorted(keepers)}
-        names = tuple(self.ways)
-        # Relays don't all turn to the same keeper first. A leader that was not heard is tried itself again
-        # once in an order's time, which is no shorter than a lease.
-        self.routes = LeaderRoutes(names, rng.below(len(names)), limits.answer)
-        self.closed, self.said = False, ""  # who hands orders on, as logged: a change is told once
+        """`keepers` are addresses by name. `clock` returns monotonic microseconds, to any thread."""
+        self.fleet = fleet
+        self.me = me
+        self.limits = limits
+        self.clock = clock
+        self.channels = {
+            name: RpcChannel(keepers[name], limits, fleet_pb2_grpc.BooksStub) for name in sorted(keepers)
+        }
+        names = tuple(self.channels)
+        # Relays don't all call the same keeper first. A leader that did not answer is called directly again
+        # once per `order_timeout`, which is no shorter than a lease.
+        self.routes = LeaderRoutes(names, rng.below(len(names)), limits.order_timeout)
+        self.closed = False
+        self.logged_forwarder = ""  # the keeper that forwards orders, as logged last; empty: none
         self.lanes = {name: Lane(self, name) for name in ("submit", "renew", "ask")}
 
-    # Each may raise OverloadedError, TooLargeError, UnreadableError or StoppingError at once and never
-    # blocks; `told` is called once, by a thread of this module.
+    # None of these blocks; each may raise OverloadedError, TooLargeError, UnreadableError or StoppingError.
+    # `on_answer` is called once, by a thread of this module.
 
-    def submit(self, submit: Submit, told: Told) -> None:
-        self._put("submit", "Submit", submit, told)
+    def submit(self, submit: Submit, on_answer: OnAnswer) -> None:
+        """Sends commands for the books."""
+        self._put("submit", "Submit", submit, on_answer)
 
-    def renew(self, beat: Beat, told: Told) -> None:
-        self._put("renew", "Renew", beat, told)
+    def renew(self, beat: Beat, on_answer: OnAnswer) -> None:
+        """Renews the session's lease."""
+        self._put("renew", "Renew", beat, on_answer)
 
-    def ask(self, question: Question, told: Told) -> None:
-        self._put("ask", "Ask", question, told)
+    def ask(self, question: Question, on_answer: OnAnswer) -> None:
+        """Reads from the books."""
+        self._put("ask", "Ask", question, on_answer)
 
-    def change(self, keepers: Keepers, told: Told) -> None:
-        self._put("ask", "Change", keepers, told)
+    def change(self, keepers: Keepers, on_answer: OnAnswer) -> None:
+        """Changes the membership of the keepers."""
+        self._put("ask", "Change", keepers, on_answer)
 
     def close(self, timeout: int) -> None:
-        """Orders that wait or are under way end at once; `timeout` in microseconds for each thread to end."""
+        """Ends all orders at once; waits up to `timeout` microseconds for each thread to end."""
         self.closed = True
-        for way in self.ways.values():
-            way.close()
+        for channel in self.channels.values():
+            channel.close()
         for lane in self.lanes.values():
             lane.wake()
         for lane in self.lanes.values():
             lane.thread.join(timeout / SECOND)
 
-    def _put(self, lane: str, verb: str, form: object, told: Told) -> None:
-        what = codec.fitting(codec.message_of(form), self.limits.message - 4 * codec.TEXT)
-        self.lanes[lane].put(Order(verb, what, told, self.clock() + self.limits.answer))
+    def _put(self, lane: str, verb: str, form: object, on_answer: OnAnswer) -> None:
+        max_bytes = self.limits.message_bytes - HEAD_TEXTS * codec.MAX_TEXT_BYTES
+        payload = codec.check_size(codec.to_message(form), max_bytes)
+        self.lanes[lane].put(Order(verb, payload, on_answer, self.clock() + self.limits.order_timeout))
 
-    def carried(self, order: Order, lane: Lane) -> Answer | FleetError:
-        """Blocks until the order has its answer or its time is over."""
-        last: FleetError | None = None
-        sent, asked, pause, routes = False, 0, self.limits.pause, self.routes
-        then = routes.first(self.clock())
+    def execute(self, order: Order, lane: Lane) -> Answer | FleetError:
+        """Blocks until an order has its answer or its time is over, and returns that."""
+        last_error: FleetError | None = None
+        sent = False  # whether the order may have been applied
+        calls = 0
+        delay = self.limits.retry_delay
+        routes = self.routes
+        next_attempt = routes.first(self.clock())
         while not self.closed and (left := order.until - self.clock()) > 0:
-            tried = then
+            attempt = next_attempt
             try:
-                answer, by = self._asked(order, tried, min(left, self.limits.call))
-            except UnheardError as error:
+                answer, by = self._call(order, attempt, min(left, self.limits.call_timeout))
+            except NoAnswerError as error:
                 if error.too_large:
                     return TooLargeError(
-                        tried.keeper, size=self.limits.message + 1, at_most=self.limits.message
+                        attempt.keeper, size=self.limits.message_bytes + 1, at_most=self.limits.message_bytes
                     )
                 sent |= error.sent
-                then = routes.unheard(self.clock(), tried)
+                next_attempt = routes.unheard(self.clock(), attempt)
             except FleetError as error:
-                last = error
-                # Who is of another fleet or version refused the order, as we refuse its answer.
-                sent |= error.code not in ("other_fleet", "other_version")
-                then = routes.elsewhere(self.clock(), tried, error.code)
+                last_error = error
+                sent |= error.code not in FOREIGN_CODES
+                next_attempt = routes.elsewhere(self.clock(), attempt, error.code)
             else:
-                if not isinstance(answer, Done) or answer.code not in ELSEWHERE:
-                    routes.answered(tried, by)
-                    self._tell(tried.keeper if by else "")
+                if not isinstance(answer, Done) or answer.code not in RETRIED_CODES:
+                    routes.answered(attempt, by)
+                    self._log_forwarder(attempt.keeper if by else "")
                     return answer
-                told = dict(answer.told)
+                figures = dict(answer.told)
                 if answer.code == "not_leader":
-                    then = routes.not_leader(self.clock(), tried, str(told.get("leader", "")), by)
+                    next_attempt = routes.not_leader(
+                        self.clock(), attempt, str(figures.get("leader", "")), by
+                    )
                 else:
-                    last = error_from_code(answer.code, answer.to, told)
-                    sent |= answer.code in ("unknown_fate", "disk_full", "disk_failed", "books_differ")
-                    then = routes.elsewhere(self.clock(), tried, answer.code, by)
-            asked += 1
-            if then == tried or asked % len(self.ways) == 0:
-                lane.pause(min(pause, max(order.until - self.clock(), 0)))
-                pause = min(2 * pause, self.limits.call)
-        return self._ended(order, sent, last)
+                    last_error = error_from_code(answer.code, answer.to, figures)
+                    sent |= answer.code in MAYBE_APPLIED_CODES
+                    next_attempt = routes.elsewhere(self.clock(), attempt, answer.code, by)
+            calls += 1
+            if next_attempt == attempt or calls % len(self.channels) == 0:
+                lane.pause(min(delay, max(order.until - self.clock(), 0)))
+                delay = min(2 * delay, self.limits.call_timeout)
+        return self._final_error(order, sent, last_error)
 
     @property
     def leader(self) -> str:
-        """Who is taken for the leader; empty: nobody."""
+        """The keeper that is assumed to lead; empty if none is."""
         return self.routes.leader
 
-    def _tell(self, via: str) -> None:
-        if via != self.said:
-            self.said = via
+    def _log_forwarder(self, via: str) -> None:
+        if via != self.logged_forwarder:
+            self.logged_forwarder = via
             log.log(
                 logging.WARNING if via else logging.INFO,
                 "orders are handed on" if via else "orders go to the leader itself",
                 extra={"leader": self.leader, "keeper": via or self.leader},
             )
 
-    def _ended(self, order: Order, sent: bool, last: FleetError | None) -> FleetError:
-        if sent and order.verb in ("Submit", "Change"):
+    def _final_error(self, order: Order, sent: bool, last_error: FleetError | None) -> FleetError:
+        if sent and order.verb in WRITES:
             return UnknownFateError(self.fleet)
         if self.closed:
             return StoppingError(self.me)
-        return last if last is not None and last.code != "unknown_fate" else NoQuorumError(self.fleet)
+        if last_error is not None and last_error.code != "unknown_fate":
+            return last_error
+        return NoQuorumError(self.fleet)
 
-    def _asked(self, order: Order, to: Attempt, timeout: int) -> tuple[Answer, str]:
-        """The answer, and who gave it if it was handed on."""
+    def _call(self, order: Order, to: Attempt, timeout: int) -> tuple[Answer, str]:
+        """Returns a keeper's answer, and the leader's name if the order was forwarded to it."""
         # All requests have the same fields; only their types differ.
         request = REQUESTS[order.verb](
-            head=codec.head(self.fleet, self.me, to.keeper), what=order.what, hand_on=to.hand_on
+            head=codec.head(self.fleet, self.me, to.keeper), what=order.payload, hand_on=to.hand_on
         )
-        reply = self.ways[to.keeper].call(order.verb, request, timeout)
+        reply = self.channels[to.keeper].call(order.verb, request, timeout)
         codec.check(reply, self.fleet, self.me)
-        return codec.form_of(Answer, reply.answer), reply.by
+        return codec.from_message(Answer, reply.answer), reply.by
 
 
 REQUESTS = {
--- a/laurelcourse/fleet/calls/mailbox.py
+++ b/laurelcourse/fleet/calls/mailbox.py
@@ -1,4 +1,4 @@
-"""From gRPC's threads to the one thread that greenlets and the poll belong to (`net/scheduler.py`)."""
+"""Passes items from gRPC's threads to the one thread that runs greenlets and polls (`net/scheduler.py`)."""
 
 import socket
 import threading
@@ -8,52 +8,57 @@
 from laurelcourse.net.scheduler import READ, Scheduler
 
 
-class Letters:
-    """A bounded queue, and a socket pair that wakes the poll. `put` from any thread; all else from the
-    scheduler's own. Nothing of the scheduler is touched by `put`: at most one byte lies in the sockets."""
+class Mailbox:
+    """A bounded queue, and a socket pair that wakes the poll.
 
-    def __init__(self, scheduler: Scheduler, at_most: int) -> None:
-        self.scheduler, self.at_most = scheduler, at_most
+    Any thread may call `put`; everything else is for the scheduler's own. `put` touches nothing of the
+    scheduler, and at most one byte lies in the sockets.
+    """
+
+    def __init__(self, scheduler: Scheduler, max_items: int) -> None:
+        self.scheduler = scheduler
+        self.max_items = max_items
         self.items: deque = deque()
         self.lock = threading.Lock()
-        self.rung = self.closed = False
-        self.ear, self.bell = socket.socketpair()
-        self.ear.setblocking(False)
-        self.bell.setblocking(False)
+        self.is_signalled = False
+        self.closed = False
+        self.wake_reader, self.wake_writer = socket.socketpair()
+        self.wake_reader.setblocking(False)
+        self.wake_writer.setblocking(False)
 
     def put(self, item: object) -> None:
-        """Raises OverloadedError when full, StoppingError once closed."""
+        """Adds an item. Raises OverloadedError if the queue is full, StoppingError once it is closed."""
         with self.lock:
             if self.closed:
                 raise StoppingError("letters")
-            if len(self.items) >= self.at_most:
-                raise OverloadedError("letters", waiting=len(self.items), at_most=self.at_most)
+            if len(self.items) >= self.max_items:
+                raise OverloadedError("letters", waiting=len(self.items), at_most=self.max_items)
             self.items.append(item)
-            if not self.rung:
-                self.rung = True
-                self.bell.send(b"!")
+            if not self.is_signalled:
+                self.is_signalled = True
+                self.wake_writer.send(b"!")
 
     def get(self, until: int | None = None) -> object | None:
-        """The next item, for one task at a time; None if none has come by then, or once closed."""
+        """Returns the next item, for one task at a time; None if none comes by then, or once closed."""
         while True:
             with self.lock:
                 if self.items:
                     return self.items.popleft()
                 if self.closed:
                     return None
-                if self.rung:
-                    self.ear.recv(1)
-                    self.rung = False
+                if self.is_signalled:
+                    self.wake_reader.recv(1)
+                    self.is_signalled = False
             if until is not None and self.scheduler.now() >= until:
                 return None
-            self.scheduler.wait(self.ear.fileno(), READ, until=until)
+            self.scheduler.wait(self.wake_reader.fileno(), READ, until=until)
 
     def close(self) -> None:
-        """What still waits can be got; nothing more is taken."""
+        """Refuses further items; those in the queue can still be got."""
         with self.lock:
             if self.closed:
                 return
             self.closed = True
-        self.scheduler.forget(self.ear.fileno())
-        self.ear.close()
-        self.bell.close()
+        self.scheduler.forget(self.wake_reader.fileno())
+        self.wake_reader.close()
+        self.wake_writer.close()
--- a/laurelcourse/fleet/calls/peers.py
+++ b/laurelcourse/fleet/calls/peers.py
@@ -1,7 +1,7 @@
-"""Sends keepers' messages: for each other keeper a bounded queue and a thread that carries it there.
+"""Sends messages between keepers: a bounded queue and a thread for each other keeper.
 
-Nothing here blocks whoever sends. The way may lose messages, as any way may (the log's core sends what
-matters again); a peer that is dead, cut off or half open holds up its own thread alone, a deadline at a time.
+Nothing here blocks the sender. Messages may be lost, as on any network (the core sends again what matters); a
+peer that is dead, cut off or half open holds up its own thread alone, one call's timeout at a time.
 """
 
 import logging
@@ -13,146 +13,162 @@
 from laurelcourse.fleet.books.forms import Done
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
-from laurelcourse.fleet.calls.ways import SECOND, Limits, UnheardError, Way
+from laurelcourse.fleet.calls.channel import SECOND, Limits, NoAnswerError, RpcChannel
 from laurelcourse.fleet.errors import FleetError, error_from_code
 from laurelcourse.fleet.keeper import messages as keeper
 from laurelcourse.prng import Prng
 
 log = logging.getLogger(__name__)
 
+FRAMING_BYTES = 8  # of each message in an envelope, at most
 
-def heartbeat(message: keeper.Message) -> bool:
+
+def is_heartbeat(message: keeper.Message) -> bool:
+    """Returns whether a message carries no entries, so that a later one replaces it."""
     return isinstance(message, keeper.Append) and not message.entries
 
 
 class Peer:
-    """One other keeper. `lost` counts what was never brought there."""
+    """The queue, the thread and the channel for one other keeper."""
 
     def __init__(self, fleet: str, me: str, name: str, address: str, limits: Limits, rng: Prng) -> None:
-        self.fleet, self.me, self.name, self.limits, self.rng = fleet, me, name, limits, rng
+        self.fleet = fleet
+        self.me = me
+        self.name = name
+        self.limits = limits
+        self.rng = rng
         self.address = address
-        self.way = Way(address, limits, fleet_pb2_grpc.KeepersStub)
+        self.channel = RpcChannel(address, limits, fleet_pb2_grpc.KeepersStub)
         self.queue: deque[keeper.Message] = deque()
-        self.news = threading.Condition()
-        self.closed, self.lost, self.pause = False, 0, 0
-        self.said = ""  # how it went last, as logged: a change is told once
+        self.changed = threading.Condition()
+        self.closed = False
+        self.lost = 0  # messages that were never delivered
+        self.retry_delay = 0  # microseconds
+        self.logged_fault = ""  # as logged last; empty: none
         self.thread = threading.Thread(target=self._run, name=f"fleet-peer-{name}", daemon=True)
         self.thread.start()
 
     def put(self, message: keeper.Message) -> None:
-        with self.news:
-            if len(self.queue) >= self.limits.queue:
+        """Queues a message; if the queue is full, its oldest heartbeat, else its oldest message is lost."""
+        with self.changed:
+            if len(self.queue) >= self.limits.queue_length:
                 self.lost += 1
-                oldest = next((n for n, one in enumerate(self.queue) if heartbeat(one)), 0)
+                oldest = next((index for index, queued in enumerate(self.queue) if is_heartbeat(queued)), 0)
                 del self.queue[oldest]
             self.queue.append(message)
-            self.news.notify()
+            self.changed.notify()
 
     def close(self) -> None:
-        with self.news:
+        """Drops what is queued and ends the call in progress."""
+        with self.changed:
             self.closed = True
-            self.news.notify()
-        self.way.close()
+            self.changed.notify()
+        self.channel.close()
 
     def _run(self) -> None:
         while True:
-            with self.news:
-                self.news.wait_for(lambda: self.queue or self.closed)
+            with self.changed:
+                self.changed.wait_for(lambda: self.queue or self.closed)
                 if self.closed:
                     return
-            envelope = self._filled()
+            envelope = self._next_envelope()
             if not envelope.messages:
                 continue
-            how = self._carried(envelope)
-            if how != self.said:
-                self.said = how
+            fault = self._deliver(envelope)
+            if fault != self.logged_fault:
+                self.logged_fault = fault
                 log.log(
-                    logging.WARNING if how else logging.INFO,
-                    "keeper refuses" if how else "keeper hears",
-                    extra={"keeper": self.name, "fault": how or "none"},
+                    logging.WARNING if fault else logging.INFO,
+                    "keeper refuses" if fault else "keeper hears",
+                    extra={"keeper": self.name, "fault": fault or "none"},
                 )
-            if self.pause:
-                with self.news:
-                    self.news.wait_for(lambda: self.closed, self.pause / SECOND)
+            if self.retry_delay:
+                with self.changed:
+                    self.changed.wait_for(lambda: self.closed, self.retry_delay / SECOND)
 
-    def _filled(self) -> Message:
-        """As many messages as one call may hold, in their order."""
+    def _next_envelope(self) -> Message:
+        """Returns as many queued messages as one call may hold, in their order."""
         envelope = wire.Envelope(head=codec.head(self.fleet, self.me, self.name))
-        room = self.limits.message - envelope.ByteSize()
+        room = self.limits.message_bytes - envelope.ByteSize()
         while True:
-            with self.news:
+            with self.changed:
                 if not self.queue:
                     return envelope
                 form = self.queue[0]
-            # Written without the lock: whoever sends does not wait for it. Meanwhile the queue may have
-            # dropped this one; then it is the next one's turn.
+            # Encoded without the lock, so that no sender waits for it. Meanwhile the queue may have dropped
+            # this message; then the next one follows.
             try:
-                message = codec.fitting(codec.message_of(form), self.limits.message // 2)
+                message = codec.check_size(codec.to_message(form), self.limits.message_bytes // 2)
             except FleetError as error:
                 log.error("message not sent", extra={"keeper": self.name, **error.fields()})
                 message = None
-            room -= message.ByteSize() + 8 if message else 0
+            room -= message.ByteSize() + FRAMING_BYTES if message else 0
             if room < 0:
                 return envelope
-            with self.news:
+            with self.changed:
                 if not self.queue or self.queue[0] is not form:
                     continue
                 self.queue.popleft()
             if message:
                 envelope.messages.append(message)
 
-    def _carried(self, envelope: Message) -> str:
-        """Empty, or why it was not heard; sets the pause before the next call."""
+    def _deliver(self, envelope: Message) -> str:
+        """Returns why messages were not delivered, or an empty string; sets the delay of the next call."""
         try:
-            answer = self.way.call("Talk", envelope, self.limits.talk)
+            answer = self.channel.call("Talk", envelope, self.limits.keeper_timeout)
             codec.check(answer, self.fleet, self.me)
             if answer.HasField("refused"):
-                done = codec.form_of(Done, answer.refused)
+                done = codec.from_message(Done, answer.refused)
                 raise error_from_code(done.code, done.to, dict(done.told))
-        except UnheardError as error:
+        except NoAnswerError as error:
             self.lost += len(envelope.messages)
-            # Grows from a beat to a call's time, scattered so that keepers don't knock in step.
-            self.pause = min(max(2 * self.pause, self.limits.pause), self.limits.call)
-            self.pause -= self.rng.below(self.pause // 4 + 1)
+            # Doubles up to a call's timeout, with jitter so that keepers don't retry in step.
+            delay = min(max(2 * self.retry_delay, self.limits.retry_delay), self.limits.call_timeout)
+            self.retry_delay = delay - self.rng.below(delay // 4 + 1)
             return error.status
         except FleetError as error:
-            self.pause = self.limits.pause
+            self.retry_delay = self.limits.retry_delay
             return error.code
-        self.pause = 0
+        self.retry_delay = 0
         return ""
 
 
 class Peers:
+    """All other keepers."""
+
     def __init__(self, fleet: str, me: str, addresses: dict[str, str], limits: Limits, rng: Prng) -> None:
-        """`addresses` by keepers' names; this keeper's own is passed over."""
-        self.fleet, self.me, self.limits, self.rng = fleet, me, limits, rng
+        """`addresses` are by keepers' names; this keeper's own is ignored."""
+        self.fleet = fleet
+        self.me = me
+        self.limits = limits
+        self.rng = rng
         self.lock = threading.Lock()
         self.peers: dict[str, Peer] = {}
-        self.know(addresses)
+        self.set_addresses(addresses)
 
-    def know(self, addresses: dict[str, str]) -> None:
-        """These are the keepers now; those that stay at their address are not disturbed."""
+    def set_addresses(self, addresses: dict[str, str]) -> None:
+        """Replaces the keepers; connections to those that stay at their address are kept."""
         with self.lock:
-            gone = [one for name, one in self.peers.items() if addresses.get(name) != one.address]
-            for one in gone:
-                del self.peers[one.name]
+            removed = [peer for name, peer in self.peers.items() if addresses.get(name) != peer.address]
+            for peer in removed:
+                del self.peers[peer.name]
             for name in sorted(addresses):
                 if name != self.me and name not in self.peers:
                     rng = Prng(self.rng.below(1 << 30))
                     self.peers[name] = Peer(self.fleet, self.me, name, addresses[name], self.limits, rng)
-        for one in gone:
-            one.close()
+        for peer in removed:
+            peer.close()
 
     def send(self, to: str, message: keeper.Message) -> None:
-        """Any thread; never blocks. A keeper without an address is sent nothing."""
+        """Queues a message, from any thread, without blocking; ignored if the keeper has no address."""
         if (peer := self.peers.get(to)) is not None:
             peer.put(message)
 
     def close(self, timeout: int) -> None:
-        """What waits is dropped; `timeout` in microseconds for each thread to end."""
+        """Drops what is queued; waits up to `timeout` microseconds for each thread to end."""
         with self.lock:
             peers, self.peers = list(self.peers.values()), {}
-        for one in peers:
-            one.close()
-        for one in peers:
-            one.thread.join(timeout / SECOND)
+        for peer in peers:
+            peer.close()
+        for peer in peers:
+            peer.thread.join(timeout / SECOND)
--- a/laurelcourse/fleet/member.py
+++ b/laurelcourse/fleet/member.py
@@ -11,7 +11,7 @@
 from laurelcourse.fleet.books.forms import Command, Done, GiveBack
 from laurelcourse.fleet.budgets.holder import Holder
 from laurelcourse.fleet.calls.client import Client
-from laurelcourse.fleet.calls.mailbox import Letters
+from laurelcourse.fleet.calls.mailbox import Mailbox
 from laurelcourse.fleet.errors import FleetError, error_from_code
 from laurelcourse.fleet.orders import Answer, Beat, Submit
 from laurelcourse.fleet.session import CLOSING, Session
@@ -58,7 +58,7 @@
         session: Session,
         holder: Holder,
         client: Client,
-        letters: Letters,
+        mailbox: Mailbox,
         clock: Callable[[], int],
         counters: Counters,
     ) -> None:
@@ -67,7 +67,7 @@
         self.session = session
         self.holder = holder
         self.client = client
-        self.letters = letters
+        self.mailbox = mailbox
         self.clock = clock
         self.counters = counters
         self.logged_state = session.state
@@ -77,8 +77,8 @@
         )  # for commands of workflows, transfers
 
     def work(self) -> None:
-        """Runs until the letters are closed."""
-        while not self.letters.closed:
+        """Runs until the mailbox is closed."""
+        while not self.mailbox.closed:
             now = self.clock()
             if now >= self.session.due():
                 self.holder.update_session(now)
@@ -87,7 +87,7 @@
             self._give_back()
             self._log_state()
             wait = max(self.session.due() - self.clock(), 0)
-            letter = self.letters.get(self.scheduler.now() + wait)
+            letter = self.mailbox.get(self.scheduler.now() + wait)
             if letter is not None:
                 on_answer, order, answer = letter
                 on_answer(order, answer)
@@ -103,7 +103,7 @@
     def _put(self, on_answer: OnAnswer, order: Submit | Beat, answer: Answer | FleetError) -> None:
         """Called by a thread of the client. An answer that finds the queue full counts as lost."""
         try:
-            self.letters.put((on_answer, order, answer))
+            self.mailbox.put((on_answer, order, answer))
         except FleetError:
             self.counters.add("fleet.answers_lost")
 
@@ -183,5 +183,5 @@
                 except FleetError:
                     answered.set()
             answered.wait(timeout / MICROSECONDS_PER_SECOND)
-        self.letters.close()
+        self.mailbox.close()
         self.client.close(timeout)
--- a/laurelcourse/fleet/transfers/stream.py
+++ b/laurelcourse/fleet/transfers/stream.py
@@ -20,9 +20,9 @@
 from laurelcourse.fleet.books.state import SLICE
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
+from laurelcourse.fleet.calls.channel import SECOND, Limits, options
 from laurelcourse.fleet.calls.client import Client
 from laurelcourse.fleet.calls.service import refusal
-from laurelcourse.fleet.calls.ways import SECOND, Limits, options
 from laurelcourse.fleet.errors import (
     FencedOffError,
     FleetError,
@@ -78,7 +78,7 @@
             over.set()
 
         self.client.ask(Question("move", name), told)
-        if not over.wait(2 * self.client.limits.answer / SECOND):
+        if not over.wait(2 * self.client.limits.order_timeout / SECOND):
             raise NoQuorumError(name)
         answer = found[0]
         if isinstance(answer, FleetError):
@@ -133,7 +133,7 @@
         try:
             first = next(chunks)
             sender = codec.check(first, self.fleet, self.me)
-            fence, job = codec.form_of(Fence, first.fence), first.job
+            fence, job = codec.from_message(Fence, first.fence), first.job
             view = self._allowed(job, fence)
             part = self._part(job, view.job.size, context)
             log.info("stream begins", extra={"job": job, "at_byte": self._capped(part), "sender": sender})
@@ -144,7 +144,7 @@
         except FleetError as error:
             log.warning("stream refused", extra=error.fields())
             yield wire.Proof(
-                head=codec.head(self.fleet, self.me, sender), refused=codec.message_of(refusal(error)).done
+                head=codec.head(self.fleet, self.me, sender), refused=codec.to_message(refusal(error)).done
             )
         finally:
             if part is not None:
@@ -289,7 +289,7 @@
             for proof in call:
                 codec.check(proof, self.fleet, self.me)
                 if proof.HasField("refused"):
-                    done = codec.form_of(codec.books.Done, proof.refused)
+                    done = codec.from_message(codec.books.Done, proof.refused)
                     raise error_from_code(done.code, done.to, dict(done.told))
                 if not self.begin.is_set():
                     self.start_at = proof.proven
@@ -318,7 +318,7 @@
         yield wire.Chunk(
             head=codec.head(self.fleet, self.me, self.to[0]),
             job=view.job.name,
-            fence=codec.message_of(view.owner),
+            fence=codec.to_message(view.owner),
         )
         self.begin.wait()
         rate = pace.sender(view.pieces, SLICE, self.books.now(), CHUNK)
--- a/laurelcourse/fleet/transfers/work.py
+++ b/laurelcourse/fleet/transfers/work.py
@@ -28,7 +28,7 @@
 )
 from laurelcourse.fleet.books.reservations import ORPHAN, RECALLED, RESERVED
 from laurelcourse.fleet.books.state import SLICE
-from laurelcourse.fleet.calls.mailbox import Letters
+from laurelcourse.fleet.calls.mailbox import Mailbox
 from laurelcourse.fleet.errors import FleetError, NoDirectLinkError, error_from_code
 from laurelcourse.fleet.orders import Answer, Question, Submit
 from laurelcourse.fleet.transfers import views
@@ -49,7 +49,7 @@
     def __init__(
         self,
         member: "Member",
-        letters: Letters,
+        letters: Mailbox,
         site: str,
         folder: Path,
         doors: dict[str, tuple[tuple[str, str], ...]],
@@ -70,7 +70,7 @@
         self.recalled: set[str] = set()
         self.linkless: set[str] = set()  # told of once: asked for on, in case the link is named
         self.rests: dict[str, int] = {}  # laid down, and in others' hands: asked for later
-        self.next_at, self.patience = 0, 2 * member.client.limits.answer
+        self.next_at, self.patience = 0, 2 * member.client.limits.order_timeout
 
     def work(self) -> None:
         while not self.letters.closed:
--- a/laurelcourse/fleet/wiring.py
+++ b/laurelcourse/fleet/wiring.py
@@ -12,13 +12,13 @@
 from laurelcourse.fleet import terms as settings
 from laurelcourse.fleet.budgets.holder import Holder
 from laurelcourse.fleet.calls import codec
+from laurelcourse.fleet.calls.channel import Limits, limits
 from laurelcourse.fleet.calls.client import Client
 from laurelcourse.fleet.calls.flows_service import FlowsService
-from laurelcourse.fleet.calls.hands import Hands
-from laurelcourse.fleet.calls.mailbox import Letters
+from laurelcourse.fleet.calls.forwarder import Forwarder
+from laurelcourse.fleet.calls.mailbox import Mailbox
 from laurelcourse.fleet.calls.peers import Peers
 from laurelcourse.fleet.calls.service import Service
-from laurelcourse.fleet.calls.ways import Limits, limits
 from laurelcourse.fleet.keeper.coordinator import Coordinator
 from laurelcourse.fleet.keeper.messages import Kept
 from laurelcourse.fleet.keeper.replica import open_replica
@@ -37,7 +37,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LETTERS = 8192  # results that wait for the task of workflows or of transfers
+MAX_MAIL_ITEMS = 8192  # results that wait for the task of workflows or of transfers
 
 
 def clock() -> int:
@@ -66,8 +66,8 @@
                 Prng(seed),
                 kept,
                 clock(),
-                encode=codec.packed,
-                decode=codec.unpacked,
+                encode=codec.encode_batch,
+                decode=codec.decode_batch,
             )
 
         self.bounds = bounds
@@ -83,16 +83,16 @@
             name,
             join_address(listen),
             bounds,
-            Hands(fleet.name, name, addresses, bounds),
+            Forwarder(fleet.name, name, addresses, bounds),
         )
         self.service.start()
 
     def close(self) -> None:
         """Refuses new calls, hands leadership over, then ends."""
         self.service.refuse()
-        self.replica.stop(self.bounds.call)
-        self.service.stop(self.bounds.talk)
-        self.peers.close(self.bounds.talk)
+        self.replica.stop(self.bounds.call_timeout)
+        self.service.stop(self.bounds.keeper_timeout)
+        self.peers.close(self.bounds.keeper_timeout)
 
 
 def join(host: ProcessContext, fleet: Fleet, folder: Path, zone: str) -> None:
@@ -117,17 +117,17 @@
     )
     # Seeded differently at each start: the session must not reuse the mark of the process before it.
     session = Session(name, settings.site_of(fleet, name, zone), terms, Prng(seed ^ clock()), clock())
-    letters = Letters(host.scheduler, bounds.queue)
+    mailbox = Mailbox(host.scheduler, bounds.queue_length)
     waiting = [budget.name for budget in fleet.budgets if budget.when_used_up == "wait"]
     holder = Holder(session, terms.budgets, clock(), waiting)
-    member = Member(host.scheduler, session, holder, client, letters, clock, host.counters)
+    member = Member(host.scheduler, session, holder, client, mailbox, clock, host.counters)
     host.main.heed(Shares(holder, clock))
     host.loops.append(member.work)
     if fleet.workflows:
         host.on_close.extend(workflows(host, fleet, member, bounds))
     if fleet.sites:
         host.on_close.extend(transfers(host, fleet, member, bounds, folder))
-    host.on_close.extend([lambda: member.close(bounds.talk), *on_close])
+    host.on_close.extend([lambda: member.close(bounds.keeper_timeout), *on_close])
 
 
 def transfers(
@@ -155,9 +155,11 @@
         each.name: tuple((other.relay, join_address(other.address)) for other in each.doors)
         for each in fleet.sites
     }
-    moves = Moves(member, Letters(host.scheduler, MAX_LETTERS), site.name, site_folder, doors, books, Sending)
+    moves = Moves(
+        member, Mailbox(host.scheduler, MAX_MAIL_ITEMS), site.name, site_folder, doors, books, Sending
+    )
     host.loops.append(moves.work)
-    return [lambda: moves.close(bounds.talk), lambda: door.stop(bounds.talk)]
+    return [lambda: moves.close(bounds.keeper_timeout), lambda: door.stop(bounds.keeper_timeout)]
 
 
 def workflows(host: ProcessContext, fleet: Fleet, member: Member, bounds: Limits) -> list[Callable[[], None]]:
@@ -173,7 +175,7 @@
     )
     flows = Flows(
         member,
-        Letters(host.scheduler, MAX_LETTERS),
+        Mailbox(host.scheduler, MAX_MAIL_ITEMS),
         steps,
         meaning.definitions(fleet, routes),
         Prng(host.config.seed + 3),
@@ -183,5 +185,5 @@
     if fleet.flows_port:
         service = FlowsService(flows, join_address((host.config.listen[0], fleet.flows_port)), bounds)
         service.start()
-        on_close.insert(0, lambda: service.stop(bounds.talk))
+        on_close.insert(0, lambda: service.stop(bounds.keeper_timeout))
     return on_close
--- a/laurelcourse/fleet/workflows/work.py
+++ b/laurelcourse/fleet/workflows/work.py
@@ -24,7 +24,7 @@
     What,
 )
 from laurelcourse.fleet.books.workflows import View
-from laurelcourse.fleet.calls.mailbox import Letters
+from laurelcourse.fleet.calls.mailbox import Mailbox
 from laurelcourse.fleet.errors import (
     DefinitionRefusedError,
     FleetError,
@@ -66,7 +66,7 @@
     def __init__(
         self,
         member: "Member",
-        letters: Letters,
+        letters: Mailbox,
         sender: steps.Steps,
         definitions: dict[str, Definition],
         rng: Prng,
@@ -76,7 +76,10 @@
         self.definitions, self.rng = definitions, rng
         self.session, self.clock, self.counters = member.session, member.clock, member.counters
         terms = member.session.terms
-        self.beat, self.patience = terms.renew_interval, 2 * terms.lease + 2 * member.client.limits.answer
+        self.beat, self.patience = (
+            terms.renew_interval,
+            2 * terms.lease + 2 * member.client.limits.order_timeout,
+        )
         self.takeover = Takeover(Pace(ORPHANS, terms.renew_interval, HELD, 2 * terms.renew_interval))
         self.me = 0
         self.runs: dict[int, run.Run] = {}
--- a/laurelcourse/lab/keepers.py
+++ b/laurelcourse/lab/keepers.py
@@ -12,7 +12,7 @@
 
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import COUNT, LEVEL, RATE, Batch, Budget
-from laurelcourse.fleet.calls.codec import unpacked
+from laurelcourse.fleet.calls.codec import decode_batch
 from laurelcourse.fleet.keeper.messages import BOOKS, Bounds, Entry, Keepers
 from laurelcourse.fleet.orders import Terms
 from laurelcourse.lab import keepers_guards, keepers_scale
@@ -95,7 +95,7 @@
     names = tuple(f"k{place}" for place in range(1, many + spare + 1))
     sites = 1 + rng.below(3)
     world = World(seed, terms(Keepers(names[:many])), names, sites)
-    seen = Seen(world.terms, unpacked)
+    seen = Seen(world.terms, decode_batch)
     relays = Relays(world, seen, tuple(f"r{place}" for place in range(1, 4 + rng.below(4))), sites)
     faults = Faults(world, relays)
 
@@ -155,7 +155,7 @@
     books, found = Books(), []
     for entry in left:
         if entry.kind == BOOKS:
-            batch: Batch = unpacked(entry.data)
+            batch: Batch = decode_batch(entry.data)
             books.apply(entry.index, batch)
         told = world.ledger.states.get(entry.index)
         if told is not None and told[0] != (ours := books.hash()):
--- a/laurelcourse/lab/keepers_scale.py
+++ b/laurelcourse/lab/keepers_scale.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from laurelcourse.fleet.books.forms import LEVEL, RATE, Budget, GiveBack
-from laurelcourse.fleet.calls.codec import message_of, unpacked
+from laurelcourse.fleet.calls.codec import decode_batch, to_message
 from laurelcourse.fleet.keeper.messages import Bounds, Keepers
 from laurelcourse.fleet.orders import Submit, Terms
 from laurelcourse.lab.keepers_relays import OWN, Call, RelayNode, Relays
@@ -52,7 +52,7 @@
 
 
 def size(form: Any) -> int:  # noqa: ANN401
-    return message_of(form).ByteSize()
+    return to_message(form).ByteSize()
 
 
 def figures(seed: int, many: int) -> dict[str, float]:
@@ -66,7 +66,7 @@
     bounds = Bounds(100_000, 1_000_000, 1 << 20, 8, 1 << 16, 4 * many)
     terms = Terms("fleet", LEASE, 1_000, BEAT, many, bounds, Keepers(names), budgets, 10_000)
     world = Metered(seed, terms, names, 3)
-    seen = Seen(terms, unpacked)
+    seen = Seen(terms, decode_batch)
     seen.shares = lambda now: None  # looked at by the other runs; here it would cost what is measured
     relays = Loaded(world, seen, tuple(f"r{place:04}" for place in range(many)), 3, busy=False)
     world.entry = lambda now, entry: None
--- a/laurelcourse/lab/keepers_world.py
+++ b/laurelcourse/lab/keepers_world.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from laurelcourse.fleet.books.forms import Done
-from laurelcourse.fleet.calls.codec import packed, unpacked
+from laurelcourse.fleet.calls.codec import decode_batch, encode_batch
 from laurelcourse.fleet.keeper.coordinator import Coordinator
 from laurelcourse.fleet.keeper.messages import LEADER, Entry, Kept, Mark, Snapshot, Write
 from laurelcourse.fleet.orders import Acts, Answer, Terms
@@ -227,8 +227,8 @@
             Prng(self.rng.below(1 << 31)),
             keeper.disk.kept(),
             keeper.clock.local(self.now),
-            encode=packed,
-            decode=unpacked,
+            encode=encode_batch,
+            decode=decode_batch,
         )
         # What its snapshot stands for it may have applied and died before anybody saw it.
         for index in range(1, keeper.applied + 1):
--- a/laurelcourse/lab/transfers.py
+++ b/laurelcourse/lab/transfers.py
@@ -11,8 +11,8 @@
 from laurelcourse.fleet import terms
 from laurelcourse.fleet.books.forms import Command, Fence, Free, Job, Open, Reserve, Stretch
 from laurelcourse.fleet.books.state import SLICE
+from laurelcourse.fleet.calls.channel import limits
 from laurelcourse.fleet.calls.client import Client
-from laurelcourse.fleet.calls.ways import limits
 from laurelcourse.fleet.errors import LapsedLeaseError
 from laurelcourse.fleet.orders import Question, Submit
 from laurelcourse.fleet.transfers import best, plan, views
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -19,12 +19,12 @@
 from laurelcourse.fleet.books import forms as books
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
+from laurelcourse.fleet.calls.channel import Limits, NoAnswerError, limits, options
 from laurelcourse.fleet.calls.client import Client
-from laurelcourse.fleet.calls.hands import Hands
-from laurelcourse.fleet.calls.mailbox import Letters
-from laurelcourse.fleet.calls.peers import Peers, heartbeat
+from laurelcourse.fleet.calls.forwarder import Forwarder
+from laurelcourse.fleet.calls.mailbox import Mailbox
+from laurelcourse.fleet.calls.peers import Peers, is_heartbeat
 from laurelcourse.fleet.calls.service import Service
-from laurelcourse.fleet.calls.ways import Limits, UnheardError, limits, options
 from laurelcourse.fleet.keeper import messages as keeper
 from laurelcourse.net.scheduler import Clock, Scheduler
 from laurelcourse.prng import Prng
@@ -32,19 +32,21 @@
 ROOT = Path(__file__).parent.parent
 SECOND = 1_000_000
 LIMITS = Limits(
-    message=1 << 16,
-    talks=3,
-    asks=2,
-    hands=1,
-    queue=4,
-    talk=SECOND // 4,
-    call=SECOND // 4,
-    answer=2 * SECOND,
-    pause=SECOND // 100,
-    idle=10 * SECOND,
+    message_bytes=1 << 16,
+    keeper_threads=3,
+    max_calls=2,
+    max_forwards=1,
+    queue_length=4,
+    keeper_timeout=SECOND // 4,
+    call_timeout=SECOND // 4,
+    order_timeout=2 * SECOND,
+    retry_delay=SECOND // 100,
+    keepalive_time=10 * SECOND,
 )
-ONE_ATTEMPT = LIMITS._replace(call=2 * SECOND, answer=2 * SECOND, pause=10 * SECOND)
-SLOW = LIMITS._replace(talk=60 * SECOND, call=60 * SECOND, answer=60 * SECOND)  # what waits goes on
+ONE_ATTEMPT = LIMITS._replace(call_timeout=2 * SECOND, order_timeout=2 * SECOND, retry_delay=10 * SECOND)
+SLOW = LIMITS._replace(
+    keeper_timeout=60 * SECOND, call_timeout=60 * SECOND, order_timeout=60 * SECOND
+)  # what waits goes on
 FENCE = books.Fence("relay-1", 7, 3, 2)
 MARK = keeper.Mark("d1", 2, 9)
 VOTERS = keeper.Keepers(("a", "b"), ("c",))
@@ -124,19 +126,19 @@
 
 @pytest.mark.parametrize("kind, form", FORMS)
 def test_a_form_comes_out_as_it_went_in(kind: type, form: object) -> None:
-    message = codec.message_of(form)
-    there = codec.parsed(type(message), message.SerializeToString(), 1 << 20)
-    back = codec.form_of(kind, there)
+    message = codec.to_message(form)
+    there = codec.parse(type(message), message.SerializeToString(), 1 << 20)
+    back = codec.from_message(kind, there)
     assert back == form and type(back) is type(form)
     if isinstance(form, tuple) and form and isinstance(form[0], books.Done):
         assert type(back[1].value) is books.Fence and type(back[0].value) is tuple
 
 
 def test_a_batch_is_the_same_bytes_each_time() -> None:
-    data = codec.packed(BATCH)
-    assert codec.packed(codec.unpacked(data)) == data
+    data = codec.encode_batch(BATCH)
+    assert codec.encode_batch(codec.decode_batch(data)) == data
     with pytest.raises(errors.TooLargeError):
-        codec.unpacked(data, at_most=len(data) - 1)
+        codec.decode_batch(data, at_most=len(data) - 1)
 
 
 def _deep(levels: int) -> tuple:
@@ -172,7 +174,7 @@
 def test_what_does_not_fit_is_not_written(form: object) -> None:
     error = errors.TooLargeError if "xxxx" in repr(form) else errors.UnreadableError
     with pytest.raises(error):
-        codec.message_of(form)
+        codec.to_message(form)
 
 
 def _nested(levels: int) -> wire.Value:
@@ -196,17 +198,17 @@
 )
 def test_what_is_not_whole_is_not_read(kind: type, message: object) -> None:
     with pytest.raises(errors.UnreadableError):
-        codec.form_of(kind, message)
+        codec.from_message(kind, message)
 
 
 def test_bytes_of_any_kind_are_read_or_refused() -> None:
-    rng, sound, read = Prng(5), codec.packed(BATCH), 0
+    rng, sound, read = Prng(5), codec.encode_batch(BATCH), 0
     for _ in range(6000):
         data = bytearray(sound[: 1 + rng.below(len(sound))])
         for _ in range(rng.below(4)):
             data[rng.below(len(data))] = rng.below(256)
         try:
-            codec.message_of(codec.unpacked(bytes(data), at_most=len(sound) - 1))
+            codec.to_message(codec.decode_batch(bytes(data), at_most=len(sound) - 1))
             read += 1
         except (errors.UnreadableError, errors.TooLargeError):
             pass
@@ -222,8 +224,8 @@
 
 
 def test_fields_of_a_newer_version_are_passed_over() -> None:
-    assert codec.form_of(orders.Beat, _with_more(codec.message_of(BEAT))) == BEAT
-    assert codec.unpacked(codec.packed(BATCH) + b"\xa2\x38\x03new") == BATCH
+    assert codec.from_message(orders.Beat, _with_more(codec.to_message(BEAT))) == BEAT
+    assert codec.decode_batch(codec.encode_batch(BATCH) + b"\xa2\x38\x03new") == BATCH
 
 
 def _parts(message: object) -> Iterator[object]:
@@ -246,13 +248,13 @@
     kind: type, form: object
 ) -> None:
     """At any depth, one field at a time; all else is as it was sent."""
-    whole, read = codec.message_of(form), 0
+    whole, read = codec.to_message(form), 0
     for place, part in enumerate(_parts(whole)):
         for field in part.DESCRIPTOR.fields:
             less = type(whole).FromString(whole.SerializeToString())
             list(_parts(less))[place].ClearField(field.name)
             try:
-                found = codec.form_of(kind, less)
+                found = codec.from_message(kind, less)
             except errors.UnreadableError:
                 continue
             read += 1
@@ -357,8 +359,8 @@
         limits: Limits = LIMITS,
         others: dict[str, str] | None = None,
     ) -> Service:
-        hands = Hands("fleet", name, others or {}, limits)
-        service = Service(keeping, "fleet", name, f"127.0.0.2:{port}", limits, hands)
+        forwarder = Forwarder("fleet", name, others or {}, limits)
+        service = Service(keeping, "fleet", name, f"127.0.0.2:{port}", limits, forwarder)
         service.start()
         self.ends.callback(service.stop, 0)
         return service
@@ -451,7 +453,7 @@
 )
 def test_what_a_keeper_refuses_comes_out_by_type(ground: Ground, answer: object, heard: type) -> None:
     keeping = Scripted(lambda _: answer)
-    client = ground.client({"a": at(ground.keeper("a", keeping))}, LIMITS._replace(answer=SECOND // 2))
+    client = ground.client({"a": at(ground.keeper("a", keeping))}, LIMITS._replace(order_timeout=SECOND // 2))
     found = told(client.submit, SUBMIT)
     assert type(found) is heard and len(keeping.orders) < 12  # with pauses in between
     if heard is books.Done:
@@ -464,14 +466,14 @@
     [
         ({"version": 2}, ONE_ATTEMPT, errors.OtherVersionError),
         ({"fleet": "other"}, ONE_ATTEMPT, errors.OtherFleetError),
-        ({"to": "relay-2"}, LIMITS._replace(answer=SECOND // 4), errors.UnknownFateError),
+        ({"to": "relay-2"}, LIMITS._replace(order_timeout=SECOND // 4), errors.UnknownFateError),
     ],
 )
 def test_an_answer_of_another_fleet_version_or_asker_is_not_taken(
     ground: Ground, head: dict, limits: Limits, error: type
 ) -> None:
     service = ground.keeper("a", Scripted())
-    answer = codec.message_of(RENEWED)
+    answer = codec.to_message(RENEWED)
     service._reply = lambda to, _: wire.Reply(head=_head(**{"sender": "a", "to": to, **head}), answer=answer)
     client = ground.client({"a": at(service)}, limits)
     assert type(told(client.submit, SUBMIT)) is error
@@ -479,7 +481,7 @@
 
 def test_an_answer_over_the_askers_bound_is_refused(ground: Ground) -> None:
     service = ground.keeper("a", Scripted(lambda _: books.Done(("x" * 2000,) * 20)))
-    client = ground.client({"a": at(service)}, LIMITS._replace(message=1 << 15))
+    client = ground.client({"a": at(service)}, LIMITS._replace(message_bytes=1 << 15))
     assert type(told(client.submit, SUBMIT)) is errors.TooLargeError
 
 
@@ -490,7 +492,7 @@
             {"a": ground.half_open(), "b": ground.dead(), "c": at(ground.keeper("c", keeping))}
         )
         client.routes.last_index, began = turn, now()
-        assert told(client.renew, BEAT) == RENEWED and now() - began < 2 * LIMITS.call + SECOND // 2
+        assert told(client.renew, BEAT) == RENEWED and now() - began < 2 * LIMITS.call_timeout + SECOND // 2
         assert client.leader == "c"
 
 
@@ -508,7 +510,7 @@
     ground: Ground, verb: str, form: object, keepers: list[str], error: type
 ) -> None:
     addresses = {one: getattr(ground, one)() for one in keepers}
-    client, began = ground.client(addresses, LIMITS._replace(answer=SECOND // 2)), now()
+    client, began = ground.client(addresses, LIMITS._replace(order_timeout=SECOND // 2)), now()
     assert type(told(getattr(client, verb), form)) is error
     assert SECOND // 2 <= now() - began < 2 * SECOND
     assert keepers != ["mute"] or len(ground.held) > 1  # what did not answer is connected to anew
@@ -518,7 +520,7 @@
     client, found = ground.client({"a": ground.mute()}, SLOW), []
     client.submit(SUBMIT, found.append)
     until(lambda: not client.lanes["submit"].queue)
-    for _ in range(LIMITS.queue):
+    for _ in range(LIMITS.queue_length):
         client.submit(SUBMIT, found.append)
     with pytest.raises(errors.OverloadedError):
         client.submit(SUBMIT, found.append)
@@ -527,7 +529,9 @@
     began = now()
     client.close(SECOND)
     assert now() - began < SECOND
-    assert [type(one) for one in found] == [errors.UnknownFateError] + [errors.StoppingError] * LIMITS.queue
+    assert [type(one) for one in found] == [errors.UnknownFateError] + [
+        errors.StoppingError
+    ] * LIMITS.queue_length
     with pytest.raises(errors.StoppingError):
         client.renew(BEAT, found.append)
 
@@ -555,9 +559,9 @@
 ) -> None:
     keeping = Scripted()
     channel = ground.raw(ground.keeper("a", keeping))
-    order = _with_more(wire.RenewOrder(head=head, what=codec.message_of(BEAT)))
+    order = _with_more(wire.RenewOrder(head=head, what=codec.to_message(BEAT)))
     assert fleet_pb2_grpc.BooksStub(channel).Renew(order, timeout=5).answer.done.code == code
-    talk = _with_more(wire.Envelope(head=head, messages=[codec.message_of(BEATING), wire.Message()]))
+    talk = _with_more(wire.Envelope(head=head, messages=[codec.to_message(BEATING), wire.Message()]))
     heard = fleet_pb2_grpc.KeepersStub(channel).Talk(talk, timeout=5)
     assert heard.refused.code == (code or "unreadable")  # the second message is of no kind known here
     assert keeping.talk == ([] if code else [("relay-1", BEATING)]) and len(keeping.orders) == (not code)
@@ -575,7 +579,7 @@
     renew = "/laurelcourse.fleet.v1.Books/Renew"
     for data, status in (
         (b"\xff" * 50, grpc.StatusCode.INTERNAL),
-        (b"\0" * (LIMITS.message + 1), grpc.StatusCode.RESOURCE_EXHAUSTED),
+        (b"\0" * (LIMITS.message_bytes + 1), grpc.StatusCode.RESOURCE_EXHAUSTED),
     ):
         with pytest.raises(grpc.RpcError) as caught:
             grpc.insecure_channel(at(service)).unary_unary(renew)(data, timeout=5)
@@ -584,22 +588,22 @@
     assert empty.answer.done.code == "unreadable" and not keeping.orders
     assert told(ground.client({"a": at(service)}).renew, BEAT) == RENEWED
     with pytest.raises(OSError):
-        Service(keeping, "fleet", "b", at(service), LIMITS, Hands("fleet", "b", {}, LIMITS))
+        Service(keeping, "fleet", "b", at(service), LIMITS, Forwarder("fleet", "b", {}, LIMITS))
 
 
 def test_orders_that_wait_keep_no_keeper_from_talking_and_end_when_it_stops(ground: Ground) -> None:
     keeping = Scripted(lambda _: Future())
     service = ground.keeper("a", keeping, limits=SLOW)
     stub = fleet_pb2_grpc.BooksStub(ground.raw(service))
-    renewal = wire.RenewOrder(head=_head(), what=codec.message_of(BEAT))
-    order = wire.SubmitOrder(head=_head(), what=codec.message_of(SUBMIT))
+    renewal = wire.RenewOrder(head=_head(), what=codec.to_message(BEAT))
+    order = wire.SubmitOrder(head=_head(), what=codec.to_message(SUBMIT))
     # An answer by type, before the asker's own time is over.
     assert stub.Renew(renewal, timeout=0.3).answer.done.code == "unknown_fate"
     slow = [stub.Renew.future(renewal, timeout=30), stub.Submit.future(order, timeout=30)]
-    until(lambda: len(service.waits) == LIMITS.asks)
+    until(lambda: len(service.waiting) == LIMITS.max_calls)
     assert stub.Renew(renewal, timeout=5).answer.done.code == "overloaded"
     talk = fleet_pb2_grpc.KeepersStub(ground.raw(service)).Talk
-    assert not talk(wire.Envelope(head=_head(), messages=[codec.message_of(BEATING)]), timeout=5).refused.code
+    assert not talk(wire.Envelope(head=_head(), messages=[codec.to_message(BEATING)]), timeout=5).refused.code
     assert keeping.talk == [("relay-1", BEATING)]
     service.refuse()
     assert [one.result(5).answer.done.code for one in slow] == ["stopping", "unknown_fate"]
@@ -611,10 +615,10 @@
 def test_an_asker_that_left_holds_no_place(ground: Ground) -> None:
     service = ground.keeper("a", Scripted(lambda _: Future()), limits=SLOW)
     stub = fleet_pb2_grpc.BooksStub(ground.raw(service))
-    call = stub.Renew.future(wire.RenewOrder(head=_head(), what=codec.message_of(BEAT)), timeout=60)
-    until(lambda: service.waits)
+    call = stub.Renew.future(wire.RenewOrder(head=_head(), what=codec.to_message(BEAT)), timeout=60)
+    until(lambda: service.waiting)
     call.cancel()
-    until(lambda: not service.waits)
+    until(lambda: not service.waiting)
 
 
 # Orders handed on: a keeper that does not lead, `b`, reaches the leader `a`; the relay does not
@@ -643,12 +647,14 @@
         assert leading.orders == [BEAT, SUBMIT, ASKED, VOTERS] and client.leader == "a"
         # Found out once: a renewal has no time to wait for whom it can't reach each time.
         began = now()
-        assert told(client.renew, BEAT) == RENEWED and now() - began < LIMITS.call // 2
+        assert told(client.renew, BEAT) == RENEWED and now() - began < LIMITS.call_timeout // 2
     straight = ground.client({"a": at(a), "b": at(b)})
     others.orders.clear()
     straight.routes.last_index = 0
     assert told(straight.renew, BEAT) == RENEWED and len(others.orders) == 1 and straight.routes.via == "b"
-    assert told(straight.renew, BEAT) == RENEWED and len(others.orders) == 1 and straight.said == ""
+    assert (
+        told(straight.renew, BEAT) == RENEWED and len(others.orders) == 1 and straight.logged_forwarder == ""
+    )
 
 
 @pytest.mark.parametrize(
@@ -665,14 +671,14 @@
 def test_no_order_is_handed_on_after_its_time_and_an_answer_of_another_leaves_its_fate_unknown(
     ground: Ground, timeout: int, head: dict, error: type | None, asked: int
 ) -> None:
-    hands, calls = Hands("fleet", "b", {"a": "127.0.0.1:1"}, LIMITS), []
-    ground.ends.callback(hands.close)
-    reply = wire.Reply(head=_head(**{"to": "b", **head}), answer=codec.message_of(RENEWED))
-    hands.ways["a"] = SimpleNamespace(call=lambda *of: calls.append(of) or reply, close=lambda: None)
-    order = wire.ChangeOrder(head=_head(to="b"), what=codec.message_of(VOTERS), hand_on=True)
+    forwarder, calls = Forwarder("fleet", "b", {"a": "127.0.0.1:1"}, LIMITS), []
+    ground.ends.callback(forwarder.close)
+    reply = wire.Reply(head=_head(**{"to": "b", **head}), answer=codec.to_message(RENEWED))
+    forwarder.channels["a"] = SimpleNamespace(call=lambda *of: calls.append(of) or reply, close=lambda: None)
+    order = wire.ChangeOrder(head=_head(to="b"), what=codec.to_message(VOTERS), hand_on=True)
     with pytest.raises(error) if error else contextlib.nullcontext():
-        assert hands.on("Change", order, "a", timeout) == reply
-    assert len(calls) == asked and hands.busy == 0
+        assert forwarder.forward("Change", order, "a", timeout) == reply
+    assert len(calls) == asked and forwarder.busy == 0
     assert not asked or (calls[0][1].what == order.what and not calls[0][1].hand_on)
 
 
@@ -696,11 +702,11 @@
 
     def on(verb: str, request: object, leader: str, timeout: int) -> object:
         handed.append(timeout)
-        return wire.Reply(answer=codec.message_of(RENEWED))
+        return wire.Reply(answer=codec.to_message(RENEWED))
 
-    monkeypatch.setattr(service.hands, "on", on)
+    monkeypatch.setattr(service.forwarder, "forward", on)
     context = SimpleNamespace(time_remaining=remaining, add_callback=lambda _: True)
-    order = wire.RenewOrder(head=_head(to="b"), what=codec.message_of(BEAT), hand_on=True)
+    order = wire.RenewOrder(head=_head(to="b"), what=codec.to_message(BEAT), hand_on=True)
     reply = service.Renew(order, context)
     assert reply.by == "a" and 0 < handed[0] < 20 * SECOND * 7 // 8
 
@@ -710,9 +716,11 @@
     doors = {name: ground.keeper(name, keeping) for name, keeping in asked.items()}
     for name, following in (("a", "b"), ("b", "c"), ("c", "a")):  # each takes another for the leader
         asked[name].script = lambda _, leader=following: refused("not_leader", leader=leader)
-        doors[name].hands = Hands("fleet", name, {one: at(door) for one, door in doors.items()}, LIMITS)
+        doors[name].forwarder = Forwarder(
+            "fleet", name, {one: at(door) for one, door in doors.items()}, LIMITS
+        )
     stub = fleet_pb2_grpc.BooksStub(ground.raw(doors["a"]))
-    order = {"head": _head(), "what": codec.message_of(BEAT)}
+    order = {"head": _head(), "what": codec.to_message(BEAT)}
     found = stub.Renew(wire.RenewOrder(**order, hand_on=True), timeout=5)
     done = found.answer.done
     assert (found.by, done.code, done.told[0].value.text) == ("b", "not_leader", "c")
@@ -731,7 +739,7 @@
 ) -> None:
     """Of an order that went no way but by hand: the relay's own way to the leader brings nothing there."""
     b = ground.keeper("b", Scripted(hinting), others={"a": getattr(ground, lost)()})
-    client = ground.client({"a": ground.dead(), "b": at(b)}, LIMITS._replace(answer=SECOND))
+    client = ground.client({"a": ground.dead(), "b": at(b)}, LIMITS._replace(order_timeout=SECOND))
     began = now()
     assert type(told(client.submit, SUBMIT)) is error and now() - began < 2 * SECOND
     assert type(told(client.renew, BEAT)) is errors.NoQuorumError
@@ -741,7 +749,10 @@
     leading = Scripted(lambda _: Future())
     a = ground.keeper("a", leading, limits=SLOW)
     b = ground.keeper("b", Scripted(hinting), limits=SLOW, others={"a": at(a)})
-    client, found = ground.client({"a": ground.dead(), "b": at(b)}, SLOW._replace(answer=SECOND)), Future()
+    client, found = (
+        ground.client({"a": ground.dead(), "b": at(b)}, SLOW._replace(order_timeout=SECOND)),
+        Future(),
+    )
     client.submit(SUBMIT, found.set_result)
     until(lambda: leading.orders)
     began = now()
@@ -754,7 +765,7 @@
     leading, former = Scripted(), Scripted(hinting)
     a, b = ground.keeper("a", leading), ground.keeper("b", former)
     c = ground.keeper("c", Scripted(hinting), others={"a": at(a)})
-    b.hands = Hands("fleet", "b", {}, LIMITS)  # as if the wish were not there
+    b.forwarder = Forwarder("fleet", "b", {}, LIMITS)  # as if the wish were not there
     client = ground.client({"a": ground.dead(), "b": at(b), "c": at(c)})
     client.routes.last_index = 0
     assert told(client.renew, BEAT) == RENEWED and client.routes.via == "c" and len(former.orders) > 0
@@ -763,14 +774,14 @@
 
 def test_what_is_handed_on_is_bounded_and_starves_nobody(ground: Ground) -> None:
     leading, others = Scripted(lambda _: Future()), Scripted(hinting)
-    limits = SLOW._replace(asks=4, hands=2)
+    limits = SLOW._replace(max_calls=4, max_forwards=2)
     a = ground.keeper("a", leading, limits=limits)
     b = ground.keeper("b", others, limits=limits, others={"a": at(a)})
     stub = fleet_pb2_grpc.BooksStub(ground.raw(b))
     head = _head(to="b")
-    order = wire.RenewOrder(head=head, what=codec.message_of(BEAT), hand_on=True)
-    slow = [stub.Renew.future(order, timeout=30) for _ in range(limits.hands)]
-    until(lambda: len(leading.orders) == limits.hands)
+    order = wire.RenewOrder(head=head, what=codec.to_message(BEAT), hand_on=True)
+    slow = [stub.Renew.future(order, timeout=30) for _ in range(limits.max_forwards)]
+    until(lambda: len(leading.orders) == limits.max_forwards)
     refusal = stub.Renew(order, timeout=5).answer.done
     assert (refusal.code, refusal.to) == ("overloaded", "b")
     # What is this keeper's own to answer has its threads as before.
@@ -781,7 +792,7 @@
     others.script = hinting
     # The asker's time bounds it, less what the way back wants.
     a.refuse()
-    until(lambda: not b.waits)
+    until(lambda: not b.waiting)
     for one in slow:
         assert one.result(5).answer.done.code == "stopping"
     a.stopping, began = False, now()
@@ -795,7 +806,7 @@
     keeping = Scripted()
     first = ground.keeper("b", keeping)
     addresses = {"a": "127.0.0.2:1", "b": at(first), "c": ground.mute()}
-    peers = Peers("fleet", "a", addresses, LIMITS._replace(talk=60 * SECOND), Prng(1))
+    peers = Peers("fleet", "a", addresses, LIMITS._replace(keeper_timeout=60 * SECOND), Prng(1))
     ground.ends.callback(peers.close, SECOND)
     for one in TALK:
         began = now()
@@ -805,10 +816,10 @@
         assert now() - began < SECOND
         until(lambda one=one: keeping.talk and keeping.talk[-1] == ("a", one))
     assert [one for _, one in keeping.talk] == list(TALK)
-    assert len(peers.peers["c"].queue) <= LIMITS.queue
+    assert len(peers.peers["c"].queue) <= LIMITS.queue_length
     first.stop(0)
     peers.send("b", TALK[0])
-    until(lambda: peers.peers["b"].pause)
+    until(lambda: peers.peers["b"].retry_delay)
     later = Scripted()
     ground.keeper("b", later, port=first.port)
 
@@ -818,7 +829,7 @@
 
     until(again)
     assert {sender for sender, _ in later.talk} == {"a"}
-    peers.know({"b": at(first)})
+    peers.set_addresses({"b": at(first)})
     assert sorted(peers.peers) == ["b"]
 
 
@@ -831,13 +842,15 @@
     sent = [BEATING._replace(round=n) if n % 2 else keeper.TakeOver(n) for n in range(7)]
     for one in sent:
         peer.put(one)
-    assert list(peer.queue) == [one for one in sent if not heartbeat(one)] and peer.lost == 3
+    assert list(peer.queue) == [one for one in sent if not is_heartbeat(one)] and peer.lost == 3
     peer.put(BEATING)
     assert list(peer.queue) == [*sent[2::2], BEATING]
     for _ in range(4):
         peer.put(TALK[5]._replace(data=bytes(20_000)))
-    envelope = peer._filled()
-    assert len(envelope.messages) == 3 and envelope.ByteSize() <= LIMITS.message and len(peer.queue) == 1
+    envelope = peer._next_envelope()
+    assert (
+        len(envelope.messages) == 3 and envelope.ByteSize() <= LIMITS.message_bytes and len(peer.queue) == 1
+    )
 
 
 def test_pauses_before_a_peer_that_is_not_there_grow(ground: Ground) -> None:
@@ -846,16 +859,18 @@
 
     def call(*_: object) -> None:
         calls.append(now())
-        raise UnheardError("unavailable", False, False)
+        raise NoAnswerError("unavailable", False, False)
 
-    peers.peers["b"].way.call = call
+    peers.peers["b"].channel.call = call
 
     def enough() -> bool:
         peers.send("b", BEATING)
         return len(calls) >= 6
 
     until(enough)
-    assert calls[1] - calls[0] >= LIMITS.pause * 3 // 4 and calls[5] - calls[4] >= 4 * LIMITS.pause
+    assert (
+        calls[1] - calls[0] >= LIMITS.retry_delay * 3 // 4 and calls[5] - calls[4] >= 4 * LIMITS.retry_delay
+    )
 
 
 def test_limits_follow_the_settings() -> None:
@@ -863,8 +878,10 @@
         SECOND // 4, SECOND, max_batch_bytes=1 << 18, max_in_flight=4, chunk_bytes=1 << 18, max_waiting=100
     )
     found = limits(orders.Terms("fleet", 10 * SECOND, 1000, SECOND, 200, bounds, VOTERS, (), 1000))
-    assert found.message > 4 * (1 << 18) and found.asks >= 200 // 4 and found.talks >= 2 * 3
-    assert found.talk < found.call < found.answer
+    assert (
+        found.message_bytes > 4 * (1 << 18) and found.max_calls >= 200 // 4 and found.keeper_threads >= 2 * 3
+    )
+    assert found.keeper_timeout < found.call_timeout < found.order_timeout
 
 
 # The mailbox
@@ -872,7 +889,7 @@
 
 def test_letters_wake_the_scheduler_from_another_thread_and_are_bounded() -> None:
     scheduler = Scheduler(Clock(), lambda: None)
-    letters, got = Letters(scheduler, 3), []
+    letters, got = Mailbox(scheduler, 3), []
 
     def read() -> None:
         got.append(letters.get(until=scheduler.now() + 10_000))  # nothing comes
@@ -894,7 +911,7 @@
     scheduler.run(lambda: len(got) >= 5)
     other.join()
     with pytest.raises(BlockingIOError):
-        letters.ear.recv(1)  # else the poll would spin, and the pair fill up
+        letters.wake_reader.recv(1)  # else the poll would spin, and the pair fill up
     letters.put("last")
     letters.close()
     scheduler.run(lambda: got[-1] == "closed")
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -13,9 +13,9 @@
 from laurelcourse.fleet.books.forms import Command, Done, Fence, GiveBack, Lapse, Open
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
-from laurelcourse.fleet.calls.hands import Hands
+from laurelcourse.fleet.calls.channel import limits
+from laurelcourse.fleet.calls.forwarder import Forwarder
 from laurelcourse.fleet.calls.service import Service, refusal
-from laurelcourse.fleet.calls.ways import limits
 from laurelcourse.fleet.errors import ERRORS_BY_CODE, FleetError
 from laurelcourse.fleet.keeper.coordinator import Coordinator
 from laurelcourse.fleet.keeper.messages import Bounds, Keepers
@@ -74,8 +74,8 @@
     )
     assert error.fields() == {"fault": kind.code, "to": "relay-7", "what": said, "do": kind.remedy}
     # To another process and back.
-    message = codec.message_of(refusal(error))
-    done = codec.form_of(orders.Answer, wire.Answer.FromString(message.SerializeToString()))
+    message = codec.to_message(refusal(error))
+    done = codec.from_message(orders.Answer, wire.Answer.FromString(message.SerializeToString()))
     back = errors.error_from_code(done.code, done.to, dict(done.told))
     assert (
         type(back) is kind
@@ -97,26 +97,31 @@
     def __init__(self, folder: Path) -> None:
         def desk(kept: object) -> Coordinator:
             return Coordinator(
-                "k1", "a", TERMS, Prng(1), kept, clock(), encode=codec.packed, decode=codec.unpacked
+                "k1", "a", TERMS, Prng(1), kept, clock(), encode=codec.encode_batch, decode=codec.decode_batch
             )
 
         self.limits = limits(TERMS)
         self.keeping = open_replica(folder, "agenda", "k1", 1, desk, lambda to, message: None, clock, log)
         assert isinstance(self.keeping, Replica)
         self.service = Service(
-            self.keeping, "agenda", "k1", "127.0.0.1:0", self.limits, Hands("agenda", "k1", {}, self.limits)
+            self.keeping,
+            "agenda",
+            "k1",
+            "127.0.0.1:0",
+            self.limits,
+            Forwarder("agenda", "k1", {}, self.limits),
         )
         self.service.start()
         self.channel = grpc.insecure_channel(f"127.0.0.1:{self.service.port}")
 
     def ask(self, verb: str, order: object, **head: object) -> Done | tuple:
         request = {"Submit": wire.SubmitOrder, "Ask": wire.AskOrder, "Change": wire.ChangeOrder}[verb](
-            head=codec.head("agenda", "m1", "k1"), what=codec.message_of(order)
+            head=codec.head("agenda", "m1", "k1"), what=codec.to_message(order)
         )
         for name, value in head.items():
             setattr(request.head, name, value)
         reply = getattr(fleet_pb2_grpc.BooksStub(self.channel), verb)(request, timeout=5)
-        return codec.form_of(orders.Answer, reply.answer)
+        return codec.from_message(orders.Answer, reply.answer)
 
     def hash(self) -> tuple:
         return until(lambda: self.ask("Ask", orders.Question("hash")).value)
--- a/tests/test_fleet_flows.py
+++ b/tests/test_fleet_flows.py
@@ -211,7 +211,7 @@
 @pytest.mark.parametrize("what", COMMANDS, ids=lambda one: type(one).__name__)
 def test_each_command_crosses_as_it_is(what: f.What) -> None:
     batch = f.Batch(1, 2, (f.Command(f.Fence("r", 1, 1, 1), 3, what),))
-    assert codec.unpacked(codec.packed(batch)) == batch
+    assert codec.decode_batch(codec.encode_batch(batch)) == batch
 
 
 def test_a_workflow_is_told_as_the_books_have_it() -> None:
@@ -305,8 +305,8 @@
 def test_the_lead_sets_limits_and_takes_no_word_of_the_leaders_from_outside(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(test_fleet_desk, "encode", codec.packed)
-    monkeypatch.setattr(test_fleet_desk, "decode", codec.unpacked)
+    monkeypatch.setattr(test_fleet_desk, "encode", codec.encode_batch)
+    monkeypatch.setattr(test_fleet_desk, "decode", codec.decode_batch)
     limits = f.Limits(9, 8, 7, 6)
     desks = test_fleet_desk.Fleet(terms=test_fleet_desk.TERMS._replace(limits=limits))
     fence = desks.open("r")
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_moves.py
@@ -15,8 +15,8 @@
 from laurelcourse.fleet.books.state import SLICE
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
+from laurelcourse.fleet.calls.channel import limits
 from laurelcourse.fleet.calls.client import Client
-from laurelcourse.fleet.calls.ways import limits
 from laurelcourse.fleet.orders import Question, Submit
 from laurelcourse.fleet.transfers import views
 from laurelcourse.fleet.transfers.arrivals import Arrivals
@@ -204,7 +204,7 @@
 def chunks(
     fence: forms.Fence, job: str, data: bytes, *, spoiled: bool = False, whole: bytes = b"", at: int = 0
 ) -> Iterator[wire.Chunk]:
-    yield wire.Chunk(head=codec.head("lab", "test", "m3"), fence=codec.message_of(fence), job=job)
+    yield wire.Chunk(head=codec.head("lab", "test", "m3"), fence=codec.to_message(fence), job=job)
     for first in range(0, len(data), CHUNK):
         part = data[first : first + CHUNK]
         last = first + CHUNK >= len(data)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -13,8 +13,8 @@
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import Command, Done, Fence, GiveBack, Open
 from laurelcourse.fleet.calls import codec
+from laurelcourse.fleet.calls.channel import limits
 from laurelcourse.fleet.calls.client import Client
-from laurelcourse.fleet.calls.ways import limits
 from laurelcourse.fleet.errors import DamagedBooksError, FleetError, OlderDiskError
 from laurelcourse.fleet.keeper.messages import BOOKS
 from laurelcourse.fleet.keeper.store import Store
@@ -143,7 +143,7 @@
         books = Books.restored(kept.snapshot.data) if kept.snapshot else Books()
         for entry in kept.entries:
             if entry.kind == BOOKS and entry.index <= index:
-                books.apply(entry.index, codec.unpacked(entry.data))
+                books.apply(entry.index, codec.decode_batch(entry.data))
         return books.hash()
 
 
