--- a/laurelcourse/fleet/calls/mailbox.py
+++ b/laurelcourse/fleet/calls/mailbox.py
@@ -8,7 +8,7 @@
 from laurelcourse.net.scheduler import READ, Scheduler
 
 
-class Mailbox:
+class CrossThreadMailbox:
     """A bounded queue, and a socket pair that wakes the poll.
 
     Any thread may call `put`; everything else is for the scheduler's own. `put` touches nothing of the
--- a/laurelcourse/fleet/member.py
+++ b/laurelcourse/fleet/member.py
@@ -11,7 +11,7 @@
 from laurelcourse.fleet.books.forms import Command, Done, GiveBack
 from laurelcourse.fleet.budgets.holder import Holder
 from laurelcourse.fleet.calls.client import Client
-from laurelcourse.fleet.calls.mailbox import Mailbox
+from laurelcourse.fleet.calls.mailbox import CrossThreadMailbox
 from laurelcourse.fleet.errors import FleetError, error_from_code
 from laurelcourse.fleet.orders import Answer, Beat, Submit
 from laurelcourse.fleet.session import CLOSING, Session
@@ -58,7 +58,7 @@
         session: Session,
         holder: Holder,
         client: Client,
-        mailbox: Mailbox,
+        mailbox: CrossThreadMailbox,
         clock: Callable[[], int],
         counters: Counters,
     ) -> None:
--- a/laurelcourse/fleet/transfers/work.py
+++ b/laurelcourse/fleet/transfers/work.py
@@ -28,7 +28,7 @@
 )
 from laurelcourse.fleet.books.reservations import ORPHAN, RECALLED, RESERVED
 from laurelcourse.fleet.books.state import SLICE
-from laurelcourse.fleet.calls.mailbox import Mailbox
+from laurelcourse.fleet.calls.mailbox import CrossThreadMailbox
 from laurelcourse.fleet.errors import FleetError, NoDirectLinkError, error_from_code
 from laurelcourse.fleet.orders import Answer, Question, Submit
 from laurelcourse.fleet.transfers import views
@@ -49,7 +49,7 @@
     def __init__(
         self,
         member: "Member",
-        letters: Mailbox,
+        letters: CrossThreadMailbox,
         site: str,
         folder: Path,
         doors: dict[str, tuple[tuple[str, str], ...]],
--- a/laurelcourse/fleet/wiring.py
+++ b/laurelcourse/fleet/wiring.py
@@ -16,7 +16,7 @@
 from laurelcourse.fleet.calls.client import Client
 from laurelcourse.fleet.calls.flows_service import FlowsService
 from laurelcourse.fleet.calls.forwarder import Forwarder
-from laurelcourse.fleet.calls.mailbox import Mailbox
+from laurelcourse.fleet.calls.mailbox import CrossThreadMailbox
 from laurelcourse.fleet.calls.peers import Peers
 from laurelcourse.fleet.calls.service import Service
 from laurelcourse.fleet.keeper.coordinator import Coordinator
@@ -117,7 +117,7 @@
     )
     # Seeded differently at each start: the session must not reuse the mark of the process before it.
     session = Session(name, settings.site_of(fleet, name, zone), terms, Prng(seed ^ clock()), clock())
-    mailbox = Mailbox(host.scheduler, bounds.queue_length)
+    mailbox = CrossThreadMailbox(host.scheduler, bounds.queue_length)
     waiting = [budget.name for budget in fleet.budgets if budget.when_used_up == "wait"]
     holder = Holder(session, terms.budgets, clock(), waiting)
     member = Member(host.scheduler, session, holder, client, mailbox, clock, host.counters)
@@ -156,7 +156,13 @@
         for each in fleet.sites
     }
     moves = Moves(
-        member, Mailbox(host.scheduler, MAX_MAIL_ITEMS), site.name, site_folder, doors, books, Sending
+        member,
+        CrossThreadMailbox(host.scheduler, MAX_MAIL_ITEMS),
+        site.name,
+        site_folder,
+        doors,
+        books,
+        Sending,
     )
     host.loops.append(moves.work)
     return [lambda: moves.close(bounds.keeper_timeout), lambda: door.stop(bounds.keeper_timeout)]
@@ -175,7 +181,7 @@
     )
     flows = Flows(
         member,
-        Mailbox(host.scheduler, MAX_MAIL_ITEMS),
+        CrossThreadMailbox(host.scheduler, MAX_MAIL_ITEMS),
         steps,
         meaning.definitions(fleet, routes),
         Prng(host.config.seed + 3),
--- a/laurelcourse/fleet/workflows/work.py
+++ b/laurelcourse/fleet/workflows/work.py
@@ -24,7 +24,7 @@
     What,
 )
 from laurelcourse.fleet.books.workflows import View
-from laurelcourse.fleet.calls.mailbox import Mailbox
+from laurelcourse.fleet.calls.mailbox import CrossThreadMailbox
 from laurelcourse.fleet.errors import (
     DefinitionRefusedError,
     FleetError,
@@ -66,7 +66,7 @@
     def __init__(
         self,
         member: "Member",
-        letters: Mailbox,
+        letters: CrossThreadMailbox,
         sender: steps.Steps,
         definitions: dict[str, Definition],
         rng: Prng,
--- a/laurelcourse/fronts/tuf/listing.py
+++ b/laurelcourse/fronts/tuf/listing.py
@@ -33,7 +33,7 @@
         self.trial = -1  # the build on trial, as last told
 
     def directory(self, how: str, entries: Iterable[face.Listed]) -> None:
-        """The directory's news, as `Choices.directory` hears it."""
+        """The directory's news, as `Dispatcher.directory` hears it."""
         entries = list(entries)
         if how == face.WATCH_BROKEN:
             self.dispatcher.directory(how, entries)
@@ -49,7 +49,7 @@
         self.entries = {unit: one for unit, one in self.entries.items() if one.health != face.GONE}
 
     def stage(self, news: BuildState, vote_status: str | None = None) -> None:
-        """The deployer's news, as `Choices.stage` hears it."""
+        """The deployer's news, as `Dispatcher.stage` hears it."""
         if vote_status in (None, face.COUNTED):
             self.trial = news.build if news.standing == face.ON_TRIAL else -1
         self.dispatcher.stage(news, vote_status)
--- a/laurelcourse/lab/keepers_world.py
+++ b/laurelcourse/lab/keepers_world.py
@@ -1,8 +1,9 @@
 """A small world in simulated time: clocks that differ, a network that loses, doubles and delays, disks that
 are slow, and keepers that are killed, paused and brought back. All chance is from one seed.
 
-Nothing here knows what a keeper decides: it drives the `Desk` that real processes run, and carries out its
-`Acts` as they do, one after the other, with a point to die at before and after each write and each send.
+Nothing here knows what a keeper decides: it drives the `Coordinator` that real processes run, and carries
+out its `Acts` as they do, one after the other, with a point to die at before and after each write and each
+send.
 """
 
 import heapq
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -22,7 +22,7 @@
 from laurelcourse.fleet.calls.channel import Limits, NoAnswerError, limits, options
 from laurelcourse.fleet.calls.client import Client
 from laurelcourse.fleet.calls.forwarder import Forwarder
-from laurelcourse.fleet.calls.mailbox import Mailbox
+from laurelcourse.fleet.calls.mailbox import CrossThreadMailbox
 from laurelcourse.fleet.calls.peers import Peers, is_heartbeat
 from laurelcourse.fleet.calls.service import Service
 from laurelcourse.fleet.keeper import messages as keeper
@@ -889,7 +889,7 @@
 
 def test_letters_wake_the_scheduler_from_another_thread_and_are_bounded() -> None:
     scheduler = Scheduler(Clock(), lambda: None)
-    letters, got = Mailbox(scheduler, 3), []
+    letters, got = CrossThreadMailbox(scheduler, 3), []
 
     def read() -> None:
         got.append(letters.get(until=scheduler.now() + 10_000))  # nothing comes
