--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -273,7 +273,7 @@
         fleet.settled()
         lines = [line for line in node.log.read_text()[had:].splitlines() if word in line]
         assert len(lines) == 1 and "level=error" in lines[0], lines
-        assert error.do in lines[0]
+        assert error.remedy in lines[0]
     finally:
         fleet.host.carry(faults.Fault(0, faults.DISK_BACK, (name,)))
 
