--- a/laurelcourse/fleet/books/forms.py
+++ b/laurelcourse/fleet/books/forms.py
@@ -1,20 +1,44 @@
-"""Commands to the fleet's common books, and what comes of each: plain values, no I/O.
+"""Commands to the fleet's replicated state machine ("books"), and their results. Plain values, no I/O.
 
-A command bears a mark, by which it is carried out once however often it is given, and a fence, by which the
-books know whether its asker may still act. Amounts are whole numbers (of tries, connections, milli-units of
-work...), times whole microseconds; durations are by the asker's clock, `at` by the leader's account.
+A command carries a mark, so that it is applied once however often it is submitted, and a fence, by which the
+state machine checks that the sender may still act. Amounts are whole numbers (of tries, connections,
+milli-units of work and so on), times whole microseconds. Durations are by the sender's clock; `at` is by the
+leader's clock (`keeper/leader_clock.py`).
+
+Classes and fields here have the names of the protobuf messages in `calls/fleet.proto`.
 """
 
 from typing import NamedTuple
 
 from laurelcourse.fleet.workflows.definition import Definition
 
-RATE, LEVEL, COUNT = "rate", "level", "count"
+# Kinds of budgets.
+RATE = "rate"  # uses per second
+LEVEL = "level"  # uses at any instant
+COUNT = "count"  # uses in a window
+
+# Outcomes of a try of a workflow's step.
+COMPLETED = "completed"
+NEVER_RAN = "never_ran"
+UNKNOWN = "unknown"
+FAILED = "failed"  # without effect, for good
+
+# Why a workflow is turned back.
+LEFT = "left"  # the client left
+LATE = "late"  # not enough time is left
+GAVE_UP = "gave_up"  # no tries are left
+
+# What an operator says of a stuck step.
+BY_HAND = "by_hand"
+AGAIN = "again"
 
 
 class Fence(NamedTuple):
-    """Who asks: the relay's name, its session (never used again), which of that name's sessions it is, and
-    the keepers' term in which it was opened. A later session of the same name fences an earlier one off."""
+    """A fencing token: who sends a command.
+
+    That is the relay's name, its session (numbers are never used again), which of that name's sessions it is,
+    and the keepers' term in which it was opened. A later session of the same name fences an earlier one off.
+    """
 
     name: str
     session: int
@@ -23,7 +47,10 @@
 
 
 class Command(NamedTuple):
-    """`mark`: counted up by the session, from 1; for `Open` any number above 0 chosen at random."""
+    """One command.
+
+    `mark` counts up from 1 within the session; for `Open` it is any number above 0, drawn at random.
+    """
 
     fence: Fence | None
     mark: int
@@ -31,8 +58,11 @@
 
 
 class Batch(NamedTuple):
-    """The data of one entry of kind BOOKS. `at`: the leader's account of time, which never runs backwards in
-    the books: it goes on from the books' own time when a leader begins, by its monotonic clock."""
+    """The data of a log entry of kind BOOKS.
+
+    `at` is the leader's clock, which never goes back within the log: a new leader continues from the state
+    machine's time, by its own monotonic clock.
+    """
 
     at: int
     term: int
@@ -43,18 +73,18 @@
 
 
 class Open(NamedTuple):
-    """A relay begins. Value: its Fence. Given again with the same mark it finds the same session."""
+    """Opens a session. Value: its Fence. A repetition with the same mark finds the same session."""
 
     name: str
     site: str
 
 
 class Close(NamedTuple):
-    """A relay ends by itself: what it holds is free at once, levels too."""
+    """Ends the sender's session: all that it holds is free at once, levels too."""
 
 
 class Lapse(NamedTuple):
-    """From the leader alone, once a session's lease is surely over by the keepers' clock."""
+    """Ends a session whose lease has surely expired by the keepers' clock. From the leader."""
 
     session: int
 
@@ -63,31 +93,35 @@
 
 
 class Define(NamedTuple):
-    """The budgets as the operators' settings have them, from the leader; the whole list each time."""
+    """Sets the budgets of the operators' settings, always the whole list. From the leader."""
 
     budgets: tuple["Budget", ...]
 
 
 class Budget(NamedTuple):
+    """The rules of one budget."""
+
     name: str
-    kind: str  # RATE, LEVEL, COUNT
-    whole: int  # of the scope, at any instant (LEVEL), a second (RATE), in `window` (COUNT)
-    floor: int  # what each relay may use without any share
-    relays: int  # the most there may be: floors of all fit in the whole
-    window: int  # of a COUNT; else 0
-    freed_after: int  # a LEVEL whose holder has lapsed is free so long after
+    kind: str  # RATE, LEVEL or COUNT
+    whole: int  # of the scope: at any instant (LEVEL), per second (RATE), per `window` (COUNT)
+    floor: int  # what each relay may use without a share
+    relays: int  # the most relays there may be: the floors of all fit into the whole
+    window: int  # microseconds, of a COUNT; otherwise 0
+    freed_after: int  # microseconds after which a LEVEL of a lapsed session is free
 
 
 class Grant(NamedTuple):
-    """Shares of one budget for sessions, from the leader, as `budgets/division.py` made them. A lower share
-    than before is asked back: what was granted before counts until its holder has given it back."""
+    """Shares of one budget for sessions, as `budgets/division.py` divides it. From the leader.
+
+    A share lower than before is asked back: the former grant counts until its holder has given it back.
+    """
 
     budget: str
     shares: tuple[tuple[int, int], ...]  # session, share
 
 
 class GiveBack(NamedTuple):
-    """A relay holds no more than `keeps` of its share from now on."""
+    """The relay holds no more than `keeps` of its share from now on."""
 
     budget: str
     keeps: int
@@ -95,32 +129,31 @@
 
 # Workflows (`fleet/workflows/definition.py`)
 
-COMPLETED, NEVER_RAN, UNKNOWN, FAILED = "completed", "never_ran", "unknown", "failed"  # of a try
-LEFT, LATE, GAVE_UP = "left", "late", "gave_up"  # why it turns back
-BY_HAND, AGAIN = "by_hand", "again"  # what an operator did
-
 
 class Limits(NamedTuple):
-    """On workflows, from the leader, as the operators' settings have them."""
+    """Limits on workflows, as in the operators' settings. From the leader."""
 
     in_flight: int
     by_tenant: int
-    behind: int  # undoing or stuck: with so many none begins
-    keeps: int  # microseconds for which a finished one can be asked for
+    behind: int  # undoing or stuck: with so many, none begins
+    keeps: int  # microseconds for which an ended workflow can be queried
 
 
 class Begin(NamedTuple):
-    """Value: the workflow's number and state. The same tenant's same mark finds the same workflow, whoever
-    asks; it belongs to the session that asked first."""
+    """Begins a workflow. Value: its number and state.
+
+    The same mark of the same tenant finds the same workflow, whoever sends it; it belongs to the session that
+    sent it first.
+    """
 
     tenant: str
-    mark: str  # the client's
+    mark: str  # the client's idempotency key
     definition: Definition
     values: tuple[tuple[str, str], ...] = ()
 
 
 class Intend(NamedTuple):
-    """Before a step, or its undo, is sent. Value: the req's id, and the key that all tries of it share."""
+    """Records the intent to send a step or its undo. Value: its req's id, and the key of all tries."""
 
     workflow: int
     step: int
@@ -129,24 +162,27 @@
 
 
 class Result(NamedTuple):
-    """What came of that try. Value: the workflow's state."""
+    """Records the outcome of a try. Value: the workflow's state."""
 
     workflow: int
     step: int
     undo: bool
     tried: int
-    outcome: str  # COMPLETED, NEVER_RAN, UNKNOWN, FAILED: surely without effect, for good
+    outcome: str  # COMPLETED, NEVER_RAN, UNKNOWN or FAILED
 
 
 class Leave(NamedTuple):
-    """Turn back, unless the point of no return may be passed. From any relay. Value: the state."""
+    """Turns a workflow back, unless it may have passed its point of no return.
+
+    From any relay. Value: the state.
+    """
 
     workflow: int
     why: str
 
 
 class Settle(NamedTuple):
-    """An operator's word on a stuck step: done by hand, or to be tried again. Value: the state."""
+    """An operator's decision about a stuck step: done by hand, or to be tried again. Value: the state."""
 
     workflow: int
     step: int
@@ -154,8 +190,10 @@
 
 
 class Adopt(NamedTuple):
-    """The workflow of a session that is over goes to the asker's or, by the leader's word, to session `to`.
-    Value: the state."""
+    """Passes on the workflow of a session that has ended: to the sender or, from the leader, to session `to`.
+
+    Value: the state.
+    """
 
     workflow: int
     former: int
@@ -180,8 +218,11 @@
 
 
 class Done(NamedTuple):
-    """What came of a command: a value of plain ints and strings (a Fence for `Open`), or an error's code
-    with whom it concerns and its figures (`fleet.errors`)."""
+    """The result of a command.
+
+    Either a value of plain ints and strings (a Fence for `Open`), or an error's code with whom it concerns
+    and its figures (`fleet/errors.py`).
+    """
 
     value: tuple = ()
     code: str = ""
@@ -189,11 +230,11 @@
     told: tuple[tuple[str, int | str], ...] = ()
 
 
-# Transfers between sites: links and compute slots reserved together. A slice is `state.SLICE` microseconds.
+# Transfers between sites: links and compute slots reserved together. A slice is `state.SLICE_US`.
 
 
 class Link(NamedTuple):
-    """One direction between two sites, bytes a second; `kept` of it is for ordinary reqs."""
+    """One direction between two sites, in bytes a second; `kept` of it is for ordinary reqs."""
 
     origin: str
     to: str
@@ -202,22 +243,24 @@
 
 
 class Site(NamedTuple):
-    """Compute slots for transfers at one site."""
+    """The compute slots for transfers at one site."""
 
     name: str
     slots: int
 
 
 class Places(NamedTuple):
-    """Links and sites as the operators' settings have them, from the leader; the whole list each time."""
+    """Sets the links and sites of the operators' settings, always the whole list. From the leader."""
 
     links: tuple[Link, ...]
     sites: tuple[Site, ...]
 
 
 class Shrink(NamedTuple):
-    """From the leader: what a link (`a>b`, all of its bytes a second) or a site (`a`, slots) has from slice
-    `since` on, until told anew; more than before is a recovery. What is reserved stands."""
+    """Sets the capacity of a link (`a>b`, bytes a second) or of a site (`a`, slots) from slice `since` on.
+
+    From the leader; it may also be more than before. Reservations stand.
+    """
 
     resource: str
     capacity: int
@@ -225,13 +268,13 @@
 
 
 class Recall(NamedTuple):
-    """From the leader: these jobs are to let go, or to move; what they hold counts until they did."""
+    """Asks these jobs to give up or to move. From the leader. Their reservations count until they did."""
 
     jobs: tuple[str, ...]
 
 
 class Job(NamedTuple):
-    """Times: whole microseconds of the books' account. `slots`: taken at both ends while bytes move."""
+    """A transfer job. Times are microseconds of the state machine's time."""
 
     name: str
     firm: str
@@ -241,54 +284,56 @@
     earliest: int
     deadline: int
     earnings: int
-    slots: int
+    slots: int  # taken at both sites while bytes move
 
 
 class Stretch(NamedTuple):
-    """`rate` bytes a second on each link of `way` in slices `first` up to, not with, `until`."""
+    """`rate` bytes a second on each link of the path `way`, from slice `first` to before slice `until`."""
 
     first: int
     until: int
     rate: int
-    way: tuple[str, ...]  # both ends: books take no way over a third site
+    way: tuple[str, ...]  # the two sites: paths over a third site are refused
 
 
 class Reserve(NamedTuple):
-    """All of it or nothing, for the asking session. Value: the job's name."""
+    """Reserves all of it for the sender's session, or nothing. Value: the job's name."""
 
     job: Job
     pieces: tuple[Stretch, ...]
 
 
 class Move(NamedTuple):
-    """The owner's new plan for what is not proven yet, in the place of the one before, or nothing changes.
-    Without any pieces a recalled job parks: it holds nothing, and goes on when it moves again."""
+    """Replaces the reservations for the bytes that are not proven yet, or changes nothing.
+
+    Without pieces, a recalled job is parked: it holds nothing, and continues when it is moved again.
+    """
 
     job: str
     pieces: tuple[Stretch, ...]
 
 
 class Resume(NamedTuple):
-    """An orphan's next owner. Value: the byte proven."""
+    """Takes over a job whose session has ended. Value: the number of bytes proven."""
 
     job: str
 
 
 class Progress(NamedTuple):
-    """So many bytes from the start are proven to be at the far end."""
+    """Records how many bytes from the start are proven to have arrived."""
 
     job: str
     proven: int
 
 
 class Commit(NamedTuple):
-    """The copy becomes visible, once, and all that is reserved is free. Value: the job's size."""
+    """Makes the copy visible, once, and frees all reservations. Value: the job's size."""
 
     job: str
 
 
 class Free(NamedTuple):
-    """The owner gives the job up: nothing of it moves any more."""
+    """Gives the job up: none of it is transferred any more."""
 
     job: str
 
--- a/laurelcourse/fleet/books/reservations.py
+++ b/laurelcourse/fleet/books/reservations.py
@@ -1,8 +1,8 @@
-"""Transfers in the books: links and compute slots reserved together over time, all or nothing.
+"""Reservations for transfers: links and compute slots reserved together over time, all or nothing.
 
-What is reserved of a resource is a step function over slices; each command is held against the whole at
-every one of them, in whole numbers. A job that ends, however it ends, leaves nothing reserved. The books make
-no plans: `transfers/plan.py` proposes, they check.
+What is reserved of a resource is a step function over slices; each command is checked against the capacity of
+every slice, in whole numbers. A job that ends, however it ends, leaves nothing reserved. Plans are not made
+here: `transfers/plan.py` proposes them, and they are checked.
 """
 
 from typing import NamedTuple
@@ -23,23 +23,23 @@
     Stretch,
 )
 from laurelcourse.fleet.books.state import (
-    AMOUNT,
-    ENDED,
-    FORGET,
-    GRACE,
-    HORIZON,
-    JOB_PIECES,
-    JOBS,
-    LINKS,
-    NUMBER,
-    SITES,
-    SLICE,
-    STEPS,
-    Booked,
+    FORGET_US,
+    GRACE_US,
+    HORIZON_SLICES,
+    MAX_AMOUNT,
+    MAX_CAPACITY_STEPS,
+    MAX_ENDED_JOBS,
+    MAX_JOB_PIECES,
+    MAX_JOBS,
+    MAX_LINKS,
+    MAX_NUMBER,
+    MAX_SITES,
+    SLICE_US,
+    JobRecord,
     Session,
     State,
-    number,
-    text,
+    is_number,
+    is_text,
 )
 from laurelcourse.fleet.errors import (
     CapacityTakenError,
@@ -53,398 +53,479 @@
     UnreadableError,
 )
 
-FROM_LEADER, FROM_SESSION = (Places, Shrink, Recall), (Reserve, Move, Resume, Progress, Commit, Free)
-
-RESERVED, RECALLED, ORPHAN = "reserved", "recalled", "orphan"
-COMMITTED, FREED, EXPIRED = "committed", "freed", "expired"
-ENDS = (COMMITTED, FREED, EXPIRED)
-TURNS = {
-    RESERVED: (RESERVED, RECALLED, ORPHAN, *ENDS),
-    RECALLED: (RESERVED, ORPHAN, *ENDS),
+LEADER_COMMANDS = (Places, Shrink, Recall)
+SESSION_COMMANDS = (Reserve, Move, Resume, Progress, Commit, Free)
+
+# States of a job, and which may follow.
+RESERVED = "reserved"
+RECALLED = "recalled"
+ORPHAN = "orphan"
+COMMITTED = "committed"
+FREED = "freed"
+EXPIRED = "expired"
+END_STATES = (COMMITTED, FREED, EXPIRED)
+NEXT_STATES = {
+    RESERVED: (RESERVED, RECALLED, ORPHAN, *END_STATES),
+    RECALLED: (RESERVED, ORPHAN, *END_STATES),
     ORPHAN: (RESERVED, EXPIRED),
 }
-Use = dict[str, dict[int, int]]  # of each resource: by slice, how much more or less from there on
+
+SECOND_US = 1_000_000
+MAX_QUOTED_CHARACTERS = 40  # of a number in an error
+
+# Of each resource, by slice: how its usage changes from there on.
+Usage = dict[str, dict[int, int]]
 
 
-class Kept(NamedTuple):
-    """A job as those who plan see it."""
+class JobView(NamedTuple):
+    """A job as planners and relays see it."""
 
     job: Job
-    owner: int
+    owner: int  # a session; 0: it has ended
     pieces: tuple[Stretch, ...]
-    proven: int
+    proven: int  # bytes
     state: str
 
 
-def named(origin: str, to: str) -> str:
-    """A link's name as a resource."""
+def link_name(origin: str, to: str) -> str:
+    """Returns a link's name as a resource."""
     return f"{origin}>{to}"
 
 
-def lead(state: State, what: Places | Shrink | Recall) -> tuple:
-    """Raises UnreadableError, CrowdedError, DefinitionRefusedError, NoSuchJobError."""
-    match what:
+# Commands of the leader
+
+
+def apply_leader_command(state: State, command: Places | Shrink | Recall) -> tuple:
+    """Applies a command and returns its value.
+
+    Raises UnreadableError, CrowdedError, DefinitionRefusedError or NoSuchJobError.
+    """
+    match command:
         case Places():
-            return _places(state, what)
+            return _set_places(state, command)
         case Shrink():
-            return _shrink(state, what)
-    return _recall(state, what)
+            return _set_capacity(state, command)
+    return _recall(state, command)
 
 
-def _places(state: State, what: Places) -> tuple:
+def _set_places(state: State, command: Places) -> tuple:
     if not (
-        type(what.links) is tuple
-        and type(what.sites) is tuple
-        and all(type(one) is Link for one in what.links)
-        and all(type(one) is Site for one in what.sites)
+        type(command.links) is tuple
+        and type(command.sites) is tuple
+        and all(type(link) is Link for link in command.links)
+        and all(type(site) is Site for site in command.sites)
     ):
         raise UnreadableError("places", fault="links or sites")
-    for held, at_most, of in ((len(what.links), LINKS, "links"), (len(what.sites), SITES, "sites")):
+    for held, at_most, of in (
+        (len(command.links), MAX_LINKS, "links"),
+        (len(command.sites), MAX_SITES, "sites"),
+    ):
         if held > at_most:
             raise CrowdedError("places", held=held, at_most=at_most, of=of)
     sites = {
-        one.name: one for one in what.sites if text(one.name) and ">" not in one.name and number(one.slots)
+        site.name: site
+        for site in command.sites
+        if is_text(site.name) and ">" not in site.name and is_number(site.slots)
     }
     links = {
-        named(one.origin, one.to): one
-        for one in what.links
-        if one.origin in sites
-        and one.to in sites
-        and one.origin != one.to
-        and number(one.capacity)
-        and number(one.kept, 0, one.capacity)
+        link_name(link.origin, link.to): link
+        for link in command.links
+        if link.origin in sites
+        and link.to in sites
+        and link.origin != link.to
+        and is_number(link.capacity)
+        and is_number(link.kept, 0, link.capacity)
     }
-    if len(sites) < len(what.sites) or len(links) < len(what.links):
+    if len(sites) < len(command.sites) or len(links) < len(command.links):
         raise DefinitionRefusedError("places", fault="a link or site is twice there, or does not fit")
-    moves = state.transfers
-    new, old = links | sites, moves.links | moves.sites
-    moves.steps = {one: moves.steps[one] for one in sorted(moves.steps) if new.get(one) == old.get(one)}
-    moves.links, moves.sites = links, sites
+    transfers = state.transfers
+    new = links | sites
+    old = transfers.links | transfers.sites
+    transfers.capacity_steps = {
+        name: transfers.capacity_steps[name]
+        for name in sorted(transfers.capacity_steps)
+        if new.get(name) == old.get(name)
+    }
+    transfers.links = links
+    transfers.sites = sites
     return ()
 
 
-def _shrink(state: State, what: Shrink) -> tuple:
-    moves = state.transfers
-    if not (text(what.resource) and number(what.capacity) and number(what.since)):
+def _set_capacity(state: State, command: Shrink) -> tuple:
+    transfers = state.transfers
+    if not (is_text(command.resource) and is_number(command.capacity) and is_number(command.since)):
         raise UnreadableError("shrink", fault="resource, capacity or time")
-    if what.resource not in moves.links and what.resource not in moves.sites:
-        raise DefinitionRefusedError(what.resource, fault="no such link or site")
-    kept = moves.links[what.resource].kept if what.resource in moves.links else 0
-    since = max(what.since, state.time // SLICE)
-    steps = [one for one in moves.steps.get(what.resource, []) if one[0] < since]
-    past = [one for one in steps if one[0] <= state.time // SLICE]
+    if command.resource not in transfers.links and command.resource not in transfers.sites:
+        raise DefinitionRefusedError(command.resource, fault="no such link or site")
+    for_reqs = transfers.links[command.resource].kept if command.resource in transfers.links else 0
+    now = state.time // SLICE_US
+    since = max(command.since, now)
+    steps = [step for step in transfers.capacity_steps.get(command.resource, []) if step[0] < since]
+    past = [step for step in steps if step[0] <= now]
     steps = past[-1:] + steps[len(past) :]
-    if len(steps) >= STEPS:
-        raise CrowdedError(what.resource, held=len(steps), at_most=STEPS, of="changes to come")
-    moves.steps[what.resource] = [*steps, (since, max(0, what.capacity - kept))]
+    if len(steps) >= MAX_CAPACITY_STEPS:
+        raise CrowdedError(
+            command.resource, held=len(steps), at_most=MAX_CAPACITY_STEPS, of="changes to come"
+        )
+    transfers.capacity_steps[command.resource] = [*steps, (since, max(0, command.capacity - for_reqs))]
     return ()
 
 
-def _recall(state: State, what: Recall) -> tuple:
-    """Names those that had not been told before: each is told once."""
-    if type(what.jobs) is not tuple or not all(text(one) for one in what.jobs) or len(what.jobs) > JOBS:
+def _recall(state: State, command: Recall) -> tuple:
+    """Returns the names of the jobs that were not recalled before: each is told once."""
+    if (
+        type(command.jobs) is not tuple
+        or not all(is_text(name) for name in command.jobs)
+        or len(command.jobs) > MAX_JOBS
+    ):
         raise UnreadableError("recall", fault="jobs")
-    told = []
-    for name in sorted(set(what.jobs)):
-        there = state.transfers.jobs.get(name)
-        if there and there.state == ORPHAN:
-            _book(state, there, ())
-        elif there and there.state == RESERVED:
-            _turn(state, there, RECALLED)
-            told.append(name)
-    return tuple(told)
-
-
-def ask(state: State, session: Session, what: Reserve | Move | Resume | Progress | Commit | Free) -> tuple:
-    """Raises UnreadableError, NoSuchJobError, JobHeldError, OutOfOrderError, PlanUnfitError,
-    CapacityTakenError, LinkShrunkError, CrowdedError."""
-    if type(what) is Reserve:
-        return _reserve(state, session, what)
-    there = _found(state, what.job)
-    if type(what) is Resume:
-        if there.state != ORPHAN:
-            raise JobHeldError(what.job, session=there.owner)
-        there.owner = session.fence.session
-        _turn(state, there, RESERVED)
-        return (there.proven,)
-    if there.owner != session.fence.session:
-        raise JobHeldError(what.job, session=there.owner)
-    match what:
+    recalled = []
+    for name in sorted(set(command.jobs)):
+        record = state.transfers.jobs.get(name)
+        if record and record.state == ORPHAN:
+            _set_pieces(state, record, ())
+        elif record and record.state == RESERVED:
+            _set_state(state, record, RECALLED)
+            recalled.append(name)
+    return tuple(recalled)
+
+
+# Commands of sessions
+
+
+def apply_session_command(
+    state: State, session: Session, command: Reserve | Move | Resume | Progress | Commit | Free
+) -> tuple:
+    """Applies a command and returns its value.
+
+    Raises UnreadableError, NoSuchJobError, JobHeldError, OutOfOrderError, PlanUnfitError, CapacityTakenError,
+    LinkShrunkError or CrowdedError.
+    """
+    if type(command) is Reserve:
+        return _reserve(state, session, command)
+    record = _find_job(state, command.job)
+    if type(command) is Resume:
+        if record.state != ORPHAN:
+            raise JobHeldError(command.job, session=record.owner)
+        record.owner = session.fence.session
+        _set_state(state, record, RESERVED)
+        return (record.proven,)
+    if record.owner != session.fence.session:
+        raise JobHeldError(command.job, session=record.owner)
+    match command:
         case Move(pieces=()):
-            # Two that must change places can't both move first: each parks, then moves.
-            if there.state != RECALLED:
-                raise OutOfOrderError(what.job, state=there.state, order="park")
-            _book(state, there, ())
-            return (what.job,)
+            # Two jobs that must exchange their places can't both move first: each parks, then moves.
+            if record.state != RECALLED:
+                raise OutOfOrderError(command.job, state=record.state, order="park")
+            _set_pieces(state, record, ())
+            return (command.job,)
         case Move():
-            _check_plan(state, there.job, what.pieces, there.proven, GRACE)
-            _check_room(state, _uses(there.job, what.pieces), _uses(there.job, there.pieces))
-            _book(state, there, what.pieces)
-            _turn(state, there, RESERVED)
-            return (what.job,)
+            _check_plan(state, record.job, command.pieces, record.proven, GRACE_US)
+            _check_capacity(state, _usage(record.job, command.pieces), _usage(record.job, record.pieces))
+            _set_pieces(state, record, command.pieces)
+            _set_state(state, record, RESERVED)
+            return (command.job,)
         case Progress():
-            if not number(what.proven, there.proven, there.job.size):
-                raise OutOfOrderError(what.job, state=f"proven {there.proven}", order=f"{what.proven}"[:40])
-            there.proven = what.proven
-            return (there.proven,)
+            if not is_number(command.proven, record.proven, record.job.size):
+                raise OutOfOrderError(
+                    command.job,
+                    state=f"proven {record.proven}",
+                    order=f"{command.proven}"[:MAX_QUOTED_CHARACTERS],
+                )
+            record.proven = command.proven
+            return (record.proven,)
         case Commit():
-            if there.proven != there.job.size:
-                raise OutOfOrderError(what.job, state=f"proven {there.proven}", order="commit")
-            _turn(state, there, COMMITTED)
-            return (there.job.size,)
-    _turn(state, there, FREED)
-    return (there.proven,)
+            if record.proven != record.job.size:
+                raise OutOfOrderError(command.job, state=f"proven {record.proven}", order="commit")
+            _set_state(state, record, COMMITTED)
+            return (record.job.size,)
+    _set_state(state, record, FREED)
+    return (record.proven,)
 
 
-def _found(state: State, name: str) -> Booked:
-    if not text(name):
+def _find_job(state: State, name: str) -> JobRecord:
+    if not is_text(name):
         raise UnreadableError("job", fault="name")
     if name not in state.transfers.jobs:
         raise NoSuchJobError(name, end=state.transfers.ended.get(name, ("", 0))[0])
     return state.transfers.jobs[name]
 
 
-def _reserve(state: State, session: Session, what: Reserve) -> tuple:
-    job, moves = what.job, state.transfers
+def _reserve(state: State, session: Session, command: Reserve) -> tuple:
+    job = command.job
+    transfers = state.transfers
     if not (
         type(job) is Job
-        and all(text(one) for one in (job.name, job.firm, job.origin, job.to))
-        and number(job.size, 1)
-        and number(job.earnings)
-        and number(job.slots)
-        and number(job.earliest)
-        and number(job.deadline)
+        and all(is_text(text) for text in (job.name, job.firm, job.origin, job.to))
+        and is_number(job.size, 1)
+        and is_number(job.earnings)
+        and is_number(job.slots)
+        and is_number(job.earliest)
+        and is_number(job.deadline)
     ):
         raise UnreadableError("reserve", fault="the job")
-    if job.name in moves.jobs:
-        raise JobHeldError(job.name, session=moves.jobs[job.name].owner)
-    if job.name in moves.ended:
-        raise NoSuchJobError(job.name, end=moves.ended[job.name][0])
-    if len(moves.jobs) >= JOBS:
-        raise CrowdedError(job.name, held=len(moves.jobs), at_most=JOBS, of="jobs")
-    _check_plan(state, job, what.pieces, 0, 0)
-    uses = _uses(job, what.pieces)
-    for resource in sorted(uses):
-        if is_over(state, resource):
-            # A newcomer would take what those that must move are to move to.
-            raise LinkShrunkError(resource, link=resource, capacity=_usable(state, resource)[-1][1])
-    _check_room(state, uses, {})
-    there = moves.jobs[job.name] = Booked(job, session.fence.session, (), 0, RESERVED)
-    _book(state, there, what.pieces)
-    moves.next_end = min(moves.next_end, job.deadline + GRACE)
+    if job.name in transfers.jobs:
+        raise JobHeldError(job.name, session=transfers.jobs[job.name].owner)
+    if job.name in transfers.ended:
+        raise NoSuchJobError(job.name, end=transfers.ended[job.name][0])
+    if len(transfers.jobs) >= MAX_JOBS:
+        raise CrowdedError(job.name, held=len(transfers.jobs), at_most=MAX_JOBS, of="jobs")
+    _check_plan(state, job, command.pieces, 0, 0)
+    usage = _usage(job, command.pieces)
+    for resource in sorted(usage):
+        if is_over_reserved(state, resource):
+            # A new job would take what the jobs that must move are to move to.
+            capacity = _capacity_steps(state, resource)[-1][1]
+            raise LinkShrunkError(resource, link=resource, capacity=capacity)
+    _check_capacity(state, usage, {})
+    record = transfers.jobs[job.name] = JobRecord(job, session.fence.session, (), 0, RESERVED)
+    _set_pieces(state, record, command.pieces)
+    transfers.next_end = min(transfers.next_end, job.deadline + GRACE_US)
     return (job.name,)
 
 
 def _check_plan(state: State, job: Job, pieces: tuple[Stretch, ...], proven: int, grace: int) -> None:
     if (
         type(pieces) is not tuple
-        or len(pieces) > JOB_PIECES
-        or any(type(one) is not Stretch for one in pieces)
+        or len(pieces) > MAX_JOB_PIECES
+        or any(type(piece) is not Stretch for piece in pieces)
     ):
         raise PlanUnfitError(job.name, fault="its pieces")
-    now, carried = state.time // SLICE, 0
-    least, most = max(now, -(-job.earliest // SLICE)), min((job.deadline + grace) // SLICE, now + HORIZON)
-    for one in pieces:
+    now = state.time // SLICE_US
+    earliest = max(now, -(-job.earliest // SLICE_US))
+    latest = min((job.deadline + grace) // SLICE_US, now + HORIZON_SLICES)
+    carried = 0
+    for piece in pieces:
         if not (
-            number(one.first, least)
-            and number(one.until, 0, most)
-            and one.first < one.until
-            and number(one.rate, 1)
+            is_number(piece.first, earliest)
+            and is_number(piece.until, 0, latest)
+            and piece.first < piece.until
+            and is_number(piece.rate, 1)
         ):
             raise PlanUnfitError(job.name, fault="a time or rate out of bounds")
-        if one.way != (job.origin, job.to) or job.origin == job.to:
-            # Streams go from door to door: what is reserved over a third site would be nobody's bytes.
+        if piece.way != (job.origin, job.to) or job.origin == job.to:
+            # Streams connect the two sites directly: nobody would use reservations over a third one.
             raise PlanUnfitError(job.name, fault="a way that is not the direct link")
-        carried += one.rate * (one.until - one.first) * SLICE // 1_000_000
+        carried += piece.rate * (piece.until - piece.first) * SLICE_US // SECOND_US
     if carried < job.size - proven:
         raise PlanUnfitError(job.name, fault=f"it carries {carried} of {job.size - proven} bytes")
 
 
-def _uses(job: Job, pieces: tuple[Stretch, ...]) -> Use:
-    uses: Use = {}
+# Capacity
+
+
+def _usage(job: Job, pieces: tuple[Stretch, ...]) -> Usage:
+    usage: Usage = {}
 
     def add(resource: str, first: int, until: int, amount: int) -> None:
-        there = uses.setdefault(resource, {})
-        there[first] = there.get(first, 0) + amount
-        there[until] = there.get(until, 0) - amount
+        deltas = usage.setdefault(resource, {})
+        deltas[first] = deltas.get(first, 0) + amount
+        deltas[until] = deltas.get(until, 0) - amount
 
-    for one in pieces:
-        for origin, to in zip(one.way, one.way[1:], strict=False):
-            add(named(origin, to), one.first, one.until, one.rate)
+    for piece in pieces:
+        for origin, to in zip(piece.way, piece.way[1:], strict=False):
+            add(link_name(origin, to), piece.first, piece.until, piece.rate)
     end = 0
-    for first, until in sorted((one.first, one.until) for one in pieces):
-        # Two ways at the same time take the slots once.
+    for first, until in sorted((piece.first, piece.until) for piece in pieces):
+        # Pieces that overlap in time take the slots once.
         if until > max(first, end) and job.slots:
             add(job.origin, max(first, end), until, job.slots)
             add(job.to, max(first, end), until, job.slots)
         end = max(end, until)
-    return uses
+    return usage
+
 
+def _check_capacity(state: State, new: Usage, old: Usage) -> None:
+    """Checks that `new` fits in the place of `old`.
 
-def _check_room(state: State, new: Use, old: Use) -> None:
-    """A plan may stay over where it was over before, if it takes no more there than it did."""
+    Where a resource was over-reserved before, a plan may stay, as long as it takes no more there than it did.
+    """
     for resource in sorted(new):
-        caps, base = dict(_usable(state, resource)), state.transfers.deltas.get(resource, {})
-        gains, gives = new[resource], old.get(resource, {})
-        usable = total = more = less = 0
-        for at in sorted(caps.keys() | base.keys() | gains.keys() | gives.keys()):
-            usable = caps.get(at, usable)
-            total, more = total + base.get(at, 0), more + gains.get(at, 0)
-            less += gives.get(at, 0)
-            if more > less and total - less + more > usable:
+        capacity_steps = dict(_capacity_steps(state, resource))
+        reserved_deltas = state.transfers.deltas.get(resource, {})
+        new_deltas = new[resource]
+        old_deltas = old.get(resource, {})
+        capacity = reserved = gained = given = 0
+        for at in sorted(
+            capacity_steps.keys() | reserved_deltas.keys() | new_deltas.keys() | old_deltas.keys()
+        ):
+            capacity = capacity_steps.get(at, capacity)
+            reserved += reserved_deltas.get(at, 0)
+            gained += new_deltas.get(at, 0)
+            given += old_deltas.get(at, 0)
+            if gained > given and reserved - given + gained > capacity:
                 raise CapacityTakenError(
-                    resource, resource=resource, asked=more, free=max(0, usable - total + less)
+                    resource, resource=resource, asked=gained, free=max(0, capacity - reserved + given)
                 )
 
 
-def _usable(state: State, resource: str) -> list[tuple[int, int]]:
-    """From which slice on how much may be reserved; nothing of what the settings don't name."""
-    moves = state.transfers
-    if resource in moves.links:
-        first = moves.links[resource].capacity - moves.links[resource].kept
+def _capacity_steps(state: State, resource: str) -> list[tuple[int, int]]:
+    """Returns from which slice on how much may be reserved; nothing of what the settings don't name."""
+    transfers = state.transfers
+    if resource in transfers.links:
+        capacity = transfers.links[resource].capacity - transfers.links[resource].kept
     else:
-        first = moves.sites[resource].slots if resource in moves.sites else 0
-    return [(0, first), *moves.steps.get(resource, [])]
-
-
-def _book(state: State, there: Booked, pieces: tuple[Stretch, ...]) -> None:
-    """The one place where what is reserved changes."""
-    for uses, sign in ((_uses(there.job, there.pieces), -1), (_uses(there.job, pieces), 1)):
-        for resource, deltas in uses.items():
-            kept = state.transfers.deltas.setdefault(resource, {})
-            for at, delta in deltas.items():
-                kept[at] = kept.get(at, 0) + sign * delta
-                if not kept[at]:
-                    del kept[at]
-            if not kept:
+        capacity = transfers.sites[resource].slots if resource in transfers.sites else 0
+    return [(0, capacity), *transfers.capacity_steps.get(resource, [])]
+
+
+def _set_pieces(state: State, record: JobRecord, pieces: tuple[Stretch, ...]) -> None:
+    """The one place where reservations change."""
+    for usage, sign in ((_usage(record.job, record.pieces), -1), (_usage(record.job, pieces), 1)):
+        for resource, changes in usage.items():
+            deltas = state.transfers.deltas.setdefault(resource, {})
+            for at, change in changes.items():
+                deltas[at] = deltas.get(at, 0) + sign * change
+                if not deltas[at]:
+                    del deltas[at]
+            if not deltas:
                 del state.transfers.deltas[resource]
-    there.pieces = pieces
+    record.pieces = pieces
 
 
-def _turn(state: State, there: Booked, to: str) -> None:
+def _set_state(state: State, record: JobRecord, to: str) -> None:
     """The one place where a job's state changes."""
-    if to not in TURNS[there.state]:
-        raise OutOfOrderError(there.job.name, state=there.state, order=to)
-    there.state = to
-    if to in ENDS:
-        moves = state.transfers
-        _book(state, there, ())
-        del moves.jobs[there.job.name]
-        moves.ended[there.job.name] = to, state.time
-        moves.next_end = min(moves.next_end, state.time + FORGET)
-        if len(moves.ended) > ENDED:
-            del moves.ended[next(iter(moves.ended))]
-
-
-def orphan(state: State, session: Session) -> None:
-    """A session is over: its jobs wait for another owner with what they have, but one that was to let go has
-    nothing any more, for nobody sends it."""
+    if to not in NEXT_STATES[record.state]:
+        raise OutOfOrderError(record.job.name, state=record.state, order=to)
+    record.state = to
+    if to in END_STATES:
+        transfers = state.transfers
+        _set_pieces(state, record, ())
+        del transfers.jobs[record.job.name]
+        transfers.ended[record.job.name] = to, state.time
+        transfers.next_end = min(transfers.next_end, state.time + FORGET_US)
+        if len(transfers.ended) > MAX_ENDED_JOBS:
+            del transfers.ended[next(iter(transfers.ended))]
+
+
+def orphan_jobs(state: State, session: Session) -> None:
+    """Has the jobs of a session that ends wait for another owner.
+
+    They keep their reservations, but for recalled ones, whose bytes nobody sends any more.
+    """
     for name in sorted(state.transfers.jobs):
-        there = state.transfers.jobs[name]
-        if there.owner == session.fence.session:
-            if there.state == RECALLED:
-                _book(state, there, ())
-            there.owner = 0
-            _turn(state, there, ORPHAN)
-
-
-def free(state: State) -> None:
-    """Jobs end by themselves, and outcomes are forgotten, when the books' time has come to it."""
-    moves = state.transfers
-    if state.time < moves.next_end:
+        record = state.transfers.jobs[name]
+        if record.owner == session.fence.session:
+            if record.state == RECALLED:
+                _set_pieces(state, record, ())
+            record.owner = 0
+            _set_state(state, record, ORPHAN)
+
+
+def expire(state: State) -> None:
+    """Ends jobs, and forgets ended ones, whose time is over by the state machine's time."""
+    transfers = state.transfers
+    if state.time < transfers.next_end:
         return
-    for name in sorted(moves.jobs):
-        if moves.jobs[name].job.deadline + GRACE <= state.time:
-            _turn(state, moves.jobs[name], EXPIRED)
-    moves.ended = {name: end for name, end in moves.ended.items() if end[1] + FORGET > state.time}
+    for name in sorted(transfers.jobs):
+        if transfers.jobs[name].job.deadline + GRACE_US <= state.time:
+            _set_state(state, transfers.jobs[name], EXPIRED)
+    transfers.ended = {name: end for name, end in transfers.ended.items() if end[1] + FORGET_US > state.time}
     _set_next_end(state)
 
 
 def _set_next_end(state: State) -> None:
-    moves = state.transfers
-    moves.next_end = min(
+    transfers = state.transfers
+    transfers.next_end = min(
         [
-            NUMBER,
-            *(one.job.deadline + GRACE for one in moves.jobs.values()),
-            *(at + FORGET for _, at in moves.ended.values()),
+            MAX_NUMBER,
+            *(record.job.deadline + GRACE_US for record in transfers.jobs.values()),
+            *(at + FORGET_US for _, at in transfers.ended.values()),
         ]
     )
 
 
-# What those who plan look at
+# Views for planners
 
 
-def kept(state: State) -> tuple[Kept, ...]:
+def job_views(state: State) -> tuple[JobView, ...]:
+    """Returns the jobs that have not ended, by name."""
     return tuple(
-        Kept(one.job, one.owner, one.pieces, one.proven, one.state)
-        for _, one in sorted(state.transfers.jobs.items())
+        JobView(record.job, record.owner, record.pieces, record.proven, record.state)
+        for _, record in sorted(state.transfers.jobs.items())
     )
 
 
 def resources(state: State) -> tuple[str, ...]:
-    moves = state.transfers
-    return tuple(sorted(moves.links.keys() | moves.sites.keys() | moves.deltas.keys()))
-
-
-def room(state: State, resource: str, first: int, until: int) -> tuple[int, ...]:
-    caps, base = _usable(state, resource), state.transfers.deltas.get(resource, {})
-    steps = dict(caps)
-    usable = [amount for at, amount in caps if at <= first][-1]
-    total = sum(amount for at, amount in base.items() if at < first)
-    found = []
-    for at in range(first, min(until, first + HORIZON)):
-        usable, total = steps.get(at, usable), total + base.get(at, 0)
-        found.append(usable - total)
-    return tuple(found)
-
-
-def is_over(state: State, resource: str) -> bool:
-    """Whether more is reserved than there is, now or later."""
-    caps, base = dict(_usable(state, resource)), state.transfers.deltas.get(resource, {})
-    points, now = sorted(caps.keys() | base.keys()), state.time // SLICE
-    usable = total = 0
-    for at, until in zip(points, [*points[1:], AMOUNT], strict=True):
-        usable, total = caps.get(at, usable), total + base.get(at, 0)
-        if until > now and total > usable:
+    """Returns the names of all links and sites that are set or reserved."""
+    transfers = state.transfers
+    return tuple(sorted(transfers.links.keys() | transfers.sites.keys() | transfers.deltas.keys()))
+
+
+def free_capacity(state: State, resource: str, first: int, until: int) -> tuple[int, ...]:
+    """Returns what is free in each slice from `first` to before `until`; below 0 where over-reserved."""
+    steps = _capacity_steps(state, resource)
+    deltas = state.transfers.deltas.get(resource, {})
+    capacities = dict(steps)
+    capacity = [amount for at, amount in steps if at <= first][-1]
+    reserved = sum(amount for at, amount in deltas.items() if at < first)
+    free = []
+    for at in range(first, min(until, first + HORIZON_SLICES)):
+        capacity = capacities.get(at, capacity)
+        reserved += deltas.get(at, 0)
+        free.append(capacity - reserved)
+    return tuple(free)
+
+
+def is_over_reserved(state: State, resource: str) -> bool:
+    """Returns whether more is reserved than there is, now or later."""
+    capacities = dict(_capacity_steps(state, resource))
+    deltas = state.transfers.deltas.get(resource, {})
+    points = sorted(capacities.keys() | deltas.keys())
+    now = state.time // SLICE_US
+    capacity = reserved = 0
+    for at, until in zip(points, [*points[1:], MAX_AMOUNT], strict=True):
+        capacity = capacities.get(at, capacity)
+        reserved += deltas.get(at, 0)
+        if until > now and reserved > capacity:
             return True
     return False
 
 
-# As it goes from one keeper to another
+# Serialization
 
 
-def plain(state: State) -> list:
-    moves = state.transfers
+def to_plain(state: State) -> list:
+    """Returns the transfers as nested lists of ints and strings."""
+    transfers = state.transfers
     jobs = [
         [
-            list(one.job),
-            one.owner,
-            [[*piece[:3], list(piece.way)] for piece in one.pieces],
-            one.proven,
-            one.state,
+            list(record.job),
+            record.owner,
+            [[*piece[:3], list(piece.way)] for piece in record.pieces],
+            record.proven,
+            record.state,
         ]
-        for _, one in sorted(moves.jobs.items())
+        for _, record in sorted(transfers.jobs.items())
     ]
     return [
-        [list(one) for one in moves.links.values()],
-        [list(one) for one in moves.sites.values()],
-        [[name, [list(one) for one in moves.steps[name]]] for name in sorted(moves.steps)],
+        [list(link) for link in transfers.links.values()],
+        [list(site) for site in transfers.sites.values()],
+        [
+            [name, [list(step) for step in transfers.capacity_steps[name]]]
+            for name in sorted(transfers.capacity_steps)
+        ],
         jobs,
-        [[name, *end] for name, end in moves.ended.items()],
+        [[name, *end] for name, end in transfers.ended.items()],
     ]
 
 
-def read(state: State, written: list) -> None:
-    """Raises ValueError, TypeError, LookupError or AttributeError for what was not written by `plain`."""
-    moves = state.transfers
-    links, sites, steps, jobs, ended = written
-    moves.links = {named(one[0], one[1]): Link(*one) for one in links}
-    moves.sites = {one[0]: Site(*one) for one in sites}
-    moves.steps = {name: [(since, amount) for since, amount in there] for name, there in steps}
-    moves.ended = {name: (how, at) for name, how, at in ended}
-    for job, owner, pieces, proven, how in jobs:
-        if how not in TURNS:
-            raise ValueError(f"a job is '{how}'")
-        there = moves.jobs[job[0]] = Booked(Job(*job), owner, (), proven, how)
-        _book(state, there, tuple(Stretch(*piece[:3], tuple(piece[3])) for piece in pieces))
+def restore(state: State, plain: list) -> None:
+    """Sets what `to_plain` returned.
+
+    Raises ValueError, TypeError, LookupError or AttributeError for anything else.
+    """
+    transfers = state.transfers
+    links, sites, capacity_steps, jobs, ended = plain
+    transfers.links = {link_name(link[0], link[1]): Link(*link) for link in links}
+    transfers.sites = {site[0]: Site(*site) for site in sites}
+    transfers.capacity_steps = {
+        name: [(since, amount) for since, amount in steps] for name, steps in capacity_steps
+    }
+    transfers.ended = {name: (end_state, at) for name, end_state, at in ended}
+    for job, owner, pieces, proven, job_state in jobs:
+        if job_state not in NEXT_STATES:
+            raise ValueError(f"a job is '{job_state}'")
+        record = transfers.jobs[job[0]] = JobRecord(Job(*job), owner, (), proven, job_state)
+        _set_pieces(state, record, tuple(Stretch(*piece[:3], tuple(piece[3])) for piece in pieces))
     _set_next_end(state)
--- a/laurelcourse/fleet/books/state.py
+++ b/laurelcourse/fleet/books/state.py
@@ -1,91 +1,127 @@
-"""What the fleet's common books keep, and how much of it at most.
+"""The data of the fleet's state machine, and its bounds.
 
-Every keeper must come to the same state from the same log, so the bounds are constants and not settings: a
-process with another file of settings would else refuse what the others carry out. Times are whole
-microseconds of the books' own account, amounts whole numbers.
+All keepers must reach the same state from the same log, so the bounds are constants instead of settings: a
+process with other settings would refuse what the others apply. Times are whole microseconds of the state
+machine's own time, amounts whole numbers.
 """
 
 from laurelcourse.fleet.books.forms import Budget, Done, Fence, Job, Limits, Link, Site, Stretch
 from laurelcourse.fleet.workflows.definition import Definition
 
-MARKS = 64  # of each live session, whose outcomes are kept
-PAST = 1_000  # names without a live session whose boots are remembered
-SESSIONS = 4_096  # live at once
-BUDGETS = 256  # defined at once
-SCOPES = 4_096  # budgets and keys of them (`name/key`) with anything in use
-SHARES = 1 << 18  # of all sessions in all scopes
-PIECES = 64  # of one scope that wait for their time to be free
-FLOWS = 1 << 16  # workflows, finished ones with them
-VALUES = 64  # of one workflow
-LIMITS = Limits(10_000, 1_000, 1_000, 3_600_000_000)  # until the leader has told others
-TEXT = 256  # bytes of a name, a site, a scope
-AMOUNT = 1 << 48  # the largest amount or duration: no sum of as many as there may be leaves 63 bits
-NUMBER = (1 << 63) - 1
+MAX_AMOUNT = 1 << 48  # the largest amount or duration: no possible sum exceeds 63 bits
+MAX_NUMBER = (1 << 63) - 1
+MAX_TEXT_BYTES = 256  # of a name, a site, a scope
+
+# Sessions
+MAX_SESSIONS = 4_096  # live at once
+MAX_PAST_SESSIONS = 1_000  # names without a live session whose last session is remembered
+MAX_RESULTS = 64  # of each live session: the last marks whose results are remembered
+
+# Budgets
+MAX_BUDGETS = 256  # defined at once
+MAX_SCOPES = 4_096  # budgets and their keys (`name/key`) with anything in use
+MAX_SHARES = 1 << 18  # of all sessions in all scopes
+MAX_PENDING = 64  # amounts of one scope that wait for their time to be free
+
+# Workflows
+MAX_WORKFLOWS = 1 << 16  # ended ones included
+MAX_VALUES = 64  # of one workflow
+# Until the leader has set others.
+DEFAULT_LIMITS = Limits(in_flight=10_000, by_tenant=1_000, behind=1_000, keeps=3_600_000_000)
+
+# Transfers
+SLICE_US = 1_000_000  # reserved rates change only between slices, so that sums are exact
+GRACE_US = 60_000_000  # for which a job keeps its reservations after its deadline
+FORGET_US = 86_400_000_000  # for which a job's end is remembered
+HORIZON_SLICES = 1_000_000  # how far ahead a job may reserve
+MAX_JOBS = 4_096  # with reservations
+MAX_ENDED_JOBS = 4_096  # whose ends are remembered
+MAX_JOB_PIECES = 256
+MAX_LINKS = 256
+MAX_SITES = 64
+MAX_CAPACITY_STEPS = 16  # of one resource
 
 
 class Session:
-    """A live one. `dones`: of its last marks; `forgotten`: the highest mark that is no longer kept."""
+    """A live session."""
 
-    __slots__ = ("dones", "fence", "forgotten", "mark", "opened", "scopes", "site")
+    __slots__ = ("fence", "forgotten_mark", "open_mark", "opened_index", "results", "scopes", "site")
 
-    def __init__(self, fence: Fence, site: str, mark: int, opened: int) -> None:
-        self.fence, self.site, self.mark, self.opened = fence, site, mark, opened
-        self.dones: dict[int, Done] = {}
-        self.forgotten = 0
-        self.scopes: set[str] = set()  # where it holds a share: found from the scopes, not kept twice
+    def __init__(self, fence: Fence, site: str, open_mark: int, opened_index: int) -> None:
+        """`open_mark`: of its `Open`; `opened_index`: of the log entry that opened it."""
+        self.fence = fence
+        self.site = site
+        self.open_mark = open_mark
+        self.opened_index = opened_index
+        self.results: dict[int, Done] = {}  # of its last marks
+        self.forgotten_mark = 0  # the highest mark whose result is no longer remembered
+        self.scopes: set[str] = set()  # where it holds a share; derived from the scopes when restored
 
 
-class Past:
-    """The last session of a name that has none now."""
+class PastSession:
+    """The last session of a name that has no live one."""
 
-    __slots__ = ("boot", "mark", "session")
+    __slots__ = ("boot", "open_mark", "session")
 
-    def __init__(self, boot: int, session: int, mark: int) -> None:
-        self.boot, self.session, self.mark = boot, session, mark
+    def __init__(self, boot: int, session: int, open_mark: int) -> None:
+        self.boot = boot
+        self.session = session
+        self.open_mark = open_mark
 
 
 class Scope:
-    """One whole being divided: a budget, or a key of it. `shares`: by session, granted and wanted, where
-    granted is above 0. `pieces`: when each is free, and how much; nobody's share, yet it may be in use."""
+    """One whole that is divided: a budget, or a key of it."""
 
-    __slots__ = ("pieces", "shares")
+    __slots__ = ("pending", "shares")
 
     def __init__(self) -> None:
-        self.shares: dict[int, tuple[int, int]] = {}
-        self.pieces: list[tuple[int, int]] = []
+        self.shares: dict[int, tuple[int, int]] = {}  # by session: granted (above 0), wanted
+        self.pending: list[tuple[int, int]] = []  # when it is free, amount: nobody's, but maybe still in use
 
-    def held(self) -> int:
-        return sum(amount for _, amount in self.pieces)
+    def pending_amount(self) -> int:
+        """Returns what nobody has a share of, but may still be in use."""
+        return sum(amount for _, amount in self.pending)
 
     def in_use(self) -> int:
-        return sum(granted for granted, _ in self.shares.values()) + self.held()
+        """Returns what may be in use."""
+        return sum(granted for granted, _ in self.shares.values()) + self.pending_amount()
 
 
-class Try:
-    """One step of a workflow. `tries` of itself and `undo_tries` never fall: req ids come from them."""
+class StepState:
+    """One step of a workflow. `tries` and `undo_tries` never decrease: req ids are made from them."""
 
-    __slots__ = ("allowed", "by", "first", "maybe", "state", "tries", "undo_tries")
+    __slots__ = (
+        "allowed_tries",
+        "first_intended_at",
+        "intended_by",
+        "maybe_ran",
+        "state",
+        "tries",
+        "undo_tries",
+    )
 
-    def __init__(self, allowed: int) -> None:
+    def __init__(self, allowed_tries: int) -> None:
         self.state = "new"
-        self.tries = self.undo_tries = 0
-        self.allowed = allowed  # tries until it is stuck
-        self.maybe = 0  # 1 once the fate of any try was unknown
-        self.by = self.first = 0  # the session that intended last; when it was intended first
+        self.tries = 0
+        self.undo_tries = 0
+        self.allowed_tries = allowed_tries  # until it is stuck
+        self.maybe_ran = 0  # 1 once the outcome of any try was unknown
+        self.intended_by = 0  # the session of the last intent
+        self.first_intended_at = 0
 
 
-class Flow:
-    """A workflow. `since`: when its owner came by it; `ended`: when it was finished, 0 before."""
+class Workflow:
+    """A workflow."""
 
     __slots__ = (
-        "began",
+        "began_at",
         "definition",
-        "ended",
-        "left",
+        "ended_at",
+        "leave_reason",
         "mark",
         "number",
+        "owned_since",
         "owner",
-        "since",
         "state",
         "steps",
         "tenant",
@@ -93,104 +129,121 @@
     )
 
     def __init__(self, number: int, tenant: str, mark: str, definition: Definition, owner: int) -> None:
-        self.number, self.tenant, self.mark, self.owner = number, tenant, mark, owner
+        self.number = number
+        self.tenant = tenant
+        self.mark = mark  # the client's idempotency key
         self.definition = definition
+        self.owner = owner  # a session
         self.values: tuple[tuple[str, str], ...] = ()
-        self.state, self.left = "forward", ""
-        self.began = self.since = self.ended = 0
-        self.steps = [Try(definition.tries) for _ in definition.steps]
+        self.state = "forward"
+        self.leave_reason = ""  # LEFT, LATE or GAVE_UP once it was turned back
+        self.began_at = 0
+        self.owned_since = 0  # when its owner got it
+        self.ended_at = 0  # 0: it has not ended
+        self.steps = [StepState(definition.tries) for _ in definition.steps]
 
 
-class Flows:
-    """All workflows. What can be counted from `all` is kept beside it, and counted anew when read."""
+class Workflows:
+    """All workflows. What follows from `by_number` is kept beside it, and derived when restored."""
 
-    __slots__ = ("all", "behind", "by_tenant", "ended", "last", "limits", "marks", "open")
+    __slots__ = (
+        "behind",
+        "by_mark",
+        "by_number",
+        "ended",
+        "in_flight",
+        "in_flight_by_tenant",
+        "last_number",
+        "limits",
+    )
 
     def __init__(self) -> None:
-        self.last, self.limits = 0, LIMITS
-        self.all: dict[int, Flow] = {}
-        self.marks: dict[tuple[str, str], int] = {}
-        self.open: dict[int, Flow] = {}
-        self.ended: dict[int, Flow] = {}  # in the order in which they ended
-        self.by_tenant: dict[str, int] = {}  # open ones
-        self.behind = 0
+        self.last_number = 0
+        self.limits = DEFAULT_LIMITS
+        self.by_number: dict[int, Workflow] = {}
+        self.by_mark: dict[tuple[str, str], int] = {}  # by tenant and mark
+        self.in_flight: dict[int, Workflow] = {}
+        self.in_flight_by_tenant: dict[str, int] = {}
+        self.ended: dict[int, Workflow] = {}  # in the order in which they ended
+        self.behind = 0  # undoing or stuck
 
 
-# Transfers
-SLICE = 1_000_000  # microseconds: reserved rates change only between slices, so sums are exact
-GRACE = 60_000_000  # after its deadline a job keeps what it has so long, then all is freed
-FORGET = 86_400_000_000  # so long after its end a job's outcome is known
-JOBS, ENDED = 4_096, 4_096  # jobs that hold something; outcomes kept
-JOB_PIECES = 256
-LINKS, SITES, STEPS = 256, 64, 16
-HORIZON = 1_000_000  # slices that a job may reach ahead
-
-
-class Booked:
-    """A job with what it has reserved. `owner`: a session, 0 for an orphan."""
+class JobRecord:
+    """A transfer job with its reservations."""
 
     __slots__ = ("job", "owner", "pieces", "proven", "state")
 
     def __init__(self, job: Job, owner: int, pieces: tuple[Stretch, ...], proven: int, state: str) -> None:
-        self.job, self.owner, self.pieces, self.proven, self.state = job, owner, pieces, proven, state
+        """`owner`: a session, or 0 once that has ended; `proven`: bytes."""
+        self.job = job
+        self.owner = owner
+        self.pieces = pieces
+        self.proven = proven
+        self.state = state
 
 
 class Transfers:
-    """`steps`: of each resource, from which slice on how much may be reserved, as told by Shrink. `deltas`:
-    where what is reserved rises and falls; found from the jobs, not kept twice."""
+    """Links, sites and jobs."""
 
-    __slots__ = ("deltas", "ended", "jobs", "links", "next_end", "sites", "steps")
+    __slots__ = ("capacity_steps", "deltas", "ended", "jobs", "links", "next_end", "sites")
 
     def __init__(self) -> None:
         self.links: dict[str, Link] = {}
         self.sites: dict[str, Site] = {}
-        self.steps: dict[str, list[tuple[int, int]]] = {}
-        self.jobs: dict[str, Booked] = {}
+        # By resource: from which slice on how much may be reserved, as set by Shrink.
+        self.capacity_steps: dict[str, list[tuple[int, int]]] = {}
+        self.jobs: dict[str, JobRecord] = {}
         self.ended: dict[str, tuple[str, int]] = {}  # how and when, in the order in which they ended
+        # By resource and slice: how the reserved sum changes there. Derived from the jobs when restored.
         self.deltas: dict[str, dict[int, int]] = {}
-        self.next_end = NUMBER  # nothing ends by itself before
+        self.next_end = MAX_NUMBER  # no job or memory of one expires before
 
 
 class State:
+    """All of the state machine's data."""
+
     __slots__ = (
         "budgets",
-        "flows",
         "index",
-        "last",
-        "leaving",
-        "live",
-        "names",
-        "next_free",
-        "past",
+        "last_session",
+        "live_sessions",
+        "next_release",
+        "past_sessions",
+        "removed_budgets",
         "scopes",
-        "shares",
+        "session_by_name",
+        "share_count",
         "time",
         "transfers",
+        "workflows",
     )
 
     def __init__(self) -> None:
-        self.flows = Flows()
-        self.index = self.time = self.last = 0  # last: the session opened last
-        self.live: dict[int, Session] = {}
-        self.names: dict[str, int] = {}  # of the live ones
-        self.past: dict[str, Past] = {}  # in the order in which they ended
+        self.workflows = Workflows()
+        self.index = 0  # of the last entry applied
+        self.time = 0
+        self.last_session = 0  # the session opened last
+        self.live_sessions: dict[int, Session] = {}
+        self.session_by_name: dict[str, int] = {}  # live ones
+        self.past_sessions: dict[str, PastSession] = {}  # by name, in the order in which they ended
         self.budgets: dict[str, Budget] = {}  # in the order of the settings
-        self.leaving: dict[str, Budget] = {}  # no longer in the settings, but still in use
+        self.removed_budgets: dict[str, Budget] = {}  # no longer in the settings, but still in use
         self.scopes: dict[str, Scope] = {}
-        self.shares = 0  # how many, in all scopes
-        self.next_free = NUMBER  # no piece is free before
+        self.share_count = 0  # in all scopes
+        self.next_release = MAX_NUMBER  # no pending amount is free before
         self.transfers = Transfers()
 
 
-def number(value: object, least: int = 0, most: int = AMOUNT) -> bool:
-    return type(value) is int and least <= value <= most
+def is_number(value: object, minimum: int = 0, maximum: int = MAX_AMOUNT) -> bool:
+    """Returns whether a value is an int (and no bool) within its bounds."""
+    return type(value) is int and minimum <= value <= maximum
 
 
-def text(value: object, least: int = 1) -> bool:
-    """Names stand in log lines and files: no controls, nothing that can't be encoded."""
-    if type(value) is not str or any(one < " " or one == "\x7f" for one in value):
+def is_text(value: object, min_bytes: int = 1) -> bool:
+    """Returns whether a value can be a name in logs and files: encodable, without control characters."""
+    if type(value) is not str or any(character < " " or character == "\x7f" for character in value):
         return False
     try:
-        return least <= len(value.encode()) <= TEXT
+        return min_bytes <= len(value.encode()) <= MAX_TEXT_BYTES
     except UnicodeEncodeError:
         return False
--- a/laurelcourse/fleet/books/workflows.py
+++ b/laurelcourse/fleet/books/workflows.py
@@ -1,28 +1,28 @@
-"""Workflows in the books: every transition is checked against the definition stored with the workflow.
-
-Sagas (Garcia-Molina, Salem 1987). An intent stands here before its req is sent, the result before the next
-intent. Undos go in reverse order of completion, one at a time; a step known never to have run has none; one
-of unknown fate is undone as if it had run. Behind the point of no return a step that may not be repeated and
-whose fate is unknown is SPENT: the workflow goes on to its end, and states it; a deduplicated one that is out
-of its memory is stuck unless its loss is harmless. Times are microseconds by the
-books' account. A refusal changes nothing.
+"""Workflows in the state machine: each transition is checked against the definition stored with the workflow.
+
+Sagas (Garcia-Molina, Salem 1987). An intent is recorded before its req is sent, the result before the next
+intent. Undos go in reverse order of completion, one at a time; a step known never to have run has none, one
+of unknown outcome is undone as if it had run. At and behind the point of no return, a step that may not be
+repeated and whose outcome is unknown is SPENT: the workflow goes on to its end and reports it. A deduplicated
+step whose repeats are no longer recognized makes the workflow stuck, unless its loss is harmless. Times are
+microseconds of the state machine's time. A refused command changes nothing.
 """
 
 from typing import NamedTuple
 
-from laurelcourse.fleet.books import forms as f
+from laurelcourse.fleet.books import forms
 from laurelcourse.fleet.books.state import (
-    AMOUNT,
-    FLOWS,
-    NUMBER,
-    VALUES,
-    Flow,
-    Flows,
+    MAX_AMOUNT,
+    MAX_NUMBER,
+    MAX_VALUES,
+    MAX_WORKFLOWS,
     Session,
     State,
-    Try,
-    number,
-    text,
+    StepState,
+    Workflow,
+    Workflows,
+    is_number,
+    is_text,
 )
 from laurelcourse.fleet.errors import (
     CrowdedError,
@@ -33,13 +33,17 @@
     OutOfOrderError,
     UnreadableError,
 )
-from laurelcourse.fleet.workflows import definition as d
+from laurelcourse.fleet.workflows import definition as definitions
 from laurelcourse.settings import DEDUPED, NON_RETRIABLE
 
-# Of a workflow
-FORWARD, UNDOING, STUCK, DONE, UNDONE = "forward", "undoing", "stuck", "done", "undone"
-ENDED = DONE, UNDONE
-MOVES = {
+# States of a workflow, and which may follow.
+FORWARD = "forward"
+UNDOING = "undoing"
+STUCK = "stuck"
+DONE = "done"
+UNDONE = "undone"
+END_STATES = (DONE, UNDONE)
+NEXT_STATES = {
     FORWARD: (UNDOING, STUCK, DONE, UNDONE),
     UNDOING: (STUCK, UNDONE),
     STUCK: (FORWARD, UNDOING, DONE, UNDONE),
@@ -47,13 +51,21 @@
     UNDONE: (),
 }
 
-# Of a step. MAYBE: it may have run; SPENT: it may have, and is not sent again; LOST: done without it.
-NEW, INTENDED, COMPLETED, NEVER_RAN, FAILED = "new", "intended", "completed", "never_ran", "failed"
-MAYBE, SPENT, LOST = "maybe", "spent", "lost"
-UNDO_INTENDED, UNDO_DUE, STEP_UNDONE = "undo_intended", "undo_due", "undone"
-SETTLED = COMPLETED, SPENT, LOST
-TO_UNDO = COMPLETED, MAYBE, UNDO_INTENDED, UNDO_DUE
-STEP_MOVES = {
+# States of a step, and which may follow.
+NEW = "new"
+INTENDED = "intended"
+COMPLETED = "completed"
+NEVER_RAN = "never_ran"
+FAILED = "failed"
+MAYBE = "maybe"  # it may have run
+SPENT = "spent"  # it may have run, and is not sent again
+LOST = "lost"  # the workflow goes on without it
+UNDO_INTENDED = "undo_intended"
+UNDO_DUE = "undo_due"
+STEP_UNDONE = "undone"
+SETTLED_STEP_STATES = (COMPLETED, SPENT, LOST)
+UNDOABLE_STEP_STATES = (COMPLETED, MAYBE, UNDO_INTENDED, UNDO_DUE)
+NEXT_STEP_STATES = {
     NEW: (INTENDED,),
     INTENDED: (COMPLETED, NEVER_RAN, FAILED, MAYBE, SPENT, LOST),
     NEVER_RAN: (INTENDED, COMPLETED),
@@ -69,454 +81,581 @@
 
 
 class StepView(NamedTuple):
+    """One step as relays see it; the fields are those of `state.StepState`."""
+
     state: str
     tries: int
     undo_tries: int
-    allowed: int
-    maybe: int
-    by: int
-    first: int
+    allowed_tries: int
+    maybe_ran: int
+    intended_by: int
+    first_intended_at: int
+
 
+class WorkflowView(NamedTuple):
+    """A workflow as relays see it; the fields are those of `state.Workflow`."""
 
-class View(NamedTuple):
     number: int
     tenant: str
     mark: str
-    definition: d.Definition
+    definition: definitions.Definition
     values: tuple[tuple[str, str], ...]
     owner: int
-    began: int
-    since: int
+    began_at: int
+    owned_since: int
     state: str
-    left: str
-    ended: int
+    leave_reason: str
+    ended_at: int
     steps: tuple[StepView, ...]
 
 
-def view(flow: Flow) -> View:
-    return View(
-        flow.number,
-        flow.tenant,
-        flow.mark,
-        flow.definition,
-        flow.values,
-        flow.owner,
-        flow.began,
-        flow.since,
-        flow.state,
-        flow.left,
-        flow.ended,
-        tuple(map(_step_view, flow.steps)),
+def view(workflow: Workflow) -> WorkflowView:
+    """Returns a workflow as relays see it."""
+    return WorkflowView(
+        workflow.number,
+        workflow.tenant,
+        workflow.mark,
+        workflow.definition,
+        workflow.values,
+        workflow.owner,
+        workflow.began_at,
+        workflow.owned_since,
+        workflow.state,
+        workflow.leave_reason,
+        workflow.ended_at,
+        tuple(map(_step_view, workflow.steps)),
     )
 
 
-def _step_view(one: Try) -> StepView:
-    return StepView(one.state, one.tries, one.undo_tries, one.allowed, one.maybe, one.by, one.first)
+def _step_view(step: StepState) -> StepView:
+    return StepView(
+        step.state,
+        step.tries,
+        step.undo_tries,
+        step.allowed_tries,
+        step.maybe_ran,
+        step.intended_by,
+        step.first_intended_at,
+    )
 
 
-def key(workflow: int, step: int, undo: bool) -> str:
-    """What all tries of one step, or of its undo, share: by it units know a repeat."""
+def deduplication_key(workflow: int, step: int, undo: bool) -> str:
+    """Returns the key that all tries of a step, or of its undo, share: units recognize repeats by it."""
     return f"w{workflow}.{step}.{'undo' if undo else 'do'}"
 
 
 def req_id(workflow: int, step: int, undo: bool, tried: int) -> str:
-    """Of one try, and of no other ever: numbers of workflows and of tries only count up."""
-    return f"{key(workflow, step, undo)}.{tried}"
+    """Returns the id of one try, which no other ever has: numbers of workflows and tries only count up."""
+    return f"{deduplication_key(workflow, step, undo)}.{tried}"
 
 
-# Where a workflow stands, of a Flow as of a View
+# Where a workflow stands
 
 
-def current(flow: Flow | View) -> int:
-    """The step that is on forward; the number of steps if all are settled."""
-    return next((at for at, one in enumerate(flow.steps) if one.state not in SETTLED), len(flow.steps))
+def current_step(workflow: Workflow | WorkflowView) -> int:
+    """Returns the index of the step to go on with; the number of steps if all are settled."""
+    return next(
+        (index for index, step in enumerate(workflow.steps) if step.state not in SETTLED_STEP_STATES),
+        len(workflow.steps),
+    )
 
 
-def to_undo(flow: Flow | View) -> int:
-    """The step that is undone next, the last one that may have run; -1: none is left."""
+def step_to_undo(workflow: Workflow | WorkflowView) -> int:
+    """Returns the index of the step to undo next, the last one that may have run; -1 if none is left."""
     return max(
         (
-            at
-            for at, one in enumerate(flow.steps)
-            if one.state in TO_UNDO and flow.definition.steps[at].effect
+            index
+            for index, step in enumerate(workflow.steps)
+            if step.state in UNDOABLE_STEP_STATES and workflow.definition.steps[index].effect
         ),
         default=-1,
     )
 
 
-def passed(flow: Flow | View) -> bool:
-    """Whether the point of no return may be passed."""
-    return any(one.state in (INTENDED, MAYBE, *SETTLED) for one in flow.steps[flow.definition.point() :])
+def passed_no_return(workflow: Workflow | WorkflowView) -> bool:
+    """Returns whether the point of no return may be passed."""
+    return any(
+        step.state in (INTENDED, MAYBE, *SETTLED_STEP_STATES)
+        for step in workflow.steps[workflow.definition.no_return_index() :]
+    )
+
 
+def is_repeatable(workflow: Workflow | WorkflowView, index: int, time: int) -> bool:
+    """Returns whether a try of unknown outcome may be repeated.
 
-def repeatable(flow: Flow | View, at: int, time: int) -> bool:
-    """Whether a try of unknown fate may be sent once more: never a non-retriable one, and a deduplicated one
-    only while its first is surely remembered."""
-    send = flow.definition.steps[at].send
+    A non-retriable step never is; a deduplicated one only while units surely remember its first try.
+    """
+    send = workflow.definition.steps[index].send
     if send.repeat == NON_RETRIABLE:
         return False
-    return send.repeat != DEDUPED or time + send.timeout <= flow.steps[at].first + send.memory
+    first_intended_at = workflow.steps[index].first_intended_at
+    return send.repeat != DEDUPED or time + send.timeout <= first_intended_at + send.memory
 
 
-def ripe(flow: Flow | View, at: int, undo: bool, time: int) -> bool:
-    """Whether a try can be called unknown. The former owner may have sent up to the end of its lease, and
-    its req may run until its timeout: an undo that came before it would leave it behind."""
-    step = flow.definition.steps[at]
+def can_be_unknown(workflow: Workflow | WorkflowView, index: int, undo: bool, time: int) -> bool:
+    """Returns whether the outcome of a try can be called unknown.
+
+    The former owner may have sent it up to the end of its lease, and its req may run until its timeout: an
+    undo that came before it would leave its effect behind.
+    """
+    step = workflow.definition.steps[index]
     send = step.undo if undo else step.send
-    return flow.steps[at].by == flow.owner or time >= flow.since + send.timeout
+    return workflow.steps[index].intended_by == workflow.owner or time >= workflow.owned_since + send.timeout
 
 
-# The one place where a workflow's state changes, and the one where a step's does
+# Changes of states
 
 
-def _move(state: State, flow: Flow, to: str) -> None:
-    if to == flow.state:
+def _set_state(state: State, workflow: Workflow, to: str) -> None:
+    """The one place where a workflow's state changes."""
+    if to == workflow.state:
         return
-    if to not in MOVES[flow.state]:
-        raise OutOfOrderError(_named(flow), state=flow.state, order=to)
-    flows, was = state.flows, flow.state
-    flows.behind += (to in (UNDOING, STUCK)) - (was in (UNDOING, STUCK))
-    flow.state = to
-    if to in ENDED:
-        flow.ended, flow.values = max(state.time, 1), ()
-        del flows.open[flow.number]
-        flows.ended[flow.number] = flow
-        _count(flows, flow.tenant, -1)
-
-
-def _step_to(flow: Flow, at: int, to: str) -> None:
-    one = flow.steps[at]
-    if to != one.state and to not in STEP_MOVES[one.state]:
-        raise OutOfOrderError(_named(flow), state=one.state, order=to)
-    one.state = to
-
-
-def _go_on(state: State, flow: Flow) -> None:
-    """After any change: whether it is finished."""
-    if flow.state == FORWARD and current(flow) == len(flow.steps):
-        _move(state, flow, DONE)
-    elif flow.state == UNDOING and to_undo(flow) < 0 and all(one.state != INTENDED for one in flow.steps):
-        _move(state, flow, UNDONE)
-
-
-def _count(flows: Flows, tenant: str, by: int) -> None:
-    left = flows.by_tenant.get(tenant, 0) + by
-    if left:
-        flows.by_tenant[tenant] = left
+    if to not in NEXT_STATES[workflow.state]:
+        raise OutOfOrderError(_name_of(workflow), state=workflow.state, order=to)
+    workflows = state.workflows
+    was = workflow.state
+    workflows.behind += (to in (UNDOING, STUCK)) - (was in (UNDOING, STUCK))
+    workflow.state = to
+    if to in END_STATES:
+        workflow.ended_at = max(state.time, 1)
+        workflow.values = ()
+        del workflows.in_flight[workflow.number]
+        workflows.ended[workflow.number] = workflow
+        _count_in_flight(workflows, workflow.tenant, -1)
+
+
+def _set_step_state(workflow: Workflow, index: int, to: str) -> None:
+    """The one place where a step's state changes."""
+    step = workflow.steps[index]
+    if to != step.state and to not in NEXT_STEP_STATES[step.state]:
+        raise OutOfOrderError(_name_of(workflow), state=step.state, order=to)
+    step.state = to
+
+
+def _end_if_finished(state: State, workflow: Workflow) -> None:
+    if workflow.state == FORWARD and current_step(workflow) == len(workflow.steps):
+        _set_state(state, workflow, DONE)
+    elif (
+        workflow.state == UNDOING
+        and step_to_undo(workflow) < 0
+        and all(step.state != INTENDED for step in workflow.steps)
+    ):
+        _set_state(state, workflow, UNDONE)
+
+
+def _count_in_flight(workflows: Workflows, tenant: str, change: int) -> None:
+    count = workflows.in_flight_by_tenant.get(tenant, 0) + change
+    if count:
+        workflows.in_flight_by_tenant[tenant] = count
     else:
-        flows.by_tenant.pop(tenant, None)
+        workflows.in_flight_by_tenant.pop(tenant, None)
 
 
 # Commands
 
 
-def carry_out(state: State, session: Session, what: f.What) -> tuple:
-    """The value of its Done. Raises FleetErrors."""
-    match what:
-        case f.Begin():
-            return _begin(state, session.fence.session, what)
-        case f.Intend():
-            return _intend(state, session.fence.session, what)
-        case f.Result():
-            return _result(state, session.fence.session, what)
-        case f.Leave():
-            return _leave(state, what)
-        case f.Settle():
-            return _settle(state, what)
-        case f.Adopt():
-            return adopt(state, what, session.fence.session)
+def apply_command(state: State, session: Session, command: forms.What) -> tuple:
+    """Applies a session's command and returns its value. Raises FleetErrors."""
+    match command:
+        case forms.Begin():
+            return _begin(state, session.fence.session, command)
+        case forms.Intend():
+            return _intend(state, session.fence.session, command)
+        case forms.Result():
+            return _record_result(state, session.fence.session, command)
+        case forms.Leave():
+            return _leave(state, command)
+        case forms.Settle():
+            return _settle(state, command)
+        case forms.Adopt():
+            return adopt(state, command, session.fence.session)
     raise UnreadableError("workflow", fault="command")
 
 
-def limit(state: State, what: f.Limits) -> None:
-    """Raises UnreadableError."""
-    if not (all(number(one, 1) for one in what) and what.in_flight <= FLOWS and what.keeps <= AMOUNT):
+def set_limits(state: State, command: forms.Limits) -> None:
+    """Sets the limits. Raises UnreadableError."""
+    if not (
+        all(is_number(limit, 1) for limit in command)
+        and command.in_flight <= MAX_WORKFLOWS
+        and command.keeps <= MAX_AMOUNT
+    ):
         raise UnreadableError("limits", fault="a figure out of its bounds")
-    state.flows.limits = what
+    state.workflows.limits = command
 
 
-def _begin(state: State, owner: int, what: f.Begin) -> tuple:
-    flows = state.flows
-    if not (text(what.tenant) and text(what.mark) and _are_values(what.values)):
+def _begin(state: State, owner: int, command: forms.Begin) -> tuple:
+    workflows = state.workflows
+    if not (is_text(command.tenant) and is_text(command.mark) and _are_values(command.values)):
         raise UnreadableError("begin", fault="tenant, mark or values")
-    there = flows.marks.get((what.tenant, what.mark))
-    if there is not None:
-        return there, flows.all[there].state
-    if not d.well_formed(what.definition):
+    number = workflows.by_mark.get((command.tenant, command.mark))
+    if number is not None:
+        return number, workflows.by_number[number].state
+    if not definitions.is_well_formed(command.definition):
         raise UnreadableError("begin", fault="definition")
-    flaw = next(d.flaws(what.definition), None)
+    flaw = next(definitions.find_flaws(command.definition), None)
     if flaw:
-        raise DefinitionRefusedError(what.definition.name, fault=flaw.words)
-    limits = flows.limits
-    for held, most, of in (
-        (flows.behind, limits.behind, "undos behind"),
-        (len(flows.open), limits.in_flight, "workflows"),
-        (flows.by_tenant.get(what.tenant, 0), limits.by_tenant, "the tenant's workflows"),
-        (len(flows.all), FLOWS, "workflows with finished ones"),
+        raise DefinitionRefusedError(command.definition.name, fault=flaw.message)
+    _check_limits(workflows, command.tenant)
+    workflows.last_number += 1
+    workflow = Workflow(workflows.last_number, command.tenant, command.mark, command.definition, owner)
+    workflow.values = command.values
+    workflow.began_at = state.time
+    workflow.owned_since = state.time
+    _register(workflows, workflow)
+    return workflow.number, workflow.state
+
+
+def _check_limits(workflows: Workflows, tenant: str) -> None:
+    limits = workflows.limits
+    for held, at_most, of in (
+        (workflows.behind, limits.behind, "undos behind"),
+        (len(workflows.in_flight), limits.in_flight, "workflows"),
+        (workflows.in_flight_by_tenant.get(tenant, 0), limits.by_tenant, "the tenant's workflows"),
+        (len(workflows.by_number), MAX_WORKFLOWS, "workflows with finished ones"),
     ):
-        if held >= most:
-            raise CrowdedError(what.tenant, held=held, at_most=most, of=of)
-    flows.last += 1
-    flow = Flow(flows.last, what.tenant, what.mark, what.definition, owner)
-    flow.values, flow.began, flow.since = what.values, state.time, state.time
-    _enter(flows, flow)
-    return flow.number, flow.state
-
-
-def _enter(flows: Flows, flow: Flow) -> None:
-    flows.all[flow.number] = flow
-    flows.marks[flow.tenant, flow.mark] = flow.number
-    if flow.ended:
-        flows.ended[flow.number] = flow
+        if held >= at_most:
+            raise CrowdedError(tenant, held=held, at_most=at_most, of=of)
+
+
+def _register(workflows: Workflows, workflow: Workflow) -> None:
+    workflows.by_number[workflow.number] = workflow
+    workflows.by_mark[workflow.tenant, workflow.mark] = workflow.number
+    if workflow.ended_at:
+        workflows.ended[workflow.number] = workflow
         return
-    flows.open[flow.number] = flow
-    flows.behind += flow.state in (UNDOING, STUCK)
-    _count(flows, flow.tenant, 1)
-
-
-def _intend(state: State, owner: int, what: f.Intend) -> tuple:
-    flow = _owned(state, owner, what)
-    one, tried = flow.steps[what.step], what.tried
-    so_far = one.undo_tries if what.undo else one.tries
-    if tried != so_far + 1:
-        raise OutOfOrderError(_named(flow), state=f"{so_far} tries", order=f"try {tried}")
-    (_may_undo if what.undo else _may_send)(state, flow, what.step)
-    _step_to(flow, what.step, UNDO_INTENDED if what.undo else INTENDED)
-    one.by = owner
-    if what.undo:
-        one.undo_tries = tried
+    workflows.in_flight[workflow.number] = workflow
+    workflows.behind += workflow.state in (UNDOING, STUCK)
+    _count_in_flight(workflows, workflow.tenant, 1)
+
+
+def _intend(state: State, owner: int, command: forms.Intend) -> tuple:
+    workflow = _find_owned(state, owner, command)
+    step = workflow.steps[command.step]
+    tried = command.tried
+    tries_before = step.undo_tries if command.undo else step.tries
+    if tried != tries_before + 1:
+        raise OutOfOrderError(_name_of(workflow), state=f"{tries_before} tries", order=f"try {tried}")
+    (_check_undo if command.undo else _check_send)(state, workflow, command.step)
+    _set_step_state(workflow, command.step, UNDO_INTENDED if command.undo else INTENDED)
+    step.intended_by = owner
+    if command.undo:
+        step.undo_tries = tried
     else:
-        one.tries, one.first = tried, one.first or max(state.time, 1)
-    return req_id(what.workflow, what.step, what.undo, tried), key(what.workflow, what.step, what.undo)
+        step.tries = tried
+        step.first_intended_at = step.first_intended_at or max(state.time, 1)
+    return (
+        req_id(command.workflow, command.step, command.undo, tried),
+        deduplication_key(command.workflow, command.step, command.undo),
+    )
 
 
-def _may_send(state: State, flow: Flow, at: int) -> None:
-    """Forward only, in order, one at a time; a non-retriable step once ever."""
-    one, send = flow.steps[at], flow.definition.steps[at].send
-    once = send.repeat == NON_RETRIABLE
-    spent = one.tries and (once or (one.maybe and not repeatable(flow, at, state.time)))
-    if flow.state != FORWARD or at != current(flow) or one.state == INTENDED or spent:
+def _check_send(state: State, workflow: Workflow, index: int) -> None:
+    """Steps are sent only forward, in order, one at a time; a non-retriable one is sent once."""
+    step = workflow.steps[index]
+    once = workflow.definition.steps[index].send.repeat == NON_RETRIABLE
+    spent = step.tries and (once or (step.maybe_ran and not is_repeatable(workflow, index, state.time)))
+    if workflow.state != FORWARD or index != current_step(workflow) or step.state == INTENDED or spent:
         raise OutOfOrderError(
-            _named(flow), state=f"{flow.state}, step {current(flow)} {one.state}", order=f"step {at}"
+            _name_of(workflow),
+            state=f"{workflow.state}, step {current_step(workflow)} {step.state}",
+            order=f"step {index}",
         )
 
 
-def _may_undo(state: State, flow: Flow, at: int) -> None:
-    """Strictly the last one that may have run, once nothing forward is on its way."""
-    pending = any(one.state in (INTENDED, UNDO_INTENDED) for one in flow.steps)
-    if flow.state != UNDOING or pending or at != to_undo(flow) or flow.definition.steps[at].undo is None:
+def _check_undo(state: State, workflow: Workflow, index: int) -> None:
+    """Only the last step that may have run is undone, and only once no step is in flight."""
+    pending = any(step.state in (INTENDED, UNDO_INTENDED) for step in workflow.steps)
+    if (
+        workflow.state != UNDOING
+        or pending
+        or index != step_to_undo(workflow)
+        or workflow.definition.steps[index].undo is None
+    ):
         raise OutOfOrderError(
-            _named(flow), state=f"{flow.state}, step {to_undo(flow)} is next", order=f"undo of step {at}"
+            _name_of(workflow),
+            state=f"{workflow.state}, step {step_to_undo(workflow)} is next",
+            order=f"undo of step {index}",
         )
 
 
-def _result(state: State, owner: int, what: f.Result) -> tuple:
-    flow = _owned(state, owner, what)
-    if what.outcome not in (f.COMPLETED, f.NEVER_RAN, f.UNKNOWN, f.FAILED):
-        raise UnreadableError(_named(flow), fault="outcome")
-    one = flow.steps[what.step]
-    tries, wanted = (one.undo_tries, UNDO_INTENDED) if what.undo else (one.tries, INTENDED)
-    out_of_memory = (
-        not what.undo
-        and one.state == MAYBE
-        and what.outcome == f.UNKNOWN
-        and passed(flow)
-        and flow.state == FORWARD
-        and not repeatable(flow, what.step, state.time)
+def _record_result(state: State, owner: int, command: forms.Result) -> tuple:
+    workflow = _find_owned(state, owner, command)
+    if command.outcome not in (forms.COMPLETED, forms.NEVER_RAN, forms.UNKNOWN, forms.FAILED):
+        raise UnreadableError(_name_of(workflow), fault="outcome")
+    step = workflow.steps[command.step]
+    tries, expected_state = (step.undo_tries, UNDO_INTENDED) if command.undo else (step.tries, INTENDED)
+    no_longer_repeatable = (
+        not command.undo
+        and step.state == MAYBE
+        and command.outcome == forms.UNKNOWN
+        and passed_no_return(workflow)
+        and workflow.state == FORWARD
+        and not is_repeatable(workflow, command.step, state.time)
     )
-    if what.tried != tries or not (one.state == wanted or out_of_memory):
+    if command.tried != tries or not (step.state == expected_state or no_longer_repeatable):
         raise OutOfOrderError(
-            _named(flow),
-            state=f"step {what.step} {one.state}, try {tries}",
-            order=f"result of try {what.tried}",
+            _name_of(workflow),
+            state=f"step {command.step} {step.state}, try {tries}",
+            order=f"result of try {command.tried}",
         )
-    if what.outcome == f.UNKNOWN and not ripe(flow, what.step, what.undo, state.time):
-        raise OutOfOrderError(_named(flow), state="the former owner's req may yet run", order="unknown")
-    if what.undo:
-        _undo_came(state, flow, what.step, what.outcome)
+    if command.outcome == forms.UNKNOWN and not can_be_unknown(
+        workflow, command.step, command.undo, state.time
+    ):
+        raise OutOfOrderError(_name_of(workflow), state="the former owner's req may yet run", order="unknown")
+    if command.undo:
+        _apply_undo_outcome(state, workflow, command.step, command.outcome)
     else:
-        _came(state, flow, what.step, what.outcome)
-    _go_on(state, flow)
-    return (flow.state,)
-
-
-def _came(state: State, flow: Flow, at: int, outcome: str) -> None:
-    one, step, point = flow.steps[at], flow.definition.steps[at], flow.definition.point()
-    if outcome != f.COMPLETED and not step.effect:
-        outcome = f.FAILED if outcome == f.FAILED else f.NEVER_RAN
-    if one.maybe and outcome != f.COMPLETED:
-        # A later try that surely did nothing proves nothing about the one before it.
-        outcome = f.UNKNOWN
-    one.maybe |= outcome == f.UNKNOWN
-    to = {f.COMPLETED: COMPLETED, f.NEVER_RAN: NEVER_RAN, f.FAILED: FAILED, f.UNKNOWN: MAYBE}[outcome]
-    once, harmless = step.send.repeat == NON_RETRIABLE, step.fails == d.HARMLESS
-    if to == COMPLETED or flow.state == UNDOING:
-        _step_to(flow, at, to)
-        return
-    if at < point:
-        _step_to(flow, at, to)
-        if to != NEVER_RAN or once:
-            _move(state, flow, UNDOING)
-    elif to == MAYBE and not repeatable(flow, at, state.time):
+        _apply_outcome(state, workflow, command.step, command.outcome)
+    _end_if_finished(state, workflow)
+    return (workflow.state,)
+
+
+def _apply_outcome(state: State, workflow: Workflow, index: int, outcome: str) -> None:
+    step = workflow.steps[index]
+    definition = workflow.definition.steps[index]
+    if outcome != forms.COMPLETED and not definition.effect:
+        outcome = forms.FAILED if outcome == forms.FAILED else forms.NEVER_RAN
+    if step.maybe_ran and outcome != forms.COMPLETED:
+        # A later try that surely had no effect proves nothing about the one before it.
+        outcome = forms.UNKNOWN
+    step.maybe_ran |= outcome == forms.UNKNOWN
+    to = {
+        forms.COMPLETED: COMPLETED,
+        forms.NEVER_RAN: NEVER_RAN,
+        forms.FAILED: FAILED,
+        forms.UNKNOWN: MAYBE,
+    }[outcome]
+    if to == COMPLETED or workflow.state == UNDOING:
+        _set_step_state(workflow, index, to)
+    elif index < workflow.definition.no_return_index():
+        _set_step_state(workflow, index, to)
+        if to != NEVER_RAN or definition.send.repeat == NON_RETRIABLE:
+            _set_state(state, workflow, UNDOING)
+    else:
+        _apply_failure_after_no_return(state, workflow, index, to)
+
+
+def _apply_failure_after_no_return(state: State, workflow: Workflow, index: int, to: str) -> None:
+    """Handles a step at or behind the point of no return that is not surely completed."""
+    step = workflow.steps[index]
+    definition = workflow.definition.steps[index]
+    once = definition.send.repeat == NON_RETRIABLE
+    harmless = definition.fails == definitions.HARMLESS
+    if to == MAYBE and not is_repeatable(workflow, index, state.time):
         if harmless or once:
-            _step_to(flow, at, SPENT)
+            _set_step_state(workflow, index, SPENT)
         else:
-            # Out of its repeats' memory, and it must be done: an operator looks whether it is.
-            _step_to(flow, at, MAYBE)
-            _move(state, flow, STUCK)
+            # Repeats are no longer recognized, and it must be done: an operator checks whether it is.
+            _set_step_state(workflow, index, MAYBE)
+            _set_state(state, workflow, STUCK)
     elif harmless and (to == FAILED or (to == NEVER_RAN and once)):
-        _step_to(flow, at, LOST)
+        _set_step_state(workflow, index, LOST)
     else:
-        _step_to(flow, at, to)
-        for_good = flow.left or once or one.tries >= one.allowed or (to == FAILED and step.fails == d.MAY)
-        if at == point and to != MAYBE and for_good:
-            _move(state, flow, UNDOING)
-        elif one.tries >= one.allowed:
-            _move(state, flow, STUCK)
-
-
-def _undo_came(state: State, flow: Flow, at: int, outcome: str) -> None:
-    one = flow.steps[at]
-    _step_to(flow, at, STEP_UNDONE if outcome == f.COMPLETED else UNDO_DUE)
-    if one.state == UNDO_DUE and one.undo_tries >= one.allowed:
-        _move(state, flow, STUCK)
-
-
-def _leave(state: State, what: f.Leave) -> tuple:
-    flow = _found(state, what.workflow)
-    if what.why not in (f.LEFT, f.LATE, f.GAVE_UP):
-        raise UnreadableError(_named(flow), fault="why")
-    if flow.state in ENDED:
-        return (flow.state,)
-    flow.left = flow.left or what.why
-    if flow.state == FORWARD and not passed(flow):
-        _move(state, flow, UNDOING)
-        _go_on(state, flow)
-    return (flow.state,)
-
-
-def _settle(state: State, what: f.Settle) -> tuple:
-    flow = _found(state, what.workflow)
-    if what.how not in (f.BY_HAND, f.AGAIN):
-        raise UnreadableError(_named(flow), fault="how")
-    back = not passed(flow)
-    at = to_undo(flow) if back else current(flow)
-    if flow.state != STUCK or what.step != at:
+        _set_step_state(workflow, index, to)
+        out_of_tries = step.tries >= step.allowed_tries
+        for_good = (
+            workflow.leave_reason
+            or once
+            or out_of_tries
+            or (to == FAILED and definition.fails == definitions.MAY)
+        )
+        if index == workflow.definition.no_return_index() and to != MAYBE and for_good:
+            _set_state(state, workflow, UNDOING)
+        elif out_of_tries:
+            _set_state(state, workflow, STUCK)
+
+
+def _apply_undo_outcome(state: State, workflow: Workflow, index: int, outcome: str) -> None:
+    step = workflow.steps[index]
+    _set_step_state(workflow, index, STEP_UNDONE if outcome == forms.COMPLETED else UNDO_DUE)
+    if step.state == UNDO_DUE and step.undo_tries >= step.allowed_tries:
+        _set_state(state, workflow, STUCK)
+
+
+def _leave(state: State, command: forms.Leave) -> tuple:
+    workflow = _find(state, command.workflow)
+    if command.why not in (forms.LEFT, forms.LATE, forms.GAVE_UP):
+        raise UnreadableError(_name_of(workflow), fault="why")
+    if workflow.state in END_STATES:
+        return (workflow.state,)
+    workflow.leave_reason = workflow.leave_reason or command.why
+    if workflow.state == FORWARD and not passed_no_return(workflow):
+        _set_state(state, workflow, UNDOING)
+        _end_if_finished(state, workflow)
+    return (workflow.state,)
+
+
+def _settle(state: State, command: forms.Settle) -> tuple:
+    workflow = _find(state, command.workflow)
+    if command.how not in (forms.BY_HAND, forms.AGAIN):
+        raise UnreadableError(_name_of(workflow), fault="how")
+    undoing = not passed_no_return(workflow)
+    index = step_to_undo(workflow) if undoing else current_step(workflow)
+    if workflow.state != STUCK or command.step != index:
         raise OutOfOrderError(
-            _named(flow), state=f"{flow.state}, step {at}", order=f"settle step {what.step}"
+            _name_of(workflow),
+            state=f"{workflow.state}, step {index}",
+            order=f"settle step {command.step}",
         )
-    one = flow.steps[at]
-    if what.how == f.AGAIN:
-        one.allowed = (one.undo_tries if back else one.tries) + flow.definition.tries
+    step = workflow.steps[index]
+    if command.how == forms.AGAIN:
+        step.allowed_tries = (step.undo_tries if undoing else step.tries) + workflow.definition.tries
     else:
-        _step_to(flow, at, STEP_UNDONE if back else COMPLETED)
-    _move(state, flow, UNDOING if back else FORWARD)
-    _go_on(state, flow)
-    return (flow.state,)
-
-
-def adopt(state: State, what: f.Adopt, to: int) -> tuple:
-    """The first who names the owner that is over has it; whoever comes second names a wrong one."""
-    flow = _found(state, what.workflow)
-    if not (number(what.former, 1, NUMBER) and number(to, 1, NUMBER)):
-        raise UnreadableError(_named(flow), fault="session")
-    if to not in state.live:
+        _set_step_state(workflow, index, STEP_UNDONE if undoing else COMPLETED)
+    _set_state(state, workflow, UNDOING if undoing else FORWARD)
+    _end_if_finished(state, workflow)
+    return (workflow.state,)
+
+
+def adopt(state: State, command: forms.Adopt, to: int) -> tuple:
+    """Gives the workflow of an ended session to session `to`, and returns its state.
+
+    The first who names the current owner gets it; whoever comes second names a former one. Raises
+    UnreadableError, NoSuchWorkflowError, LapsedLeaseError or OutOfOrderError.
+    """
+    workflow = _find(state, command.workflow)
+    if not (is_number(command.former, 1, MAX_NUMBER) and is_number(to, 1, MAX_NUMBER)):
+        raise UnreadableError(_name_of(workflow), fault="session")
+    if to not in state.live_sessions:
         raise LapsedLeaseError(f"session {to}", session=to)
-    if flow.state in ENDED or flow.owner != what.former or flow.owner in state.live:
-        raise OutOfOrderError(_named(flow), state=f"{flow.state}, owned by {flow.owner}", order="adopt")
-    flow.owner, flow.since = to, state.time
-    return (flow.state,)
-
-
-def forget(state: State) -> None:
-    """Finished ones whose time is over. They ended in the order of time."""
-    flows = state.flows
-    while flows.ended:
-        flow = next(iter(flows.ended.values()))
-        if flow.ended + flows.limits.keeps > state.time:
+    if (
+        workflow.state in END_STATES
+        or workflow.owner != command.former
+        or workflow.owner in state.live_sessions
+    ):
+        raise OutOfOrderError(
+            _name_of(workflow), state=f"{workflow.state}, owned by {workflow.owner}", order="adopt"
+        )
+    workflow.owner = to
+    workflow.owned_since = state.time
+    return (workflow.state,)
+
+
+def forget_ended(state: State) -> None:
+    """Forgets ended workflows whose time is over. They are in the order in which they ended."""
+    workflows = state.workflows
+    while workflows.ended:
+        workflow = next(iter(workflows.ended.values()))
+        if workflow.ended_at + workflows.limits.keeps > state.time:
             return
-        del flows.ended[flow.number], flows.all[flow.number], flows.marks[flow.tenant, flow.mark]
+        del workflows.ended[workflow.number], workflows.by_number[workflow.number]
+        del workflows.by_mark[workflow.tenant, workflow.mark]
 
 
-# Who may
+# Lookup and checks
 
 
-def _found(state: State, workflow: object) -> Flow:
-    if not number(workflow, 1, NUMBER):
+def _find(state: State, number: object) -> Workflow:
+    if not is_number(number, 1, MAX_NUMBER):
         raise UnreadableError("workflow", fault="its number")
-    if workflow not in state.flows.all:
-        raise NoSuchWorkflowError(f"workflow {workflow}")
-    return state.flows.all[workflow]
+    if number not in state.workflows.by_number:
+        raise NoSuchWorkflowError(f"workflow {number}")
+    return state.workflows.by_number[number]
 
 
-def _owned(state: State, owner: int, what: f.Intend | f.Result) -> Flow:
-    flow = _found(state, what.workflow)
-    if not (number(what.step, 0, len(flow.steps) - 1) and type(what.undo) is bool and number(what.tried, 1)):
-        raise UnreadableError(_named(flow), fault="step, undo or try")
-    _owns(flow, owner)
-    return flow
+def _find_owned(state: State, owner: int, command: forms.Intend | forms.Result) -> Workflow:
+    workflow = _find(state, command.workflow)
+    if not (
+        is_number(command.step, 0, len(workflow.steps) - 1)
+        and type(command.undo) is bool
+        and is_number(command.tried, 1)
+    ):
+        raise UnreadableError(_name_of(workflow), fault="step, undo or try")
+    _check_owner(workflow, owner)
+    return workflow
 
 
-def _owns(flow: Flow, owner: int) -> None:
-    if flow.owner != owner:
-        raise FencedOffError(_named(flow), session=owner, newer=flow.owner)
+def _check_owner(workflow: Workflow, owner: int) -> None:
+    if workflow.owner != owner:
+        raise FencedOffError(_name_of(workflow), session=owner, newer=workflow.owner)
 
 
-def _named(flow: Flow) -> str:
-    return f"workflow {flow.number}"
+def _name_of(workflow: Workflow) -> str:
+    return f"workflow {workflow.number}"
 
 
 def _are_values(values: object) -> bool:
-    if type(values) is not tuple or len(values) > VALUES:
+    if type(values) is not tuple or len(values) > MAX_VALUES:
         return False
-    return all(type(one) is tuple and len(one) == 2 and text(one[0]) and text(one[1], 0) for one in values)
+    return all(
+        type(pair) is tuple and len(pair) == 2 and is_text(pair[0]) and is_text(pair[1], 0) for pair in values
+    )
 
 
-# To and from nested lists
+# Serialization
 
 
-def plain(flows: Flows) -> list:
-    """Equal definitions are written once."""
-    definitions: dict[d.Definition, int] = {}
-    rows = [_row(flows.all[one], definitions) for one in sorted(flows.all)]
-    return [flows.last, list(flows.limits), [d.plain(one) for one in definitions], rows]
+def to_plain(workflows: Workflows) -> list:
+    """Returns nested lists of ints and strings; equal definitions are written once."""
+    known: dict[definitions.Definition, int] = {}
+    rows = [_to_row(workflows.by_number[number], known) for number in sorted(workflows.by_number)]
+    return [
+        workflows.last_number,
+        list(workflows.limits),
+        [definitions.to_plain(definition) for definition in known],
+        rows,
+    ]
 
 
-def _row(flow: Flow, definitions: dict[d.Definition, int]) -> list:
+def _to_row(workflow: Workflow, known: dict[definitions.Definition, int]) -> list:
     return [
-        flow.number,
-        flow.tenant,
-        flow.mark,
-        definitions.setdefault(flow.definition, len(definitions)),
-        flow.owner,
-        [list(one) for one in flow.values],
-        flow.began,
-        flow.since,
-        flow.state,
-        flow.left,
-        flow.ended,
-        [list(_step_view(one)) for one in flow.steps],
+        workflow.number,
+        workflow.tenant,
+        workflow.mark,
+        known.setdefault(workflow.definition, len(known)),
+        workflow.owner,
+        [list(pair) for pair in workflow.values],
+        workflow.began_at,
+        workflow.owned_since,
+        workflow.state,
+        workflow.leave_reason,
+        workflow.ended_at,
+        [list(_step_view(step)) for step in workflow.steps],
     ]
 
 
-def read(told: list) -> Flows:
-    """What `plain` made. Raises ValueError, TypeError, LookupError."""
-    flows = Flows()
-    flows.last, limits, definitions, rows = told
-    flows.limits = f.Limits(*limits)
-    known = [d.read(one) for one in definitions]
-    found = [_flow(row, known) for row in rows]
-    for flow in sorted(found, key=lambda flow: (flow.ended, flow.number)):
-        _enter(flows, flow)
-    return flows
-
-
-def _flow(row: list, known: list[d.Definition]) -> Flow:
-    numbered, tenant, mark, definition, owner, values, began, since, state, left, ended, steps = row
-    flow = Flow(numbered, tenant, mark, known[definition], owner)
-    flow.values = tuple((name, value) for name, value in values)
-    flow.began, flow.since = began, since
-    flow.state, flow.left, flow.ended = state, left, ended
-    for one, told in zip(flow.steps, steps, strict=True):
-        one.state, one.tries, one.undo_tries, one.allowed, one.maybe, one.by, one.first = told
-    return flow
+def from_plain(plain: list) -> Workflows:
+    """Returns what `to_plain` was given. Raises ValueError, TypeError or LookupError."""
+    workflows = Workflows()
+    workflows.last_number, limits, plain_definitions, rows = plain
+    workflows.limits = forms.Limits(*limits)
+    known = [definitions.from_plain(definition) for definition in plain_definitions]
+    restored = [_from_row(row, known) for row in rows]
+    for workflow in sorted(restored, key=lambda workflow: (workflow.ended_at, workflow.number)):
+        _register(workflows, workflow)
+    return workflows
+
+
+def _from_row(row: list, known: list[definitions.Definition]) -> Workflow:
+    (
+        number,
+        tenant,
+        mark,
+        definition,
+        owner,
+        values,
+        began_at,
+        owned_since,
+        state,
+        leave_reason,
+        ended_at,
+        steps,
+    ) = row
+    workflow = Workflow(number, tenant, mark, known[definition], owner)
+    workflow.values = tuple((name, value) for name, value in values)
+    workflow.began_at = began_at
+    workflow.owned_since = owned_since
+    workflow.state = state
+    workflow.leave_reason = leave_reason
+    workflow.ended_at = ended_at
+    for step, plain_step in zip(workflow.steps, steps, strict=True):
+        (
+            step.state,
+            step.tries,
+            step.undo_tries,
+            step.allowed_tries,
+            step.maybe_ran,
+            step.intended_by,
+            step.first_intended_at,
+        ) = plain_step
+    return workflow
--- a/laurelcourse/fleet/calls/flows_service.py
+++ b/laurelcourse/fleet/calls/flows_service.py
@@ -18,11 +18,11 @@
 from laurelcourse.fleet.calls.channel import SECOND, Limits, options
 from laurelcourse.fleet.calls.service import refusal
 from laurelcourse.fleet.errors import FleetError, StoppingError, UnknownFateError
-from laurelcourse.fleet.workflows.definition import LONGEST
-from laurelcourse.fleet.workflows.run import ERRORED, Tell
-from laurelcourse.fleet.workflows.work import WAITING, Flows
+from laurelcourse.fleet.workflows.definition import MAX_DURATION_US
+from laurelcourse.fleet.workflows.engine import MAX_CLIENTS, WorkflowEngine
+from laurelcourse.fleet.workflows.run import ERRORED, ClientAnswer
 
-MAX_CALLS = WAITING + 128  # all that may wait, and those that look, leave or settle meanwhile
+MAX_CALLS = MAX_CLIENTS + 128  # all that may wait, and those that look, leave or settle meanwhile
 MAX_MESSAGE_BYTES = 256 << 10
 RESPONSE_SHARE = (7, 8)  # of a caller's time that may pass before its answer is sent
 FALLBACK_SHARE = 16  # one part in so many of the time is added before this service answers by itself
@@ -35,7 +35,7 @@
 class FlowsService(fleet_pb2_grpc.FlowsServicer):
     """The server of one relay."""
 
-    def __init__(self, flows: Flows, address: str, limits: Limits) -> None:
+    def __init__(self, flows: WorkflowEngine, address: str, limits: Limits) -> None:
         """Listens at `address` (host:port) once `start` is called. Raises OSError if it is in use."""
         self.flows = flows
         self.limits = limits
@@ -95,13 +95,13 @@
     async def Start(self, request: Message, context: aio.ServicerContext) -> Message:  # noqa: N802
         """Starts a workflow and returns its end, or where it stands at the end of the time."""
         definition = self.flows.definitions.get(request.definition)
-        max_wait = min(request.wait or LONGEST, definition.timeout if definition else LONGEST)
+        max_wait = min(request.wait or MAX_DURATION_US, definition.timeout if definition else MAX_DURATION_US)
         wait = self._time(context, max_wait)
         values = tuple((given.name, given.value) for given in request.values)
         until = self.flows.clock() + wait
 
         def ask(on_answer: Callable) -> None:
-            self.flows.put(
+            self.flows.post(
                 self.flows.start, request.definition, request.tenant, request.mark, values, until, on_answer
             )
 
@@ -110,21 +110,21 @@
     async def Look(self, request: Message, context: aio.ServicerContext) -> Message:  # noqa: N802
         """Returns where a workflow stands."""
         return await self._answer_call(
-            lambda on_answer: self.flows.put(self.flows.look, request.number, on_answer),
+            lambda on_answer: self.flows.post(self.flows.look, request.number, on_answer),
             self._time(context, self.limits.order_timeout),
         )
 
     async def Leave(self, request: Message, context: aio.ServicerContext) -> Message:  # noqa: N802
         """Has a workflow undone, unless it is too late."""
         return await self._answer_call(
-            lambda on_answer: self.flows.put(self.flows.leave, request.number, on_answer),
+            lambda on_answer: self.flows.post(self.flows.leave, request.number, on_answer),
             self._time(context, self.limits.order_timeout),
         )
 
     async def Settle(self, request: Message, context: aio.ServicerContext) -> Message:  # noqa: N802
         """Settles a stuck step."""
         return await self._answer_call(
-            lambda on_answer: self.flows.put(
+            lambda on_answer: self.flows.post(
                 self.flows.settle, request.number, request.step, request.how, on_answer
             ),
             self._time(context, self.limits.order_timeout),
@@ -143,7 +143,7 @@
     async def _answer_call(self, ask: Callable[[Callable], None], wait: int, leaves: bool = False) -> Message:
         future = self.loop.create_future()
 
-        def on_answer(answer: Tell | FleetError) -> None:
+        def on_answer(answer: ClientAnswer | FleetError) -> None:
             """Called by the task's thread; RuntimeError: the loop is closed and the client was answered."""
             with contextlib.suppress(RuntimeError):
                 self.loop.call_soon_threadsafe(_set_first, future, answer)
@@ -160,19 +160,19 @@
         except asyncio.CancelledError:
             # The client has cancelled the call, or its time is over.
             if leaves and not future.done():
-                self.flows.late(self.flows.left, on_answer)
+                self.flows.post_or_drop(self.flows.client_left, on_answer)
             raise
         finally:
             self.waiting.discard(future)
 
 
-def _set_first(future: asyncio.Future, answer: Tell | FleetError) -> None:
+def _set_first(future: asyncio.Future, answer: ClientAnswer | FleetError) -> None:
     """Sets the result of a future unless it has one."""
     if not future.done():
         future.set_result(answer)
 
 
-def _flow(answer: Tell | FleetError) -> Message:
+def _flow(answer: ClientAnswer | FleetError) -> Message:
     if isinstance(answer, FleetError):
         return wire.Flow(answer=ERRORED, state="unknown", refused=codec.to_message(refusal(answer)).done)
     steps = [wire.StepFate(name=name, state=state) for name, state in answer.fates]
--- a/laurelcourse/fleet/keeper/allocation.py
+++ b/laurelcourse/fleet/keeper/allocation.py
@@ -19,7 +19,7 @@
 
     def grants(self, now: int, books: Books, members: Members) -> list[Grant]:
         """Returns the changes worth proposing, in the order of their scopes."""
-        defined = {budget.name: budget for budget in books.defined()}
+        defined = {budget.name: budget for budget in books.budgets()}
         wanted, grants = members.wanted(), []
         scopes = sorted({*books.scopes(), *wanted})
         for scope in scopes:
@@ -28,10 +28,10 @@
                 continue
             self.paused_until.pop(scope, None)
             shares = {session: (granted, wants) for session, granted, wants in books.shares(scope)}
-            asked, held_by_others = [], books.held(scope)
+            asked, held_by_others = [], books.pending(scope)
             for session in sorted({*shares, *wanted.get(scope, ())}):
                 granted, wants = shares.get(session, (0, 0))
-                live = books.numbered(session)
+                live = books.session_by_number(session)
                 if live is None or members.refuses(session):
                     # Its lease is ending: what it holds is still in use, and it can be asked for nothing.
                     held_by_others += granted
--- a/laurelcourse/fleet/keeper/coordinator.py
+++ b/laurelcourse/fleet/keeper/coordinator.py
@@ -112,8 +112,8 @@
         self.interval_at = self.lapse_after = now
         self.grants_in_flight = 0  # the state machine is about to change
         # Whether the settings differ from what the state machine holds.
-        self.must_define = books.defined() != terms.budgets
-        self.must_set_limits = terms.limits is not None and books.limits() != terms.limits
+        self.must_define = books.budgets() != terms.budgets
+        self.must_set_limits = terms.limits is not None and books.workflow_limits() != terms.limits
         self.must_set_places = books.places() != (terms.links, terms.sites)
 
 
@@ -138,7 +138,7 @@
         self.books, self.applied = Books(), 0
         self.applied_since_snapshot = 0
         if kept.snapshot is not None:
-            self.books, self.applied = Books.restored(kept.snapshot.data), kept.snapshot.index
+            self.books, self.applied = Books.from_snapshot(kept.snapshot.data), kept.snapshot.index
         self.core = Core(name, terms.bounds, rng, kept, terms.keepers, now)
         self.leader_state: LeaderState | None = None
         self.leading_term = 0  # the term in which this keeper leads
@@ -263,7 +263,7 @@
         """
         if what.fence.term > self.core.term:
             return self._not_leader()
-        return self.books.refusal(what.fence) if self.leader_state is not None else None
+        return self.books.fence_refusal(what.fence) if self.leader_state is not None else None
 
     def _renewal_refusal(self, beat: Beat) -> Done | None:
         refused = self._fence_refusal(beat)
@@ -394,7 +394,7 @@
             for grant in leader.allocator.grants(now, self.books, leader.members):
                 leader.grants_in_flight += 1
                 self._enqueue_own(now, grant)
-        needs_time = any(map(self.books.held, self.books.scopes())) or leader.planner.has_expired(
+        needs_time = any(map(self.books.pending, self.books.scopes())) or leader.planner.has_expired(
             self.books, leader.clock.at(now)
         )
         if not self.queue and not self.appended and needs_time:
@@ -434,7 +434,7 @@
             if proposal is not None:
                 self.appended[index] = proposal._replace(term=term)
         if out.restore is not None and out.restore.index > self.applied:
-            self.books, self.applied = Books.restored(out.restore.data), out.restore.index
+            self.books, self.applied = Books.from_snapshot(out.restore.data), out.restore.index
             self.applied_since_snapshot = 0
             for index in sorted(index for index in self.appended if index <= self.applied):
                 self._answer_unknown(self.appended.pop(index))
@@ -573,7 +573,7 @@
             return refused
         if not self.leader_state.members.renew(read.received_at, beat):
             return self._lapsed(beat)
-        shares = self.books.shares_of(beat.fence.session)
+        shares = self.books.session_shares(beat.fence.session)
         return Renewed(self.terms.lease, tuple(Share(*share) for share in shares))
 
     def _answer_question(self, now: int, question: Question) -> Done:
@@ -586,7 +586,9 @@
                 if budget is None:
                     return Done(code="no_such_budget", to=question.of)
                 granted = sum(share[1] for share in self.books.shares(question.of))
-                return Done((budget.kind, budget.whole, budget.floor, granted, self.books.held(question.of)))
+                return Done(
+                    (budget.kind, budget.whole, budget.floor, granted, self.books.pending(question.of))
+                )
             case "keepers":
                 keepers = self.core.keepers
                 return Done((self.name, self.core.term, ",".join(keepers.voters), ",".join(keepers.learners)))
@@ -617,7 +619,7 @@
             or (question.what == "moves" and (not owners or str(known.owner) in owners))
         ]
         view = planner.view(self.books, time, jobs)
-        ended = self.books.ended(of) if question.what == "move" else ""
+        ended = self.books.job_end(of) if question.what == "move" else ""
         return Done(transfer_views.told(view._replace(ended=ended)))
 
     def _answer_workflows(self, numbers: str) -> Done:
@@ -625,16 +627,16 @@
         wanted = [int(number) for number in numbers.split(",") if number.isascii() and number.isdigit()]
         return Done(
             tuple(
-                workflow_views.told(self.books.workflow(number))
-                for number in wanted[: workflow_views.AT_ONCE]
+                workflow_views.to_plain(self.books.workflow(number))
+                for number in wanted[: workflow_views.MAX_VIEWS]
             )
         )
 
     def _answer_workflow_numbers(self, session: str) -> Done:
         number = int(session) if session.isascii() and session.isdigit() else 0
-        orphans = self.books.orphans()[: workflow_views.NUMBERS]
+        orphans = self.books.orphaned_workflows()[: workflow_views.MAX_NUMBERS]
         live = tuple(live.number for live in self.books.sessions()) if orphans else ()
-        return Done((self.books.workflows_of(number)[: workflow_views.NUMBERS], orphans, live))
+        return Done((self.books.workflows_owned_by(number)[: workflow_views.MAX_NUMBERS], orphans, live))
 
     def _note(self, level: str, msg: str, **fields: str | int) -> None:
         self.actions.notes.append(Note(level, msg, tuple(fields.items())))
--- a/laurelcourse/fleet/keeper/transfer_planning.py
+++ b/laurelcourse/fleet/keeper/transfer_planning.py
@@ -7,8 +7,8 @@
 
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import Job, Recall, Stretch
-from laurelcourse.fleet.books.reservations import RECALLED, Kept
-from laurelcourse.fleet.books.state import GRACE, SLICE
+from laurelcourse.fleet.books.reservations import RECALLED, JobView
+from laurelcourse.fleet.books.state import GRACE_US, SLICE_US
 from laurelcourse.fleet.transfers import plan, views
 
 MAX_GRAINS = 96  # steps of a plan; more would delay the leader's heartbeats
@@ -34,11 +34,11 @@
         self.intended: dict[str, tuple[Job, tuple[Stretch, ...]]] = {}
         self.intended_until = 0
 
-    def view(self, books: Books, time: int, jobs: Iterable[Kept]) -> views.Seen:
+    def view(self, books: Books, time: int, jobs: Iterable[JobView]) -> views.Seen:
         """Returns jobs as of `time`, the state machine's time by the leader's clock."""
         found = []
         for job in jobs:
-            live = books.numbered(job.owner)
+            live = books.session_by_number(job.owner)
             fence = live.fence if live else None
             found.append(views.View(job.job, fence, job.pieces, job.proven, job.state))
         return views.Seen(time, "", tuple(found))
@@ -57,7 +57,7 @@
             for name, job in self.waiting_jobs.items()
             if job.deadline > time and all(known.job.name != name for known in jobs)
         }
-        if not self.waiting_jobs and not books.over():
+        if not self.waiting_jobs and not books.over_reserved():
             return None
         last_deadline = max(
             [
@@ -72,9 +72,9 @@
                 known.job,
                 known.proven,
                 known.pieces,
-                time // SLICE,
+                time // SLICE_US,
                 known.state == RECALLED,
-                (time - 2 * interval) // SLICE,
+                (time - 2 * interval) // SLICE_US,
             )
             for known in jobs
             if known.pieces
@@ -96,7 +96,7 @@
 
     def has_expired(self, books: Books, time: int) -> bool:
         """Returns whether a job ends by time, which the state machine learns only with the next batch."""
-        return any(known.job.deadline + GRACE <= time for known in books.jobs())
+        return any(known.job.deadline + GRACE_US <= time for known in books.jobs())
 
     def plan(self, books: Books, time: int, job: Job) -> tuple[Stretch, ...]:
         """Returns stretches for what is left of a job, or none for now."""
@@ -104,7 +104,7 @@
         known = jobs.get(job.name)
         job = known.job if known else job
         room = _room(books, time, job.deadline, 1)
-        free, now = plan.Free(room), time // SLICE
+        free, now = plan.Free(room), time // SLICE_US
         if known is not None:
             free.put(job, plan.held(room, job, known.proven, known.pieces, now, False).parts, 1)
         for name, (other, pieces) in self.intended.items() if time < self.intended_until else ():
@@ -125,8 +125,8 @@
 
 def _room(books: Books, time: int, until: int, lead_slices: int) -> plan.Room:
     """Returns the free capacities from now until a time, in at most MAX_GRAINS grains."""
-    first = time // SLICE + lead_slices
-    grain = max(1, -(-max(1, until // SLICE - first) // MAX_GRAINS))
+    first = time // SLICE_US + lead_slices
+    grain = max(1, -(-max(1, until // SLICE_US - first) // MAX_GRAINS))
     start = -(-first // grain) * grain
-    grains = max(1, min(MAX_GRAINS, (until // SLICE - start) // grain))
-    return plan.seen(books.resources(), books.room, start, grain, SLICE, grains)
+    grains = max(1, min(MAX_GRAINS, (until // SLICE_US - start) // grain))
+    return plan.seen(books.resources(), books.free_capacity, start, grain, SLICE_US, grains)
--- a/laurelcourse/fleet/transfers/stream.py
+++ b/laurelcourse/fleet/transfers/stream.py
@@ -16,8 +16,8 @@
 from google.protobuf.message import Message
 
 from laurelcourse.fleet.books.forms import Fence
-from laurelcourse.fleet.books.reservations import COMMITTED, ENDS, RESERVED
-from laurelcourse.fleet.books.state import SLICE
+from laurelcourse.fleet.books.reservations import COMMITTED, END_STATES, RESERVED
+from laurelcourse.fleet.books.state import SLICE_US
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
 from laurelcourse.fleet.calls.channel import SECOND, Limits, options
@@ -162,7 +162,7 @@
         view: views.View,
         sender: str,
     ) -> Iterator[Message]:
-        rate = pace.receiver(view.pieces, SLICE, self.books.now() - pace.SLACK, CHUNK)
+        rate = pace.receiver(view.pieces, SLICE_US, self.books.now() - pace.SLACK, CHUNK)
         looked = proved = ready = self.books.clock()
         slow = 0
         for chunk in chunks:
@@ -171,7 +171,7 @@
             if now >= looked + self.beat:
                 anew = self._allowed(part.job, fence)
                 if anew.pieces != view.pieces:
-                    rate = pace.receiver(anew.pieces, SLICE, self.books.now() - pace.SLACK, CHUNK)
+                    rate = pace.receiver(anew.pieces, SLICE_US, self.books.now() - pace.SLACK, CHUNK)
                 view, looked = anew, self.books.clock()
             # What came while this end asked the books or wrote to disk had to wait: no fault of the sender.
             slow = max(slow, self.books.clock() - now)
@@ -253,7 +253,7 @@
         if seen.ended == COMMITTED:
             if self.arrivals.show(job):
                 log.info("copy is here", extra={"job": job})
-        elif seen.ended in ENDS:
+        elif seen.ended in END_STATES:
             self.arrivals.forget(job)
 
 
@@ -321,7 +321,7 @@
             fence=codec.to_message(view.owner),
         )
         self.begin.wait()
-        rate = pace.sender(view.pieces, SLICE, self.books.now(), CHUNK)
+        rate = pace.sender(view.pieces, SLICE_US, self.books.now(), CHUNK)
         at, size = self.start_at, view.job.size
         whole = digest(self.source)
         with self.source.open("rb") as file:
--- a/laurelcourse/fleet/transfers/work.py
+++ b/laurelcourse/fleet/transfers/work.py
@@ -27,7 +27,7 @@
     What,
 )
 from laurelcourse.fleet.books.reservations import ORPHAN, RECALLED, RESERVED
-from laurelcourse.fleet.books.state import SLICE
+from laurelcourse.fleet.books.state import SLICE_US
 from laurelcourse.fleet.calls.mailbox import CrossThreadMailbox
 from laurelcourse.fleet.errors import FleetError, NoDirectLinkError, error_from_code
 from laurelcourse.fleet.orders import Answer, Question, Submit
@@ -213,7 +213,7 @@
             self._order(
                 name, Free(name), lambda _: log.warning("transfer late: given up", extra={"job": name})
             )
-        elif not view.pieces or view.pieces[-1].until * SLICE <= time:
+        elif not view.pieces or view.pieces[-1].until * SLICE_US <= time:
             self._ask(Question("plan", name, job), lambda done: self._planned(done, name))
         elif view.state == RESERVED and sending is None:
             self.recalled.discard(name)
--- a/laurelcourse/fleet/wiring.py
+++ b/laurelcourse/fleet/wiring.py
@@ -28,8 +28,8 @@
 from laurelcourse.fleet.transfers.arrivals import Arrivals
 from laurelcourse.fleet.transfers.stream import Books, Door, Sending
 from laurelcourse.fleet.transfers.work import Moves
-from laurelcourse.fleet.workflows.steps import Steps
-from laurelcourse.fleet.workflows.work import Flows
+from laurelcourse.fleet.workflows.engine import WorkflowEngine
+from laurelcourse.fleet.workflows.step_sender import StepSender
 from laurelcourse.net.assembly import ProcessContext
 from laurelcourse.operator import meaning_workflows as meaning
 from laurelcourse.operator.form import Fleet
@@ -172,24 +172,24 @@
     """Starts workflows and the service for their clients; returns what to call at the end."""
     main = host.main
     routes = host.config.settings.routes
-    steps = Steps(
+    step_sender = StepSender(
         host.scheduler,
         main.dispatcher,
         main.tries,
         host.counters,
         {route.name: route.repeat_policy for route in routes},
     )
-    flows = Flows(
+    engine = WorkflowEngine(
         member,
         CrossThreadMailbox(host.scheduler, MAX_MAIL_ITEMS),
-        steps,
+        step_sender,
         meaning.definitions(fleet, routes),
         Prng(host.config.seed + 3),
     )
-    host.loops.append(flows.work)
-    on_close = [flows.letters.close]
+    host.loops.append(engine.work)
+    on_close = [engine.mailbox.close]
     if fleet.flows_port:
-        service = FlowsService(flows, join_address((host.config.listen[0], fleet.flows_port)), bounds)
+        service = FlowsService(engine, join_address((host.config.listen[0], fleet.flows_port)), bounds)
         service.start()
         on_close.insert(0, lambda: service.stop(bounds.keeper_timeout))
     return on_close
--- a/laurelcourse/fleet/workflows/run.py
+++ b/laurelcourse/fleet/workflows/run.py
@@ -1,258 +1,315 @@
-"""The owner's side of one workflow: what to do next, as values. No I/O; times are whole microseconds by the
-owner's own clock, chance is given.
+"""Drives one workflow for its owner: what to do next, as values. No I/O.
 
-A turn goes: intent into the books; once it is there, the req; once its fate is known, the result into the
-books. The lease is looked at in each turn, so also between an intent and its req. A relay that comes by a
-workflow in the middle knows nothing but the books: a try that they hold as intended and that this run did not
-send is of unknown fate.
+Times are whole microseconds by the owner's own clock, random numbers are given. The owner records an intent;
+once that is in the log, it sends the req; once the req's outcome is known, it records the result. The lease
+is checked at each step, so also between an intent and its req. An owner that takes over a workflow knows only
+the state machine's view: a try that is recorded as intended, and that this run did not send, has an unknown
+outcome.
 """
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-from laurelcourse.fleet.books import forms as f
+from laurelcourse.fleet.books import forms
 from laurelcourse.fleet.books import workflows as books
-from laurelcourse.fleet.books.workflows import View
+from laurelcourse.fleet.books.workflows import WorkflowView
 from laurelcourse.fleet.errors import ERRORS_BY_CODE, FleetError, StepStuckError, UndoStuckError
 from laurelcourse.prng import Prng
 
-FAR = 1 << 62
+NEVER_US = 1 << 62
+MAX_DOUBLINGS = 40  # of a back-off: any more exceed every longest back-off
 
+OwnerCommand = forms.Intend | forms.Result | forms.Leave
 
-Order = f.Intend | f.Result | f.Leave
 
+class SubmitCommand(NamedTuple):
+    """Submit a command; `on_result` is called with its result, a lost one once it was looked up."""
 
-class Write(NamedTuple):
-    """Into the books; what came of it is given to `wrote`, a lost one after it was found by its mark."""
+    command: OwnerCommand
 
-    what: Order
 
+class SendReq(NamedTuple):
+    """Send a req that is given up at `until`; `on_outcome` is called with its outcome.
 
-class Send(NamedTuple):
-    """A req, to be given up at `until`; what came of it is given to `came`, with one of COMPLETED, NEVER_RAN,
-    UNKNOWN, FAILED. The sender looks at the lease once more when it writes it to the unit."""
+    That is one of COMPLETED, NEVER_RAN, UNKNOWN, FAILED. The sender checks the lease once more when it writes
+    the req to a unit.
+    """
 
     id: str
-    key: str  # by which units know a repeat
+    key: str  # by which units recognize a repeat
     route: str
     statement: str
     until: int
 
 
-class Tell(NamedTuple):
-    """The client's one answer."""
+Effect = SubmitCommand | SendReq
 
-    workflow: int
-    answer: str  # DONE, UNDONE, ERRORED
-    state: str
-    fates: tuple[tuple[str, str], ...]  # of each step: its name and state
+ERRORED = "errored"
 
 
-ERRORED = "errored"
-Effect = Write | Send
+class ClientAnswer(NamedTuple):
+    """The client's one answer."""
 
-# What a run is at; `_turn` changes it
-READY, WRITING, SENDING, WAITING, OVER = "ready", "writing", "sending", "waiting", "over"
-TURNS = {
-    READY: (WRITING, WAITING, OVER),
-    WRITING: (READY, SENDING, WAITING, OVER),
+    workflow: int
+    answer: str  # DONE, UNDONE or ERRORED
+    state: str
+    fates: tuple[tuple[str, str], ...]  # of each step: name and state
+
+
+# States of a run, and which may follow.
+READY = "ready"
+SUBMITTING = "writing"
+SENDING = "sending"
+WAITING = "waiting"
+OVER = "over"
+NEXT_STATES = {
+    READY: (SUBMITTING, WAITING, OVER),
+    SUBMITTING: (READY, SENDING, WAITING, OVER),
     SENDING: (READY, OVER),
     WAITING: (READY, OVER),
     OVER: (),
 }
 
 
-class Run:
-    __slots__ = ("_chance", "_known", "_left", "_sent", "_since", "_until", "_what", "number", "state")
+class WorkflowRun:
+    """One workflow at its owner."""
 
-    def __init__(self, number: int, rng: Prng, left_at: int = FAR) -> None:
-        """`left_at`: by the own clock, when the client must have its answer, if before the definition's."""
-        self.number, self._chance, self._left = number, rng, left_at
+    __slots__ = (
+        "_answer_by",
+        "_command",
+        "_owned_since",
+        "_result",
+        "_rng",
+        "_sent",
+        "_wake_at",
+        "number",
+        "state",
+    )
+
+    def __init__(self, number: int, rng: Prng, answer_by: int = NEVER_US) -> None:
+        """`answer_by`: when the client must have its answer, if before the definition's timeout."""
+        self.number = number
         self.state = READY
-        self._what: Order | None = None
-        self._sent: tuple[f.Intend, int] | None = None  # the try that this run sent, and until when
-        self._known: f.Result | None = None  # its fate, not in the books yet
-        self._until = 0
-        self._since = -1
-
-    def _turn(self, to: str, until: int = FAR) -> None:
-        if to not in TURNS[self.state]:
+        self._rng = rng
+        self._answer_by = answer_by  # below 0: the client has left
+        self._command: OwnerCommand | None = None  # being submitted
+        self._sent: tuple[forms.Intend, int] | None = None  # the try that this run sent, and until when
+        self._result: forms.Result | None = None  # known, but not recorded yet
+        self._wake_at = 0
+        self._owned_since = -1  # not known yet
+
+    def _set_state(self, to: str, wake_at: int = NEVER_US) -> None:
+        if to not in NEXT_STATES[self.state]:
             raise ValueError(f"run {self.number}: {self.state} to {to}")
-        self.state, self._until = to, until
+        self.state = to
+        self._wake_at = wake_at
 
     def due(self) -> int:
-        """When `step` is wanted next, unless `wrote` or `came` is called before."""
-        return 0 if self.state == READY else self._until
+        """Returns when `step` has to be called next, unless one of the callbacks is called before."""
+        return 0 if self.state == READY else self._wake_at
 
     def client_left(self) -> None:
-        self._left = -1
+        """Notes that the client has left."""
+        self._answer_by = -1
 
     def step(
-        self, now: int, view: View | None, me: int, usable: bool, may_undo: Callable[[], bool]
+        self,
+        now: int,
+        view: WorkflowView | None,
+        own_session: int,
+        has_lease: bool,
+        may_undo: Callable[[], bool],
     ) -> tuple[Effect, ...]:
-        """`view`: the books' latest; `me`: my session; `usable`: whether its lease is, at this moment;
-        `may_undo` takes one try out of the budget of undos."""
+        """Returns what to do now.
+
+        `view`: the newest one; `has_lease`: whether the session's lease is valid at this moment; `may_undo`
+        takes one try from the budget of undos.
+        """
         if self.state == OVER:
             return ()
-        if view is None or view.owner != me or view.state in books.ENDED:
-            self._turn(OVER)
+        if view is None or view.owner != own_session or view.state in books.END_STATES:
+            self._set_state(OVER)
             return ()
-        if not usable:
+        if not has_lease:
             return ()
-        if self._since < 0:
-            self._since = now
-            self._left = min(self._left, now + view.definition.timeout - (view.since - view.began))
-        if self.state == SENDING and now >= self._until:
-            self.came(now, self._sent[0], f.UNKNOWN)
-        if self.state == WAITING and now >= self._until:
-            self._turn(READY)
+        if self._owned_since < 0:
+            self._owned_since = now
+            time_used = view.owned_since - view.began_at
+            self._answer_by = min(self._answer_by, now + view.definition.timeout - time_used)
+        if self.state == SENDING and now >= self._wake_at:
+            self.on_outcome(now, self._sent[0], forms.UNKNOWN)
+        if self.state == WAITING and now >= self._wake_at:
+            self._set_state(READY)
         if self.state != READY:
             return ()
-        what = self._next(now, view, may_undo)
-        if what is None:
+        command = self._next_command(now, view, may_undo)
+        if command is None:
             return ()
-        self._what = what
-        self._turn(WRITING)
-        return (Write(what),)
-
-    def _next(self, now: int, view: View, may_undo: Callable[[], bool]) -> Order | None:
-        if self._known is not None:
-            return self._known
-        for at, one in enumerate(view.steps):
-            if one.state in (books.INTENDED, books.UNDO_INTENDED):
-                return self._of_unknown_fate(now, view, at, one.state == books.UNDO_INTENDED)
+        self._command = command
+        self._set_state(SUBMITTING)
+        return (SubmitCommand(command),)
+
+    def _next_command(
+        self, now: int, view: WorkflowView, may_undo: Callable[[], bool]
+    ) -> OwnerCommand | None:
+        if self._result is not None:
+            return self._result
+        for index, step in enumerate(view.steps):
+            if step.state in (books.INTENDED, books.UNDO_INTENDED):
+                return self._unknown_result(now, view, index, step.state == books.UNDO_INTENDED)
         if view.state == books.FORWARD:
-            return self._forward(now, view)
+            return self._next_forward(now, view)
         if view.state == books.UNDOING:
-            at = books.to_undo(view)
-            tried = view.steps[at].undo_tries
+            index = books.step_to_undo(view)
+            tried = view.steps[index].undo_tries
             if not may_undo():
-                self._wait(now, view, tried)
+                self._back_off(now, view, tried)
                 return None
-            return f.Intend(self.number, at, True, tried + 1)
-        self._turn(WAITING, now + view.definition.longest)  # stuck: an operator's word is waited for
+            return forms.Intend(self.number, index, True, tried + 1)
+        self._set_state(WAITING, now + view.definition.longest)  # stuck: an operator has to settle it
         return None
 
-    def _of_unknown_fate(self, now: int, view: View, at: int, undo: bool) -> f.Result | None:
-        step, one = view.definition.steps[at], view.steps[at]
-        ripe = self._since + (step.undo if undo else step.send).timeout
-        if one.by != view.owner and now < ripe:
-            self._turn(WAITING, ripe)
+    def _unknown_result(self, now: int, view: WorkflowView, index: int, undo: bool) -> forms.Result | None:
+        definition = view.definition.steps[index]
+        step = view.steps[index]
+        over_at = self._owned_since + (definition.undo if undo else definition.send).timeout
+        if step.intended_by != view.owner and now < over_at:
+            self._set_state(WAITING, over_at)
             return None
-        return f.Result(self.number, at, undo, one.undo_tries if undo else one.tries, f.UNKNOWN)
-
-    def _forward(self, now: int, view: View) -> Order:
-        at = books.current(view)
-        one = view.steps[at]
-        if not books.passed(view) and (self._late(now, view, at) or one.tries >= one.allowed):
-            why = f.LEFT if self._left < 0 else f.GAVE_UP if one.tries >= one.allowed else f.LATE
-            return f.Leave(self.number, why)
-        elapsed = view.since + now - self._since
-        if one.maybe and not books.repeatable(view, at, elapsed):
-            return f.Result(self.number, at, False, one.tries, f.UNKNOWN)
-        return f.Intend(self.number, at, False, one.tries + 1)
-
-    def _late(self, now: int, view: View, at: int) -> bool:
-        """Whether this step and all undos, each with its whole timeout, would end after the client's time."""
-        undos = sum(step.undo.timeout for step in view.definition.steps[: at + 1] if step.undo)
-        return now + view.definition.steps[at].send.timeout + undos > self._left
-
-    def _wait(self, now: int, view: View, tried: int) -> None:
-        """Twice as long each time, and between half and all of it by chance, so that runs don't keep step."""
-        longest = min(view.definition.back_off << min(tried, 40), view.definition.longest)
-        self._turn(WAITING, now + longest - self._chance.below(longest // 2 + 1))
-
-    def wrote(self, now: int, done: f.Done, view: View | None, me: int, usable: bool) -> tuple[Effect, ...]:
-        """What the books said to the last Write. `view` and `usable` as of this moment."""
-        if self.state != WRITING:
+        tried = step.undo_tries if undo else step.tries
+        return forms.Result(self.number, index, undo, tried, forms.UNKNOWN)
+
+    def _next_forward(self, now: int, view: WorkflowView) -> OwnerCommand:
+        index = books.current_step(view)
+        step = view.steps[index]
+        out_of_tries = step.tries >= step.allowed_tries
+        if not books.passed_no_return(view) and (self._is_late(now, view, index) or out_of_tries):
+            return forms.Leave(self.number, self._leave_reason(out_of_tries))
+        books_time = view.owned_since + now - self._owned_since
+        if step.maybe_ran and not books.is_repeatable(view, index, books_time):
+            return forms.Result(self.number, index, False, step.tries, forms.UNKNOWN)
+        return forms.Intend(self.number, index, False, step.tries + 1)
+
+    def _leave_reason(self, out_of_tries: bool) -> str:
+        if self._answer_by < 0:
+            return forms.LEFT
+        return forms.GAVE_UP if out_of_tries else forms.LATE
+
+    def _is_late(self, now: int, view: WorkflowView, index: int) -> bool:
+        """Returns whether this step and all undos, each with its whole timeout, would end too late."""
+        steps = view.definition.steps
+        undos = sum(step.undo.timeout for step in steps[: index + 1] if step.undo)
+        return now + steps[index].send.timeout + undos > self._answer_by
+
+    def _back_off(self, now: int, view: WorkflowView, tried: int) -> None:
+        """Waits twice as long each time, less a random part of up to half, so that runs spread."""
+        delay = min(view.definition.back_off << min(tried, MAX_DOUBLINGS), view.definition.longest)
+        self._set_state(WAITING, now + delay - self._rng.below(delay // 2 + 1))
+
+    def on_result(
+        self, now: int, result: forms.Done, view: WorkflowView | None, own_session: int, has_lease: bool
+    ) -> tuple[Effect, ...]:
+        """Takes the result of the last SubmitCommand. `view` and `has_lease` are as of this moment."""
+        if self.state != SUBMITTING:
             return ()
-        what, self._what = self._what, None
-        if type(what) is f.Result and not (
-            done.code in ERRORS_BY_CODE and ERRORS_BY_CODE[done.code].is_temporary
-        ):
-            self._known = None
-        if done.code:
-            # Fenced off, or the books stand elsewhere than was thought: look again, not at once.
+        command, self._command = self._command, None
+        if type(command) is forms.Result and not _is_temporary(result):
+            self._result = None
+        if result.code:
+            # Fenced off, or the state is not what was assumed: check again, but not at once.
             if view is None:
-                self._turn(OVER)
+                self._set_state(OVER)
             else:
-                self._wait(now, view, 0)
+                self._back_off(now, view, 0)
             return ()
-        if type(what) is f.Intend and view is not None and usable and view.owner == me:
-            step = view.definition.steps[what.step]
-            send = step.undo if what.undo else step.send
-            self._sent = what, now + send.timeout
-            self._turn(SENDING, now + send.timeout)
-            return (Send(*done.value, send.route, filled(send.statement, view.values), now + send.timeout),)
-        if type(what) is f.Intend:
-            # Nothing was sent, but an owner without a lease may not say so: it is unknown to whoever comes.
-            self._turn(READY)
-        elif type(what) is f.Result and what.outcome != f.COMPLETED and view is not None:
-            self._wait(now, view, what.tried - 1)
+        if type(command) is forms.Intend and view is not None and has_lease and view.owner == own_session:
+            return (self._send(now, command, result, view),)
+        if type(command) is forms.Intend:
+            # Nothing was sent, but an owner without a lease may not record that: it stays unknown.
+            self._set_state(READY)
+        elif type(command) is forms.Result and command.outcome != forms.COMPLETED and view is not None:
+            self._back_off(now, view, command.tried - 1)
         else:
-            self._turn(READY)
+            self._set_state(READY)
         return ()
 
-    def came(self, now: int, what: f.Intend, outcome: str) -> None:
-        """The fate of a req. One that comes after it was called unknown changes nothing."""
-        if self.state != SENDING or self._sent is None or self._sent[0] != what:
+    def _send(self, now: int, intent: forms.Intend, result: forms.Done, view: WorkflowView) -> SendReq:
+        definition = view.definition.steps[intent.step]
+        send = definition.undo if intent.undo else definition.send
+        until = now + send.timeout
+        self._sent = intent, until
+        self._set_state(SENDING, until)
+        req_id, key = result.value
+        return SendReq(req_id, key, send.route, fill(send.statement, view.values), until)
+
+    def on_outcome(self, now: int, intent: forms.Intend, outcome: str) -> None:
+        """Takes the outcome of a req; ignored once it was called unknown."""
+        if self.state != SENDING or self._sent is None or self._sent[0] != intent:
             return
         self._sent = None
-        self._known = f.Result(*what, outcome)
-        self._turn(READY)
+        self._result = forms.Result(*intent, outcome)
+        self._set_state(READY)
 
-    def sending(self) -> f.Intend | None:
+    def sending(self) -> forms.Intend | None:
+        """Returns the try in flight."""
         return self._sent[0] if self._sent else None
 
 
-def filled(statement: str, values: tuple[tuple[str, str], ...]) -> str:
-    """The template with its values; in one pass, so that no value is taken for a template."""
-    known = dict(values)
-    parts = statement.split("{")
-    out = [parts[0]]
-    for part in parts[1:]:
+def _is_temporary(result: forms.Done) -> bool:
+    return result.code in ERRORS_BY_CODE and ERRORS_BY_CODE[result.code].is_temporary
+
+
+def fill(template: str, values: tuple[tuple[str, str], ...]) -> str:
+    """Returns the template with its values; in one pass, so that no value is taken for a template."""
+    value_by_name = dict(values)
+    first, *parts = template.split("{")
+    filled = [first]
+    for part in parts:
         name, close, rest = part.partition("}")
-        out.append(known[name] + rest if close and name in known else "{" + part)
-    return "".join(out)
+        filled.append(value_by_name[name] + rest if close and name in value_by_name else "{" + part)
+    return "".join(filled)
 
 
-def placeholders(statement: str) -> list[str]:
-    """The names that `filled` would look for, each once."""
-    found = (part.partition("}") for part in statement.split("{")[1:])
-    return list(dict.fromkeys(name for name, close, _ in found if name and close))
+def placeholders(template: str) -> list[str]:
+    """Returns the names that `fill` would look up, each once."""
+    parts = (part.partition("}") for part in template.split("{")[1:])
+    return list(dict.fromkeys(name for name, close, _ in parts if name and close))
 
 
-def stuck(view: View) -> tuple[int, FleetError]:
-    """Of a workflow that is stuck: the place of the step that a person must settle, and what to do."""
-    passed = books.passed(view)
-    at = books.current(view) if passed else books.to_undo(view)
-    kind, tries = (
-        (StepStuckError, view.steps[at].tries) if passed else (UndoStuckError, view.steps[at].undo_tries)
-    )
-    return at, kind(f"workflow {view.number}", step=view.definition.steps[at].name, tries=tries)
+def stuck_step(view: WorkflowView) -> tuple[int, FleetError]:
+    """Returns the index of the step that an operator must settle, and the error that says what to do."""
+    passed = books.passed_no_return(view)
+    index = books.current_step(view) if passed else books.step_to_undo(view)
+    step = view.steps[index]
+    error_type, tries = (StepStuckError, step.tries) if passed else (UndoStuckError, step.undo_tries)
+    name = view.definition.steps[index].name
+    return index, error_type(f"workflow {view.number}", step=name, tries=tries)
 
 
-class Waiting:
-    """A client that waits, at whichever relay: it is told once, in time."""
+class WaitingClient:
+    """A client that waits, at any relay: it gets one answer, in time."""
 
-    __slots__ = ("_told", "_until", "number")
+    __slots__ = ("_is_answered", "_until", "number")
 
     def __init__(self, number: int, until: int) -> None:
-        self.number, self._until, self._told = number, until, False
+        self.number = number
+        self._until = until
+        self._is_answered = False
 
     def due(self) -> int:
-        return FAR if self._told else self._until
+        """Returns when `answer` has to be called at the latest."""
+        return NEVER_US if self._is_answered else self._until
 
-    def look(self, now: int, view: View | None) -> Tell | None:
-        """The answer, once: done and undone as soon as the books say so, errored when the time is up."""
+    def answer(self, now: int, view: WorkflowView | None) -> ClientAnswer | None:
+        """Returns the answer, once: as soon as the workflow has ended, or ERRORED when the time is up."""
         state = view.state if view else "unknown"
-        if self._told or (state not in books.ENDED and now < self._until):
+        if self._is_answered or (state not in books.END_STATES and now < self._until):
             return None
-        self._told = True
+        self._is_answered = True
         steps = zip(view.definition.steps, view.steps, strict=True) if view else ()
-        return Tell(
+        return ClientAnswer(
             self.number,
-            state if state in books.ENDED else ERRORED,
+            state if state in books.END_STATES else ERRORED,
             state,
-            tuple((step.name, one.state) for step, one in steps),
+            tuple((definition.name, step.state) for definition, step in steps),
         )
--- a/laurelcourse/fleet/workflows/views.py
+++ b/laurelcourse/fleet/workflows/views.py
@@ -1,47 +1,49 @@
-"""A workflow as the keepers tell it to relays: nested tuples of whole numbers and texts, and back. No I/O."""
+"""Serializes a workflow for relays: nested tuples of whole numbers and texts, and back. No I/O."""
 
 from laurelcourse.fleet.books import workflows as books
 from laurelcourse.fleet.books.forms import Fence, Intend, Limits, Result
 from laurelcourse.fleet.books.state import Session, State
-from laurelcourse.fleet.books.workflows import StepView, View
+from laurelcourse.fleet.books.workflows import StepView, WorkflowView
 from laurelcourse.fleet.errors import UnreadableError
-from laurelcourse.fleet.workflows import definition as d
+from laurelcourse.fleet.workflows import definition as definitions
 
-AT_ONCE = 8  # workflows told in one answer: each may bear a whole definition
-NUMBERS = 512  # of one kind told in one answer
+MAX_VIEWS = 8  # workflows in one answer: each may contain a whole definition
+MAX_NUMBERS = 512  # of one kind in one answer
 
 
-def told(view: View | None) -> tuple:
-    """Empty for a workflow that isn't there."""
+def to_plain(view: WorkflowView | None) -> tuple:
+    """Returns the view as nested tuples, empty for a workflow that doesn't exist."""
     if view is None:
         return ()
-    row = view._replace(definition=d.plain(view.definition), steps=tuple(map(tuple, view.steps)))
-    return _tuples(row)
+    definition = definitions.to_plain(view.definition)
+    return _to_tuples(view._replace(definition=definition, steps=tuple(map(tuple, view.steps))))
 
 
-def _tuples(one: object) -> object:
-    return tuple(map(_tuples, one)) if isinstance(one, list | tuple) else one
+def _to_tuples(value: object) -> object:
+    return tuple(map(_to_tuples, value)) if isinstance(value, list | tuple) else value
 
 
-def seen(found: tuple) -> View | None:
-    """What `told` made. Raises UnreadableError."""
-    if not found:
+def from_plain(plain: tuple) -> WorkflowView | None:
+    """Returns what `to_plain` was given. Raises UnreadableError."""
+    if not plain:
         return None
     try:
-        view = View(*found)
-        definition = d.read(view.definition)
-        steps = tuple(StepView(*one) for one in view.steps)
+        view = WorkflowView(*plain)
+        definition = definitions.from_plain(view.definition)
+        steps = tuple(StepView(*step) for step in view.steps)
     except (TypeError, ValueError) as error:
         raise UnreadableError("workflow", fault=type(error).__name__) from error
-    if not d.well_formed(definition) or len(steps) != len(definition.steps):
+    if not definitions.is_well_formed(definition) or len(steps) != len(definition.steps):
         raise UnreadableError("workflow", fault="definition")
     return view._replace(definition=definition, steps=steps)
 
 
-def after(view: View, what: Intend | Result, elapsed: int) -> View:
-    """The view once the books have taken this order of its owner, without asking them: by their own rules.
-    `elapsed`: microseconds since the owner came by it, by its own clock; should the books have gone another
-    way for their time, they refuse the next order. Raises FleetErrors."""
+def predict(view: WorkflowView, command: Intend | Result, elapsed: int) -> WorkflowView:
+    """Returns the view after a command of its owner, by the rules of the state machine, without asking it.
+
+    `elapsed`: microseconds since the owner got the workflow, by its own clock. If the state machine decided
+    otherwise by its own time, it refuses the next command. Raises FleetErrors.
+    """
     state = State()
     row = [
         view.number,
@@ -50,14 +52,15 @@
         0,
         view.owner,
         view.values,
-        view.began,
-        view.since,
+        view.began_at,
+        view.owned_since,
         view.state,
-        view.left,
-        view.ended,
+        view.leave_reason,
+        view.ended_at,
         view.steps,
     ]
-    state.flows = books.read([view.number, Limits(1, 1, 1, 1), [d.plain(view.definition)], [row]])
-    state.time = view.since + elapsed
-    books.carry_out(state, Session(Fence("", view.owner, 0, 0), "", 0, 0), what)
-    return books.view(state.flows.all[view.number])
+    limits = Limits(1, 1, 1, 1)
+    state.workflows = books.from_plain([view.number, limits, [definitions.to_plain(view.definition)], [row]])
+    state.time = view.owned_since + elapsed
+    books.apply_command(state, Session(Fence("", view.owner, 0, 0), "", 0, 0), command)
+    return books.view(state.workflows.by_number[view.number])
--- a/laurelcourse/lab/guards.py
+++ b/laurelcourse/lab/guards.py
@@ -135,22 +135,22 @@
             (
                 at
                 for at, one in enumerate(flow.steps)
-                if one.state in books.TO_UNDO and flow.definition.steps[at].effect
+                if one.state in books.UNDOABLE_STEP_STATES and flow.definition.steps[at].effect
             ),
             -1,
         )
 
-    replace(books, "to_undo", first)
+    replace(books, "step_to_undo", first)
 
 
 def _step_sent(change: Callable[..., None]) -> Callable[[], None]:
     """`change` is given the sending itself and its arguments."""
 
     def take_out() -> None:
-        from laurelcourse.fleet.workflows.steps import Steps
+        from laurelcourse.fleet.workflows.step_sender import StepSender
 
-        send = Steps.send
-        replace(Steps, "send", lambda self, *told: change(self, lambda *more: send(self, *more), *told))
+        send = StepSender.send
+        replace(StepSender, "send", lambda self, *told: change(self, lambda *more: send(self, *more), *told))
 
     return take_out
 
@@ -202,15 +202,15 @@
 def _always_back() -> None:
     from laurelcourse.fleet.books import workflows as books
 
-    replace(books, "passed", lambda _: False)
+    replace(books, "passed_no_return", lambda _: False)
     replace(
         books,
-        "to_undo",
+        "step_to_undo",
         lambda flow: max(
             (
                 at
                 for at, one in enumerate(flow.steps)
-                if one.state in books.TO_UNDO and flow.definition.steps[at].undo
+                if one.state in books.UNDOABLE_STEP_STATES and flow.definition.steps[at].undo
             ),
             default=-1,
         ),
@@ -218,29 +218,31 @@
 
 
 def _refusals_unknown() -> None:
-    from laurelcourse.fleet.workflows import steps
+    from laurelcourse.fleet.workflows import step_sender
 
-    outcome = steps.outcome
-    replace(steps, "outcome", lambda *told: {"failed": "unknown"}.get(outcome(*told), outcome(*told)))
+    outcome = step_sender.outcome_of
+    replace(
+        step_sender, "outcome_of", lambda *told: {"failed": "unknown"}.get(outcome(*told), outcome(*told))
+    )
 
 
 def _any_answer() -> None:
-    from laurelcourse.fleet.workflows.run import Waiting
+    from laurelcourse.fleet.workflows.run import WaitingClient
 
-    look = Waiting.look
+    look = WaitingClient.answer
 
     def wrong(self: Any, now: int, view: Any) -> Any:  # noqa: ANN401
         tell = look(self, now, view)
         return tell._replace(answer="undone") if tell and tell.answer == "done" and now & 1 else tell
 
-    replace(Waiting, "look", wrong)
+    replace(WaitingClient, "answer", wrong)
 
 
 def _never_told() -> None:
     from laurelcourse.fleet.calls.flows_service import FlowsService
-    from laurelcourse.fleet.workflows.run import Waiting
+    from laurelcourse.fleet.workflows.run import WaitingClient
 
-    replace(Waiting, "look", lambda *_: None)
+    replace(WaitingClient, "answer", lambda *_: None)
     replace(FlowsService, "_spare", lambda self, wait: 10 * wait)
 
 
@@ -283,8 +285,8 @@
     from laurelcourse.fleet.books import reservations
     from laurelcourse.fleet.books.apply import Books
 
-    replace(reservations, "_check_room", lambda *_: None)
-    replace(Books, "room", lambda self, resource, first, until: (400_000,) * (until - first))
+    replace(reservations, "_check_capacity", lambda *_: None)
+    replace(Books, "free_capacity", lambda self, resource, first, until: (400_000,) * (until - first))
 
 
 def _half_a_plan() -> None:
@@ -326,9 +328,11 @@
 def _kept_on() -> None:
     from laurelcourse.fleet.books import reservations
 
-    book = reservations._book
+    book = reservations._set_pieces
     replace(
-        reservations, "_book", lambda state, there, pieces: book(state, there, pieces) if pieces else None
+        reservations,
+        "_set_pieces",
+        lambda state, there, pieces: book(state, there, pieces) if pieces else None,
     )
 
 
--- a/laurelcourse/lab/transfers.py
+++ b/laurelcourse/lab/transfers.py
@@ -10,7 +10,7 @@
 
 from laurelcourse.fleet import terms
 from laurelcourse.fleet.books.forms import Command, Fence, Free, Job, Open, Reserve, Stretch
-from laurelcourse.fleet.books.state import SLICE
+from laurelcourse.fleet.books.state import SLICE_US
 from laurelcourse.fleet.calls.channel import limits
 from laurelcourse.fleet.calls.client import Client
 from laurelcourse.fleet.errors import LapsedLeaseError
@@ -114,14 +114,14 @@
         to = "abc".replace(origin, "")[rng.below(2)]
         size, within = (128 << 10) + rng.below(768 << 10), WITHIN[0] + rng.below(WITHIN[1] - WITHIN[0])
         earnings, now = 1 + rng.below(20), self.time()
-        self.jobs[name] = Job(name, "f", origin, to, size, now, now + within * SLICE, earnings, 1)
+        self.jobs[name] = Job(name, "f", origin, to, size, now, now + within * SLICE_US, earnings, 1)
         place = self.folder / origin
         place.mkdir(exist_ok=True)
         (place / name).write_bytes(bytes(rng.below(256) for _ in range(4096)) * (size // 4096 + 1))
         with (place / name).open("r+b") as file:
             file.truncate(size)
         (place / "new").write_text(
-            f'<job firm="f" to="{to}" within="{within * SLICE}" earnings="{earnings}" slots="1"/>'
+            f'<job firm="f" to="{to}" within="{within * SLICE_US}" earnings="{earnings}" slots="1"/>'
         )
         (place / "new").rename(place / f"{name}.job")
 
@@ -157,7 +157,7 @@
                 bytes_ = sum(one.rate * (one.until - one.first) for one in view.pieces)
                 if view.pieces and not view.proven and bytes_ < view.job.size:
                     self.half.add(view.job.name)
-                if any(one.first <= seen.time // SLICE < one.until for one in view.pieces):
+                if any(one.first <= seen.time // SLICE_US < one.until for one in view.pieces):
                     for site in (view.job.origin, view.job.to):
                         used[site] = used.get(site, 0) + view.job.slots
             self.open = {view.job.name for view in seen.views}
@@ -192,10 +192,10 @@
             opened = self.order(Command(None, 1, Open(name, one)))
             if not opened or opened[0].code:
                 continue
-            first = self.time() // SLICE + 2
+            first = self.time() // SLICE_US + 2
             pieces = (Stretch(first, first + PROBED, USABLE, (one, to)),)
             jobs = [
-                Job(name + end, "f", one, to, PROBED * USABLE, 0, (first + PROBED) * SLICE, 0, SLOTS)
+                Job(name + end, "f", one, to, PROBED * USABLE, 0, (first + PROBED) * SLICE_US, 0, SLOTS)
                 for end in "xy"
             ]
             whats = [what for job in jobs for what in (Reserve(job, pieces), Free(job.name))]
@@ -226,12 +226,12 @@
         )
 
     def figures(self) -> dict[str, float]:
-        start = min(job.earliest for job in self.jobs.values()) // SLICE
-        grains = max(job.deadline for job in self.jobs.values()) // SLICE - start
+        start = min(job.earliest for job in self.jobs.values()) // SLICE_US
+        grains = max(job.deadline for job in self.jobs.values()) // SLICE_US - start
         room = plan.Room(
             start,
             1,
-            SLICE,
+            SLICE_US,
             {f"{one}>{to}": (USABLE,) * grains for one in "abc" for to in "abc" if one != to},
             {site: (SLOTS,) * grains for site in "abc"},
         )
--- a/laurelcourse/operator/meaning_workflows.py
+++ b/laurelcourse/operator/meaning_workflows.py
@@ -23,7 +23,7 @@
         yield Fault(
             told.line, f"behind is {told.behind}, over in-flight, {told.in_flight}: it bounds nothing"
         )
-    if told and not 0 < told.keeps <= d.LONGEST:
+    if told and not 0 < told.keeps <= d.MAX_DURATION_US:
         yield Fault(told.line, "keeps must be above 0 and 1d at most: the books hold finished ones so long")
 
 
@@ -35,14 +35,14 @@
         yield from (fault for fault in _flaws(one, known) if fault not in told)
 
 
-def rules(routes: Iterable[settings.Route]) -> dict[str, d.Rule]:
-    return {one.name: d.Rule(one.repeat_policy, one.dedup_window, one.timeout) for one in routes}
+def rules(routes: Iterable[settings.Route]) -> dict[str, d.RouteRule]:
+    return {one.name: d.RouteRule(one.repeat_policy, one.dedup_window, one.timeout) for one in routes}
 
 
 def definitions(fleet: Fleet, routes: Iterable[settings.Route]) -> dict[str, d.Definition]:
     """By name, as they go into the books; of settings in which `against` finds nothing."""
     known = rules(routes)
-    return {one.name: d.ruled(definition(one), known) for one in fleet.workflows}
+    return {one.name: d.with_route_rules(definition(one), known) for one in fleet.workflows}
 
 
 def limits(fleet: Fleet) -> Limits | None:
@@ -75,9 +75,9 @@
     )
 
 
-def _flaws(found: Workflow, routes: Mapping[str, d.Rule] | None) -> Iterator[Fault]:
+def _flaws(found: Workflow, routes: Mapping[str, d.RouteRule] | None) -> Iterator[Fault]:
     told = definition(found)
-    for flaw in chain(d.flaws(told, routes), statements.flaws(told)):
+    for flaw in chain(d.find_flaws(told, routes), statements.find_flaws(told)):
         step = found.steps[flaw.step] if flaw.step >= 0 else None
         line = found.line if step is None else step.undo.line if flaw.undo and step.undo else step.line
-        yield Fault(line, f"workflow {found.name}: {flaw.words}")
+        yield Fault(line, f"workflow {found.name}: {flaw.message}")
--- a/tests/test_fleet_books.py
+++ b/tests/test_fleet_books.py
@@ -119,11 +119,11 @@
         order, _, wanted = (part.strip() for part in step.partition("="))
         at = int(order[3:]) if order.startswith("at ") else at
         do(books, at)
-        before = books.plain()[5:9]
+        before = books.to_plain()[5:9]
         told = do(books, at, *([] if order.startswith("at ") else [order]))
         assert not wanted or told == [wanted], step
         assert told in ([], [wanted]) or told[0] not in ERRORS_BY_CODE, step
-        assert not set(told) & set(ERRORS_BY_CODE) or books.plain()[5:9] == before, (
+        assert not set(told) & set(ERRORS_BY_CODE) or books.to_plain()[5:9] == before, (
             f"{step}: refused, yet it did"
         )
 
@@ -131,7 +131,7 @@
 def test_marks_too_old() -> None:
     books = begun()
     assert do(books, 20, *(f"back a {mark} lines 0" for mark in range(2, 67))) == ["0"] * 65
-    books = Books.restored(books.snapshot())
+    books = Books.from_snapshot(books.snapshot())
     late = [f"back a {mark} lines 0" for mark in (3, 2, 1)]
     assert do(books, 20, *late) == ["0", "mark_forgotten", "mark_forgotten"]
 
@@ -190,18 +190,18 @@
 def test_what_does_not_fit_is_refused_and_changes_nothing(code: str) -> None:
     for command in UNFIT[code]:
         books = begun()
-        before = books.plain()[5:9]
-        assert (do(books, 10, command), books.plain()[5:9]) == ([code], before), command
+        before = books.to_plain()[5:9]
+        assert (do(books, 10, command), books.to_plain()[5:9]) == ([code], before), command
 
 
 def test_bounds_on_all_that_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     for room, name, most in (
-        (sessions, "SESSIONS", 3),
-        (sessions, "PAST", 2),
-        (budgets, "BUDGETS", 3),
-        (budgets, "SCOPES", 3),
-        (budgets, "SHARES", 3),
-        (budgets, "PIECES", 4),
+        (sessions, "MAX_SESSIONS", 3),
+        (sessions, "MAX_PAST_SESSIONS", 2),
+        (budgets, "MAX_BUDGETS", 3),
+        (budgets, "MAX_SCOPES", 3),
+        (budgets, "MAX_SHARES", 3),
+        (budgets, "MAX_PENDING", 4),
     ):
         monkeypatch.setattr(room, name, most)
     monkeypatch.setitem(LISTS, "many", tuple(LINES._replace(name=one) for one in "abcd"))
@@ -209,7 +209,7 @@
     assert do(books, 10, "open c 1", "open d 1", "define many") == ["c 3 1 3", "crowded", "crowded"]
     assert do(books, 10, "grant lines/k 1:1", "grant lines/l 1:1", "grant lines/m 1:1 2:1")[2] == "crowded"
     assert do(books, 10, "grant lines/m 1:1", "grant lines/n 1:0") == ["", ""]
-    books = Books.restored(books.snapshot())
+    books = Books.from_snapshot(books.snapshot())
     assert do(books, 10, "grant lines/m 2:1", "back a 1 lines/k 0") == ["crowded", "0"]
     assert do(books, 10, "lapse 1", "grant hellos 2:1", "grant tries 2:1")[2] == "crowded", "keys in use"
     ends = [word for one, name in enumerate("aeafae", 4) for word in (f"open {name} {one}", f"lapse {one}")]
@@ -217,7 +217,7 @@
     do(books, 2000, "grant hellos 2:16")
     for one in range(10):
         do(books, 2020 + one, f"back b {one + 1} hellos {15 - one}")
-    assert books.plain()[8][0][2] == [[2520, 1], [2521, 1], [2522, 1], [2529, 7]]
+    assert books.to_plain()[8][0][2] == [[2520, 1], [2521, 1], [2522, 1], [2529, 7]]
 
 
 def test_an_entry_is_applied_once_and_the_desk_sees_what_is_there() -> None:
@@ -227,12 +227,17 @@
         with pytest.raises(ValueError, match="applied twice"):
             books.apply(index, f.Batch(30, 3, ()))
     assert [one[:4] for one in books.sessions()] == [(1, "a", "east", 1), (2, "b", "east", 1)]
-    assert books.session("b") == books.numbered(2) and books.session("c") is books.numbered(3) is None
-    assert books.sessions()[0].fence == A and books.refusal(A) is None
-    assert books.refusal(WHO["boot"]).code == "lapsed_lease"
-    assert books.shares("hellos/k") == ((1, 9, 4), (2, 1, 1)) and books.shares_of(1) == (("hellos/k", 9, 4),)
-    assert (books.held("hellos/k"), books.scopes(), books.budget("hellos/k")) == (2, ("hellos/k",), HELLOS)
-    assert books.defined() == LISTS["all"] and (books.time, books.index) == (20, 2)
+    assert (
+        books.session("b") == books.session_by_number(2)
+        and books.session("c") is books.session_by_number(3) is None
+    )
+    assert books.sessions()[0].fence == A and books.fence_refusal(A) is None
+    assert books.fence_refusal(WHO["boot"]).code == "lapsed_lease"
+    assert books.shares("hellos/k") == ((1, 9, 4), (2, 1, 1)) and books.session_shares(1) == (
+        ("hellos/k", 9, 4),
+    )
+    assert (books.pending("hellos/k"), books.scopes(), books.budget("hellos/k")) == (2, ("hellos/k",), HELLOS)
+    assert books.budgets() == LISTS["all"] and (books.time, books.index) == (20, 2)
     do(books, 20, "define small")
     assert books.shares("hellos/k") == ((1, 9, 0), (2, 1, 0)), "of a budget gone, all is asked back"
 
@@ -241,14 +246,14 @@
     books = begun()
     do(books, 20, "grant hellos/k 1:9", "back a 1 lines 30", "back a 2 hellos/k 2")
     data = books.snapshot()
-    assert json.loads(data) == books.plain() and Books.restored(data).plain() == books.plain()
+    assert json.loads(data) == books.to_plain() and Books.from_snapshot(data).to_plain() == books.to_plain()
     flipped = [data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :] for at in range(len(data))]
     newer = data.replace(b"[1,", b"[2,", 1)
     for bad in (b"", b"[]", b"{}", b"5", b"null", b"[" * 100_000, data[:-1], data + b" ", *flipped):
         with pytest.raises(DamagedBooksError):
-            Books.restored(bad)
+            Books.from_snapshot(bad)
     with pytest.raises(DamagedBooksError, match="form 2, this version reads 1"):
-        Books.restored(newer)
+        Books.from_snapshot(newer)
 
 
 SCOPES = ("tries", "lines", "hellos", "hellos/k")
@@ -284,8 +289,8 @@
         log = [(books.index, batch, done, books.hash()) for books, batch, done in play(one)]
         cut, again, each = Prng(one).below(len(log)), Books(), Books()
         for at, (index, batch, done, hashed) in enumerate(log):
-            again = Books.restored(again.snapshot()) if at == cut else again
-            each = Books.restored(each.snapshot())
+            again = Books.from_snapshot(again.snapshot()) if at == cut else again
+            each = Books.from_snapshot(each.snapshot())
             for books in (again, each):
                 assert books.apply(index, batch) == done and books.hash() == hashed, (one, at, cut)
 
@@ -327,7 +332,7 @@
                     shares[scope][session] = keeps
             for scope, most in zip(SCOPES, (60, 50, 16, 16), strict=True):
                 used = in_use(scope, shares[scope], over, now)
-                told = books.held(scope) + sum(granted for _, granted, _ in books.shares(scope))
+                told = books.pending(scope) + sum(granted for _, granted, _ in books.shares(scope))
                 assert used == told and used <= most, (seed, scope)
     wanted = {"", "over_whole", "not_held", "lapsed_lease", "fenced_off", "name_taken", "no_such_budget"}
     assert wanted <= codes, "the play has not come upon all that matters"
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_desk.py
@@ -415,7 +415,7 @@
     fleet = Fleet(names)
     fence = fleet.open("r")
     assert fence == (*fleet.ask("ask", Question("session", "r")).value[:-1],) and fence.boot == 1
-    assert fleet.leader().books.defined() == fleet.terms.budgets
+    assert fleet.leader().books.budgets() == fleet.terms.budgets
     assert fleet.renew(fence, tries=70) == Renewed(fleet.terms.lease, ())
     fleet.pass_time(fleet.now + 3 * TERMS.renew_interval)
     shares = fleet.renew(fence, tries=70).shares
@@ -504,13 +504,13 @@
     fleet.until(lambda: fleet.now >= heard + TERMS.keeper_lease() - 10 * MS)
     fleet.renew(other)
     fleet.pass_time(heard + TERMS.keeper_lease() - 1)
-    assert leader.books.numbered(fence.session)
+    assert leader.books.session_by_number(fence.session)
     fleet.cut = set(fleet.desks) - {leader.name}  # the Lapse is proposed and not committed
     fleet.pass_time(heard + TERMS.keeper_lease())
     token = fleet.call("renew", Beat(fence))
-    assert fleet.answers[token][0].code == "lapsed_lease" and leader.books.numbered(fence.session)
+    assert fleet.answers[token][0].code == "lapsed_lease" and leader.books.session_by_number(fence.session)
     fleet.cut = set()
-    fleet.until(lambda: not leader.books.numbered(fence.session), 50 * MS)
+    fleet.until(lambda: not leader.books.session_by_number(fence.session), 50 * MS)
     assert fleet.renew(other).lease == TERMS.lease and fleet.open("r", 2).boot == 2
     assert fleet.answers[fleet.call("renew", Beat(fence))][0].code == "fenced_off"
 
@@ -523,7 +523,7 @@
     leader = fleet.leader()
     fleet.pass_time(leader.leader_state.interval_at + phase * MS)
     fleet.renew(fence, tries=70)
-    while leader.books.numbered(fence.session):
+    while leader.books.session_by_number(fence.session):
         fleet.renew(other, tries=70)
         fleet.pass_time(fleet.now + MS)
     fleet.until(lambda: (other.session, 59, 59) in leader.books.shares("tries"), 20 * MS)
@@ -602,8 +602,8 @@
     fleet.until(lambda: fleet.leader().books.shares("held"))
     fleet.until(lambda: not fleet.leader().books.sessions())
     lapsed, books = fleet.now, fleet.leader().books
-    assert books.held("held") > 0
-    fleet.until(lambda: not books.held("held"))
+    assert books.pending("held") > 0
+    fleet.until(lambda: not books.pending("held"))
     assert LEVEL.freed_after - 10 * MS <= fleet.now - lapsed <= LEVEL.freed_after + 2 * TERMS.renew_interval
 
 
@@ -742,7 +742,7 @@
         return members
 
     def apply(self, *commands: Command) -> tuple[Done, ...]:
-        self.books = Books.restored(self.books.snapshot())
+        self.books = Books.from_snapshot(self.books.snapshot())
         dones = self.books.apply(self.books.index + 1, Batch(self.now, 1, commands))
         self.members().follow(self.now, [one.number for one in self.books.sessions()])
         if grant := self.grant():  # as soon as may be: that is the hardest for what is in use
@@ -806,8 +806,8 @@
     def confirm(self, place: int = 0) -> None:
         (beat, heard), self.heard[place] = self.heard[place], None
         answer: Answer = Done(code="lapsed_lease")
-        if self.books.refusal(beat.fence) is None and self.members().renew(heard, beat):
-            shares = self.books.shares_of(beat.fence.session)
+        if self.books.fence_refusal(beat.fence) is None and self.members().renew(heard, beat):
+            shares = self.books.session_shares(beat.fence.session)
             answer = Renewed(SMALL.lease, tuple(Share(*one) for one in shares))
         self.answers[place] = ((beat.asked_at, answer),)  # one that did not come by now is lost
 
@@ -864,7 +864,7 @@
             if not (place == 0 and self.paused):
                 relay = copied(relay)
                 used += sum(share.granted for share in relay.shares(self.now).values())
-                if relay.is_usable(self.now) and self.books.numbered(relay.fence.session) is None:
+                if relay.is_usable(self.now) and self.books.session_by_number(relay.fence.session) is None:
                     return f"relay {place} thinks session {relay.fence.session} usable, which has lapsed"
         return f"{used} of {WHOLE} in use" if used > WHOLE else ""
 
--- a/tests/test_fleet_flows.py
+++ b/tests/test_fleet_flows.py
@@ -23,8 +23,8 @@
 from laurelcourse.fleet.flows_client import DONE, ERRORED, UNDONE, FlowsClient, WorkflowStatus
 from laurelcourse.fleet.orders import Question
 from laurelcourse.fleet.workflows import definition as d
-from laurelcourse.fleet.workflows import steps, views
-from laurelcourse.fleet.workflows.work import Flows
+from laurelcourse.fleet.workflows import step_sender, views
+from laurelcourse.fleet.workflows.engine import WorkflowEngine
 from laurelcourse.lab import flows_seen
 from laurelcourse.lab.host import NOWHERE, Host
 from laurelcourse.net import req
@@ -219,14 +219,14 @@
     found = d.Definition("n", 100, 2, 3, 4, (d.Step("s", send, send),))
     fence = books.apply(1, f.Batch(1, 1, (f.Command(None, 7, f.Open("r", "a")),)))[0].value
     books.apply(2, f.Batch(1, 1, (f.Command(f.Fence(*fence), 1, f.Begin("t", "m", found, (("a", "b"),))),)))
-    assert views.seen(views.told(books.workflow(1))) == books.workflow(1)
-    assert views.seen(views.told(None)) is None
+    assert views.from_plain(views.to_plain(books.workflow(1))) == books.workflow(1)
+    assert views.from_plain(views.to_plain(None)) is None
     for index, (what, elapsed) in enumerate(
         ((f.Intend(1, 0, False, 1), 4), (f.Result(1, 0, False, 1, f.COMPLETED), 9)), 3
     ):
         before = books.workflow(1)
         books.apply(index, f.Batch(1 + elapsed, 1, (f.Command(f.Fence(*fence), index, what),)))
-        assert views.after(before, what, elapsed) == books.workflow(1) != before
+        assert views.predict(before, what, elapsed) == books.workflow(1) != before
 
 
 @pytest.mark.parametrize(
@@ -245,7 +245,7 @@
     ],
 )
 def test_what_is_said_of_a_step(end: str, statuses: list[str], once: bool, outcome: str) -> None:
-    assert steps.outcome(end, statuses, once) == outcome
+    assert step_sender.outcome_of(end, statuses, once) == outcome
 
 
 def seen(words: str) -> dict[str, flows_seen.Seen]:
@@ -310,7 +310,7 @@
     limits = f.Limits(9, 8, 7, 6)
     desks = test_fleet_desk.Fleet(terms=test_fleet_desk.TERMS._replace(limits=limits))
     fence = desks.open("r")
-    desks.until(lambda: desks.leader().books.limits() == limits)
+    desks.until(lambda: desks.leader().books.workflow_limits() == limits)
     for what in (limits, f.Adopt(1, 2, fence.session)):
         assert desks.ask("submit", test_fleet_desk.submit(None, what)).code == "out_of_order"
     assert desks.ask("ask", Question("flows", str(fence.session))) == f.Done(((), (), ()))
@@ -350,12 +350,12 @@
         def report_unsent(self, *_: object) -> None:
             begun.append("unsent")
 
-    owned, leases = steps.Owned(Tries()), [True, False]
-    asked = steps.statement(
-        steps.Send("i", "k", "mark", "SELECT blob FROM rows WHERE handle = 'a'", 0), 5000, True
+    owned, leases = step_sender.LeasedTries(Tries()), [True, False]
+    asked = step_sender.build_statement(
+        step_sender.SendReq("i", "k", "mark", "SELECT blob FROM rows WHERE handle = 'a'", 0), 5000, True
     )
     assert asked.repeated and (asked.req, asked.mark, asked.left_ms) == ("i", "k", 5)
-    owned.statuses["i"], owned.usable["i"] = [], lambda: leases.pop(0)
+    owned.statuses["i"], owned.has_lease["i"] = [], lambda: leases.pop(0)
     for number in range(2):
         owned.begin(number, 0, 9, asked, None)
     assert begun == ["sent", "unsent"]
@@ -371,18 +371,18 @@
 
     now = itertools.count(100)
     flows = SimpleNamespace(
-        me=7,
+        own_session=7,
         clock=lambda: next(now),
-        _usable=usable,
-        late=None,
+        _has_lease=usable,
+        post_or_drop=None,
         sender=SimpleNamespace(send=lambda *of: sent.append(of)),
     )
-    one = SimpleNamespace(sending=lambda: SimpleNamespace(tried=2), came=None)
-    Flows._send(flows, 1, one, steps.Send("i", "k", "mark", "SELECT 1", 5000))
+    one = SimpleNamespace(sending=lambda: SimpleNamespace(tried=2), on_outcome=None)
+    WorkflowEngine._send(flows, one, step_sender.SendReq("i", "k", "mark", "SELECT 1", 5000))
     ((_, left, again, look, _),) = sent
     assert (left, again, looks) == (4900, True, []), "looked at when it is sent, not before"
     assert look() and looks == [101]
     lease[0] = False
     assert not look()
-    lease[0], flows.me = True, 8
+    lease[0], flows.own_session = True, 8
     assert not look()
--- a/tests/test_fleet_flows_service.py
+++ b/tests/test_fleet_flows_service.py
@@ -14,7 +14,7 @@
 from laurelcourse.fleet.calls import fleet_pb2_grpc
 from laurelcourse.fleet.calls.flows_service import FlowsService
 from laurelcourse.fleet.errors import FleetError, error_from_code
-from laurelcourse.fleet.workflows.run import Tell
+from laurelcourse.fleet.workflows.run import ClientAnswer
 from laurelcourse.standins.base import RELAY
 from laurelcourse.standins.ports import reserve_port
 
@@ -34,21 +34,21 @@
     def clock(self) -> int:
         return now()
 
-    def put(self, work: Callable, *args: object) -> None:
+    def post(self, work: Callable, *args: object) -> None:
         if self.refuses:
             raise self.refuses
         work(*args)
 
-    late = put
+    post_or_drop = post
 
     def start(self, _: str, __: str, mark: str, ___: tuple, ____: int, told: Callable) -> None:
         self.asked[mark] = told
 
-    def left(self, told: Callable) -> None:
+    def client_left(self, told: Callable) -> None:
         self.gone.append(told)
 
     def tell(self, mark: str) -> None:
-        self.asked[mark](Tell(int(mark), "done", "done", (("room", "completed"),)))
+        self.asked[mark](ClientAnswer(int(mark), "done", "done", (("room", "completed"),)))
 
 
 @contextmanager
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_moves.py
@@ -12,7 +12,7 @@
 
 from laurelcourse.fleet import terms
 from laurelcourse.fleet.books import forms
-from laurelcourse.fleet.books.state import SLICE
+from laurelcourse.fleet.books.state import SLICE_US
 from laurelcourse.fleet.calls import codec, fleet_pb2_grpc
 from laurelcourse.fleet.calls import fleet_pb2 as wire
 from laurelcourse.fleet.calls.channel import limits
@@ -229,13 +229,13 @@
     fleet: Fleet, name: str, rate: int, sent: int, how: dict, code: str
 ) -> None:
     fence = forms.Fence(*fleet.given(forms.Command(None, 7, forms.Open(name, "a")))[0].value)
-    first = fleet.look("none").time // SLICE + 1
-    job = forms.Job(name, "f", "a", "b", sent, 0, (first + 40) * SLICE, 1, 0)
+    first = fleet.look("none").time // SLICE_US + 1
+    job = forms.Job(name, "f", "a", "b", sent, 0, (first + 40) * SLICE_US, 1, 0)
     length = -(-sent // (rate * CHUNK))
     piece = forms.Stretch(first, first + length, rate * CHUNK, ("a", "b"))
     (done,) = fleet.given(forms.Command(fence, 1, forms.Reserve(job, (piece,))))
     assert not done.code, done
-    until(lambda: fleet.look("none").time >= first * SLICE)
+    until(lambda: fleet.look("none").time >= first * SLICE_US)
     data = bytes(sent)
     how = {"whole": blake2b(data, digest_size=32).digest()} | how
     session = fence.session
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -140,7 +140,7 @@
         store = Store.open(node.folder / "looked-at", "lab", name, 1)
         kept = store.kept
         store.close()
-        books = Books.restored(kept.snapshot.data) if kept.snapshot else Books()
+        books = Books.from_snapshot(kept.snapshot.data) if kept.snapshot else Books()
         for entry in kept.entries:
             if entry.kind == BOOKS and entry.index <= index:
                 books.apply(entry.index, codec.decode_batch(entry.data))
--- a/tests/test_fleet_transfers.py
+++ b/tests/test_fleet_transfers.py
@@ -24,7 +24,7 @@
     Site,
     Stretch,
 )
-from laurelcourse.fleet.books.state import GRACE, SLICE
+from laurelcourse.fleet.books.state import GRACE_US, SLICE_US
 from laurelcourse.fleet.keeper.transfer_planning import TransferPlanner
 from laurelcourse.fleet.transfers import best, pace, plan
 from laurelcourse.prng import Prng
@@ -34,7 +34,7 @@
     tuple(Link(x, y, ON[f"{x}>{y}"] + 10, 10) for x in SITES for y in SITES if x != y),
     tuple(Site(x, ON[x]) for x in SITES),
 )
-AHEAD, S, BEAT, MIB = 40, SLICE, SLICE // 4, 1 << 20
+AHEAD, S, BEAT, MIB = 40, SLICE_US, SLICE_US // 4, 1 << 20
 
 
 class Play:
@@ -54,7 +54,7 @@
         self.index, self.mark = self.index + 1, self.mark + 1
         batch = Batch(self.at, 1, (Command(fence, self.mark, what),))
         self.log.append((batch, self.books.hash() if self.index % 50 == 0 else ""))
-        for name in [one for one, there in self.jobs.items() if there[0].deadline + GRACE <= self.at]:
+        for name in [one for one, there in self.jobs.items() if there[0].deadline + GRACE_US <= self.at]:
             del self.jobs[name]
         done = self.books.apply(self.index, batch)[0]
         self.taken[type(what).__name__, done.code] += 1
@@ -93,12 +93,12 @@
     def compare(self) -> None:
         first = self.at // S
         for name in ON:
-            for at, room in enumerate(self.books.room(name, first, first + AHEAD + 61), first):
+            for at, room in enumerate(self.books.free_capacity(name, first, first + AHEAD + 61), first):
                 much = self.cap[name][at] - self.used(name, at) - room
                 if much:
                     self.wrong["leaked_reservations" if much > 0 else "half_reserved"] += 1
             over = any(self.used(name, at) > self.cap[name][at] for at in range(first, first + AHEAD + 61))
-            self.wrong["over_not_told"] += over != (name in self.books.over())
+            self.wrong["over_not_told"] += over != (name in self.books.over_reserved())
 
     def pieces(self, job: Job) -> tuple[Stretch, ...]:
         below, made, first = self.rng.below, [], max(self.at, job.earliest) // S + 1
@@ -190,7 +190,7 @@
             self.step()
             if step % 25 == 0:
                 self.compare()
-        self.at += 10 * AHEAD * S + GRACE
+        self.at += 10 * AHEAD * S + GRACE_US
         self.give(None, Recall(()))
         self.compare()
         self.wrong["leaked_reservations"] += len(self.books._state.transfers.deltas) + len(self.books.jobs())
@@ -207,7 +207,7 @@
         for index, (batch, before) in enumerate(play.log, 1):
             if before:
                 assert copy.hash() == before
-                copy = Books.restored(copy.snapshot())
+                copy = Books.from_snapshot(copy.snapshot())
             copy.apply(index, batch)
         assert copy.snapshot() == play.books.snapshot()
     assert sum(taken.values()) > 4_000
@@ -227,7 +227,7 @@
     ), taken
 
 
-REAL = reservations._usable
+REAL = reservations._capacity_steps
 
 
 def unbounded(links: bool) -> object:
@@ -237,11 +237,11 @@
 @pytest.mark.parametrize(
     "guard, instead, count",
     [
-        ("_usable", unbounded(True), "over_link"),
-        ("_usable", unbounded(False), "over_compute"),
+        ("_capacity_steps", unbounded(True), "over_link"),
+        ("_capacity_steps", unbounded(False), "over_compute"),
         ("_check_plan", lambda *_: None, "half_reserved"),
-        ("_turn", lambda state, there, to: setattr(there, "state", to), "committed_twice"),
-        ("free", lambda state: None, "leaked_reservations"),
+        ("_set_state", lambda state, there, to: setattr(there, "state", to), "committed_twice"),
+        ("expire", lambda state: None, "leaked_reservations"),
     ],
 )
 def test_each_count_is_seen_when_its_guard_is_taken_out(
@@ -328,7 +328,7 @@
 
 
 def test_bounds_and_forgetting(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("JOBS", "ENDED", "STEPS"):
+    for name in ("MAX_JOBS", "MAX_ENDED_JOBS", "MAX_CAPACITY_STEPS"):
         monkeypatch.setattr(reservations, name, 2)
     play, plan_of = Play(1), (Stretch(2, 6, 25, ("a", "b")),)
     plans = {name: Reserve(JOB._replace(name=name, slots=0), plan_of) for name in "xyz"}
@@ -336,10 +336,10 @@
     assert [play.give(None, Shrink("a>b", 90, at)).code for at in (3, 4, 5)] == ["", "", "crowded"]
     for what in (Free("x"), plans["z"], Free("y"), Free("z")):
         assert not play.give(play.fences[0], what).code
-    assert [play.books.ended(name) for name in "xyz"] == ["", "freed", "freed"]
-    play.at = reservations.FORGET
+    assert [play.books.job_end(name) for name in "xyz"] == ["", "freed", "freed"]
+    play.at = reservations.FORGET_US
     play.give(None, Recall(()))
-    assert [play.books.ended(name) for name in "yz"] == ["", ""]
+    assert [play.books.job_end(name) for name in "yz"] == ["", ""]
 
 
 # Plans
@@ -463,9 +463,9 @@
     for resource, amount in (("a>b", links[0].capacity // 3), ("c", 4)):
         played.give(None, Shrink(resource, amount, 600))
     books, told, earnings = played.books, [], 0
-    assert books.over()
+    assert books.over_reserved()
     for _ in range(4):
-        seen = plan.seen(books.resources(), books.room, 600, 300, S, 10)
+        seen = plan.seen(books.resources(), books.free_capacity, 600, 300, S, 10)
         there = tuple(
             plan.held(
                 seen, one.job, one.proven, one.pieces, played.at // S, one.state == reservations.RECALLED
@@ -482,7 +482,7 @@
                 assert played.give(played.fences[0], new).code in ("", "capacity_taken")
         told += (now := played.give(None, Recall(changes.recall)).value)
         assert not any(played.give(played.fences[0], Move(name, ())).code for name in now)
-    assert not books.over() and told and len(told) == len(set(told))
+    assert not books.over_reserved() and told and len(told) == len(set(told))
     assert all(one.state == reservations.RESERVED for one in books.jobs())
     all_of_it = sum(want.job.earnings for want in wants if want.job.name in made)
     assert earnings < all_of_it // 2, (earnings, all_of_it, len(told))
@@ -643,7 +643,7 @@
     def beat(self, site: str) -> None:
         kept = {one.job.name: one for one in self.books.jobs()}
         for name, job in self.jobs.items():
-            if job.origin != site or job.earliest > self.now or self.books.ended(name):
+            if job.origin != site or job.earliest > self.now or self.books.job_end(name):
                 continue
             fence, there = self.fences[site], kept.get(name)
             sends = self.sends.get(name)
@@ -688,7 +688,7 @@
         done = sum(
             job.earnings
             for name, job in self.jobs.items()
-            if self.books.ended(name) == reservations.COMMITTED
+            if self.books.job_end(name) == reservations.COMMITTED
         )
         return done / plan.earned(wants, plan.planned(room, wants))
 
--- a/tests/test_fleet_transfers_lab.py
+++ b/tests/test_fleet_transfers_lab.py
@@ -50,9 +50,11 @@
     links = tuple(Link(one, to, transfers.USABLE, 0) for one, to in ("ab", "ba"))
     submit(Submit((Command(None, 1, Places(links, (Site("a", 2), Site("b", 2)))),)), list)
     if leaks:
-        book = reservations._book
+        book = reservations._set_pieces
         monkeypatch.setattr(
-            reservations, "_book", lambda state, there, pieces: book(state, there, pieces) if pieces else None
+            reservations,
+            "_set_pieces",
+            lambda state, there, pieces: book(state, there, pieces) if pieces else None,
         )
     lab = transfers.Lab.__new__(transfers.Lab)
     lab.client, lab.time = SimpleNamespace(submit=submit), lambda: 0
--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -39,8 +39,8 @@
     "keyed": (DEDUPED, 3_250_000),
     "short": (DEDUPED, 3_249_999),
     "notice": (NON_RETRIABLE, 0),
-    "lasting": (DEDUPED, d.LONGEST),
-    "longer": (DEDUPED, d.LONGEST + 1),
+    "lasting": (DEDUPED, d.MAX_DURATION_US),
+    "longer": (DEDUPED, d.MAX_DURATION_US + 1),
 }
 ROUTES = [
     Route(name, 1, 2_000_000, 1.0, 0.0, repeat, "any", memory) for name, (repeat, memory) in KINDS.items()
@@ -61,7 +61,7 @@
     assert faults(tmp_path, EXAMPLE) == []
     fleet = reading.read(str(tmp_path / "fleet.xml")).fleet
     found = meaning_workflows.definitions(fleet, ROUTES)["booking"]
-    assert (found.timeout, found.tries, found.back_off, found.longest, found.point(), found.waits()) == (
+    assert (found.timeout, found.tries, found.back_off, found.longest, found.no_return_index(), found.waits()) == (
         20_000_000,
         3,
         100_000,
@@ -81,7 +81,7 @@
         (True, True, "never"),
         (True, False, "harmless"),
     ]
-    assert d.well_formed(found) and d.read(d.plain(found)) == found and not list(d.flaws(found))
+    assert d.well_formed(found) and d.read(d.plain(found)) == found and not list(d.find_flaws(found))
     assert meaning_workflows.limits(fleet) == f.Limits(500, 50, 20, 600_000_000)
 
 
@@ -178,7 +178,7 @@
 
 def begun(found: d.Definition, values: tuple[tuple[str, str], ...]) -> str:
     """The code with which a Start is refused, empty if it is not."""
-    fault = statements.unfit(found, values)
+    fault = statements.find_unfit(found, values)
     if fault:
         return fault.code
     books = Books()
