--- a/tests/test_fleet_workflows.py
+++ b/tests/test_fleet_workflows.py
@@ -12,7 +12,7 @@
 from laurelcourse.fleet.errors import ERRORS_BY_CODE
 from laurelcourse.fleet.workflows import definition as d
 from laurelcourse.fleet.workflows import run as r
-from laurelcourse.fleet.workflows.takeover import Pace, Takeover, rank
+from laurelcourse.fleet.workflows.takeover import Takeover, TakeoverLimits, rank
 from laurelcourse.prng import Prng
 from laurelcourse.settings import DEDUPED, NON_RETRIABLE
 
@@ -134,13 +134,13 @@
             it.books.apply(it.books.index + 1, f.Batch(it.at, 1, ()))
             it.batches.append(f.Batch(it.at, 1, ()))
             continue
-        before = it.books.plain()[9]
+        before = it.books.to_plain()[9]
         told = it.say(order)
         assert told == wanted if wanted else told not in ERRORS_BY_CODE, step
-        assert told not in ERRORS_BY_CODE or it.books.plain()[9] == before, f"{step}: refused, yet it did"
+        assert told not in ERRORS_BY_CODE or it.books.to_plain()[9] == before, f"{step}: refused, yet it did"
     again = Books()
     for batch in it.batches:
-        again = Books.restored(again.snapshot())
+        again = Books.from_snapshot(again.snapshot())
         again.apply(again.index + 1, batch)
     assert again.hash() == it.books.hash()
 
@@ -161,7 +161,7 @@
     "template, out", [("A {a}", "A {b}"), ("{b}{c}", "2{c}"), ("{a", "{a"), ("a}", "a}")]
 )
 def test_values_are_filled_in_once(template: str, out: str) -> None:
-    assert r.filled(template, (("a", "{b}"), ("b", "2"))) == out
+    assert r.fill(template, (("a", "{b}"), ("b", "2"))) == out
 
 
 # An explorer: three relays, one workflow, units that count what is done to them
@@ -181,17 +181,17 @@
 class Relay:
     def __init__(self, name: str) -> None:
         self.name, self.fence, self.until, self.marks, self.wakes = name, None, 0, 0, 0
-        self.runs: dict[int, r.Run] = {}
-        self.takeover = Takeover(Pace(2, 100 * MS, 10, 200 * MS))
+        self.runs: dict[int, r.WorkflowRun] = {}
+        self.takeover = Takeover(TakeoverLimits(2, 100 * MS, 10, 200 * MS))
         self.events: list[Callable[[], None]] = []
 
 
 class Req(NamedTuple):
     at: int
-    send: r.Send
+    send: r.SendReq
     what: f.Intend
     relay: Relay
-    run: r.Run
+    run: r.WorkflowRun
     fate: str  # told to the relay if the answer comes
     runs: bool
     answered: bool
@@ -214,11 +214,11 @@
         self.bad = 1 + self.c.below(40)  # faults in a hundred
         self.calm = (500 + self.c.below(1500)) * MS
         self.definition = KINDS[self.c.below(2)]
-        self.leaves = self.c.below(1500) * MS if self.c.below(2) else r.FAR
+        self.leaves = self.c.below(1500) * MS if self.c.below(2) else r.NEVER_US
         for relay in self.relays:
             self.open(relay)
         self.number = self.do(self.relays[0], f.Begin("firm", "m", self.definition)).value[0]
-        self.client, self.told = r.Waiting(self.number, self.definition.timeout), []
+        self.client, self.told = r.WaitingClient(self.number, self.definition.timeout), []
 
     def rng(self, share: int = 0) -> bool:
         return self.now < self.calm and self.c.below(100) < (share or self.bad)
@@ -273,7 +273,7 @@
                 self.relay(relay)
         if self.now >= self.leaves and self.rng(20):
             self.do(self.relays[self.c.below(3)], f.Leave(self.number, f.LEFT))
-        told = self.client.look(self.now, self.books.workflow(self.number))
+        told = self.client.answer(self.now, self.books.workflow(self.number))
         self.told += [told] if told else []
 
     def relay(self, relay: Relay) -> None:
@@ -296,13 +296,15 @@
             return
         me = relay.fence.session
         live = tuple(one.number for one in self.books.sessions())
-        owned = self.books.workflows_of(me)
+        owned = self.books.workflows_owned_by(me)
         if self.usable(relay):
-            for adopt in relay.takeover.take(self.now, self.books.orphans(), live, me, len(owned)):
+            for adopt in relay.takeover.requests(
+                self.now, self.books.orphaned_workflows(), live, me, len(owned)
+            ):
                 self.do(relay, adopt)
         for one in owned:
             if one not in relay.runs or relay.runs[one].state == r.OVER:
-                relay.runs[one] = r.Run(one, Prng(self.c.below(1 << 30)))
+                relay.runs[one] = r.WorkflowRun(one, Prng(self.c.below(1 << 30)))
         for number, run in sorted(relay.runs.items()):
             self.carry(
                 relay,
@@ -314,11 +316,11 @@
             )
         self.faults(relay)
 
-    def carry(self, relay: Relay, run: r.Run, effects: tuple[r.Effect, ...], me: int) -> None:
+    def carry(self, relay: Relay, run: r.WorkflowRun, effects: tuple[r.Effect, ...], me: int) -> None:
         for effect in effects:
-            if type(effect) is r.Write:
+            if type(effect) is r.SubmitCommand:
                 relay.marks += 1
-                write = partial(self.write, relay, run, effect.what, relay.marks, relay.fence)
+                write = partial(self.write, relay, run, effect.command, relay.marks, relay.fence)
                 if self.rng(self.bad // 2 + 1):
                     self.late.append((self.now + self.c.below(8 * LEASE), write))
                 else:
@@ -326,17 +328,17 @@
             else:
                 self.send(relay, run, effect, run.sending(), me)
 
-    def write(self, relay: Relay, run: r.Run, what: f.What, mark: int, fence: f.Fence) -> None:
+    def write(self, relay: Relay, run: r.WorkflowRun, what: f.What, mark: int, fence: f.Fence) -> None:
         """The answer waits for the relay; what it knows when it wakes is what that said, however old."""
         done = self.do(relay, what, mark, fence)
         if relay.runs.get(self.number) is run:
             view = self.books.workflow(self.number)
             relay.events.append(partial(self.written, relay, run, done, view, fence.session))
 
-    def written(self, relay: Relay, run: r.Run, done: f.Done, view: w.View, me: int) -> None:
-        self.carry(relay, run, run.wrote(self.now, done, view, me, self.usable(relay)), me)
+    def written(self, relay: Relay, run: r.WorkflowRun, done: f.Done, view: w.WorkflowView, me: int) -> None:
+        self.carry(relay, run, run.on_result(self.now, done, view, me, self.usable(relay)), me)
 
-    def send(self, relay: Relay, run: r.Run, send: r.Send, what: f.Intend, session: int) -> None:
+    def send(self, relay: Relay, run: r.WorkflowRun, send: r.SendReq, what: f.Intend, session: int) -> None:
         if session in self.sessions and self.sessions[-1] != session:
             self.seen["two_owners_acted"] += 1
         self.sessions.append(session)
@@ -362,7 +364,7 @@
             if one.runs:
                 self.effect(one.what)
             if one.answered:
-                one.relay.events.append(partial(one.run.came, self.now, one.what, one.fate))
+                one.relay.events.append(partial(one.run.on_outcome, self.now, one.what, one.fate))
 
     def effect(self, what: f.Intend) -> None:
         steps = self.definition.steps
@@ -375,7 +377,7 @@
                 one not in self.there for one in range(what.step) if steps[one].undo is not None
             )
             self.there |= {what.step} if steps[what.step].effect else set()
-            self.point_ran |= what.step == self.definition.point()
+            self.point_ran |= what.step == self.definition.no_return_index()
             self.notices += steps[what.step].name == "notice"
 
     def finish(self) -> None:
@@ -383,17 +385,19 @@
             self.tick()
             view = self.books.workflow(self.number)
             if view.state == w.STUCK and self.now > self.calm + 3 * LEASE:
-                at = w.current(view) if w.passed(view) else w.to_undo(view)
+                at = w.current_step(view) if w.passed_no_return(view) else w.step_to_undo(view)
                 self.do(self.relays[0], f.Settle(self.number, at, f.AGAIN))
-            if view.state in w.ENDED and not self.reqs and self.told and self.now > self.calm:
+            if view.state in w.END_STATES and not self.reqs and self.told and self.now > self.calm:
                 break
         self.tick()
         state, seen = self.books.workflow(self.number).state, self.seen
         seen["effects_left_behind"] += state == w.UNDONE and bool(self.there)
         seen["undone_though_done"] += (state == w.DONE or self.point_ran) and self.undos > 0
         seen["notices_twice"] += self.notices > 1
-        right = [one for one in self.told if one.answer == (state if one.state in w.ENDED else r.ERRORED)]
-        seen["one_outcome_each"] += state not in w.ENDED or len(self.told) != 1 or right != self.told
+        right = [
+            one for one in self.told if one.answer == (state if one.state in w.END_STATES else r.ERRORED)
+        ]
+        seen["one_outcome_each"] += state not in w.END_STATES or len(self.told) != 1 or right != self.told
 
 
 def explored(seeds: range, lease_check: bool = True) -> tuple[dict[str, int], dict[str, int]]:
@@ -409,7 +413,7 @@
             # Replay, with a restart from a snapshot anywhere, comes to the same books.
             again, cut = Books(), world.c.below(len(world.batches))
             for at, batch in enumerate(world.batches):
-                again = Books.restored(again.snapshot()) if at == cut else again
+                again = Books.from_snapshot(again.snapshot()) if at == cut else again
                 again.apply(at + 1, batch)
             assert again.hash() == world.books.hash()
     return seen, states
@@ -418,19 +422,21 @@
 def test_explorer_finds_nothing() -> None:
     seen, states = explored(range(1200))
     assert seen == dict.fromkeys(CHECKS, 0)
-    assert all(states.get(f"{end} {owners} owners", 0) > 20 for end in w.ENDED for owners in (1, 2)), states
+    assert all(states.get(f"{end} {owners} owners", 0) > 20 for end in w.END_STATES for owners in (1, 2)), (
+        states
+    )
 
 
 def no_point(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(w, "passed", lambda flow: False)
+    patch.setattr(w, "passed_no_return", lambda flow: False)
     patch.setattr(
         w,
-        "to_undo",
+        "step_to_undo",
         lambda flow: max(
             (
                 at
                 for at, one in enumerate(flow.steps)
-                if one.state in w.TO_UNDO and flow.definition.steps[at].undo
+                if one.state in w.UNDOABLE_STEP_STATES and flow.definition.steps[at].undo
             ),
             default=-1,
         ),
@@ -440,12 +446,12 @@
 def any_order(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         w,
-        "to_undo",
+        "step_to_undo",
         lambda flow: min(
             (
                 at
                 for at, one in enumerate(flow.steps)
-                if one.state in w.TO_UNDO and flow.definition.steps[at].effect
+                if one.state in w.UNDOABLE_STEP_STATES and flow.definition.steps[at].effect
             ),
             default=-1,
         ),
@@ -453,10 +459,10 @@
 
 
 def at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(w, "ripe", lambda *_: True)
+    patch.setattr(w, "can_be_unknown", lambda *_: True)
     patch.setattr(
-        r.Run,
-        "_of_unknown_fate",
+        r.WorkflowRun,
+        "_unknown_result",
         lambda self, now, view, at, undo: f.Result(
             self.number, at, undo, view.steps[at].undo_tries if undo else view.steps[at].tries, f.UNKNOWN
         ),
@@ -468,18 +474,21 @@
 
 
 def undo_all(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(w, "TO_UNDO", (*w.TO_UNDO, w.NEVER_RAN, w.FAILED))
+    patch.setattr(w, "UNDOABLE_STEP_STATES", (*w.UNDOABLE_STEP_STATES, w.NEVER_RAN, w.FAILED))
     patch.setattr(
         w,
-        "STEP_MOVES",
-        w.STEP_MOVES | {one: (*w.STEP_MOVES[one], w.UNDO_INTENDED) for one in (w.NEVER_RAN, w.FAILED)},
+        "NEXT_STEP_STATES",
+        w.NEXT_STEP_STATES
+        | {one: (*w.NEXT_STEP_STATES[one], w.UNDO_INTENDED) for one in (w.NEVER_RAN, w.FAILED)},
     )
 
 
 def tell_again(patch: pytest.MonkeyPatch) -> None:
-    old = r.Waiting.look
+    old = r.WaitingClient.answer
     patch.setattr(
-        r.Waiting, "look", lambda self, now, view: (setattr(self, "_told", False), old(self, now, view))[1]
+        r.WaitingClient,
+        "answer",
+        lambda self, now, view: (setattr(self, "_is_answered", False), old(self, now, view))[1],
     )
 
 
@@ -511,7 +520,7 @@
 
 # Taking over
 
-PACE = Pace(5, 100 * MS, 60, 1000 * MS)
+PACE = TakeoverLimits(5, 100 * MS, 60, 1000 * MS)
 
 
 def test_a_herd_is_taken_evenly_and_at_its_pace() -> None:
@@ -522,12 +531,12 @@
     for beat in range(30):
         for me, takeover in relays.items():
             for _ in range(2):
-                took = takeover.take(beat * PACE.every, tuple(herd.items()), live, me, held[me])
-                assert len(took) <= PACE.most
+                took = takeover.requests(beat * PACE.interval, tuple(herd.items()), live, me, held[me])
+                assert len(took) <= PACE.max_requests
                 for one in took:
                     assert one.former == herd.pop(one.workflow)
                     held[me] += 1
-    assert not herd and min(held.values()) > 30 and max(held.values()) <= PACE.held, held
+    assert not herd and min(held.values()) > 30 and max(held.values()) <= PACE.max_owned, held
 
 
 def test_a_run_turns_back_in_time_and_waits_longer_each_time() -> None:
@@ -535,32 +544,34 @@
     view = it.books.workflow(1)
 
     def first(left_at: int, now: int = 0, may: bool = True) -> tuple[r.Effect, ...]:
-        return r.Run(1, Prng(3), left_at).step(now, view, 1, True, lambda: may)
+        return r.WorkflowRun(1, Prng(3), left_at).step(now, view, 1, True, lambda: may)
 
     # A step and its undo take 200 ms.
-    assert first(200 * MS) == (r.Write(f.Intend(1, 0, False, 1)),)
-    assert first(200 * MS - 1) == (r.Write(f.Leave(1, f.LATE)),)
-    gone = r.Run(1, Prng(3))
+    assert first(200 * MS) == (r.SubmitCommand(f.Intend(1, 0, False, 1)),)
+    assert first(200 * MS - 1) == (r.SubmitCommand(f.Leave(1, f.LATE)),)
+    gone = r.WorkflowRun(1, Prng(3))
     gone.client_left()
-    assert gone.step(0, view, 1, True, bool) == (r.Write(f.Leave(1, f.LEFT)),)
+    assert gone.step(0, view, 1, True, bool) == (r.SubmitCommand(f.Leave(1, f.LEFT)),)
     for order in ("do a 0 1", "do a 0 1 unknown"):
         it.say(order)
     waits, rng = [], Prng(5)
     for tried in range(3):
-        view, run = it.books.workflow(1), r.Run(1, rng)
+        view, run = it.books.workflow(1), r.WorkflowRun(1, rng)
         assert run.step(0, view, 1, True, lambda: False) == () and run.state == r.WAITING
         assert run.step(run.due() - 1, view, 1, True, lambda: True) == ()
         waits.append(run.due())
-        assert run.step(run.due(), view, 1, True, lambda: True) == (r.Write(f.Intend(1, 0, True, tried + 1)),)
+        assert run.step(run.due(), view, 1, True, lambda: True) == (
+            r.SubmitCommand(f.Intend(1, 0, True, tried + 1)),
+        )
         it.say(f"undo a 0 {tried + 1}"), it.say(f"undo a 0 {tried + 1} failed")
     assert all(5 * MS << at <= wait <= 10 * MS << at for at, wait in enumerate(waits)), waits
     # Stuck: it waits for an operator's word, and the client is told in time, once.
-    view, run, client = it.books.workflow(1), r.Run(1, rng), r.Waiting(1, 50)
+    view, run, client = it.books.workflow(1), r.WorkflowRun(1, rng), r.WaitingClient(1, 50)
     assert run.step(0, view, 1, True, lambda: True) == () and run.due() == BOOKING.longest
-    assert client.look(49, view) is None
-    told = client.look(50, view)
+    assert client.answer(49, view) is None
+    told = client.answer(50, view)
     assert told[:3] == (1, r.ERRORED, w.STUCK) and told.fates[0] == ("room", w.UNDO_DUE)
-    assert client.look(51, view) is None and r.Waiting(1, 5).look(5, None).state == "unknown"
+    assert client.answer(51, view) is None and r.WaitingClient(1, 5).answer(5, None).state == "unknown"
 
 
 def scripted(kind: str, *orders: str) -> Script:
@@ -583,21 +594,21 @@
     it, undone = scripted("booking", *orders.split("; ")), []
     while it.books.workflow(1).state == w.UNDOING:
         # As if it were taken over before each undo: the books alone say what is next.
-        (write,) = r.Run(1, Prng(1)).step(0, it.books.workflow(1), 1, True, lambda: True)
-        assert write.what.undo and it.do("a", write.what).code == ""
-        assert it.do("a", f.Result(1, write.what.step, True, 1, f.COMPLETED)).code == ""
-        undone.append(write.what.step)
+        (write,) = r.WorkflowRun(1, Prng(1)).step(0, it.books.workflow(1), 1, True, lambda: True)
+        assert write.command.undo and it.do("a", write.command).code == ""
+        assert it.do("a", f.Result(1, write.command.step, True, 1, f.COMPLETED)).code == ""
+        undone.append(write.command.step)
     assert undone == places and it.books.workflow(1).state == w.UNDONE
 
 
 def test_a_try_whose_fate_is_not_known_is_told_as_unknown() -> None:
-    it, lost = Script("booking"), r.Write(f.Result(1, 0, False, 1, f.UNKNOWN))
+    it, lost = Script("booking"), r.SubmitCommand(f.Result(1, 0, False, 1, f.UNKNOWN))
     begun = it.books.workflow(1)
 
-    def sent(usable: bool) -> tuple[r.Run, tuple[r.Effect, ...]]:
-        run = r.Run(1, Prng(1))
-        assert run.step(0, begun, 1, True, lambda: True) == (r.Write(f.Intend(1, 0, False, 1)),)
-        return run, run.wrote(0, f.Done(("id", "key")), begun, 1, usable)
+    def sent(usable: bool) -> tuple[r.WorkflowRun, tuple[r.Effect, ...]]:
+        run = r.WorkflowRun(1, Prng(1))
+        assert run.step(0, begun, 1, True, lambda: True) == (r.SubmitCommand(f.Intend(1, 0, False, 1)),)
+        return run, run.on_result(0, f.Done(("id", "key")), begun, 1, usable)
 
     # No answer by the end of the step's time; one that comes later changes nothing.
     run, (send,) = sent(True)
@@ -606,19 +617,19 @@
     view = it.books.workflow(1)
     assert run.due() == send.until == 100 * MS and run.step(send.until - 1, view, 1, True, bool) == ()
     assert run.step(send.until, view, 1, True, bool) == (lost,)
-    run.came(send.until, what, f.COMPLETED)
-    run.wrote(send.until, f.Done(code="no_quorum"), view, 1, True)
+    run.on_outcome(send.until, what, f.COMPLETED)
+    run.on_result(send.until, f.Done(code="no_quorum"), view, 1, True)
     assert run.step(run.due(), view, 1, True, bool) == (lost,)
     # A lease that ended between intent and sending: nothing goes, yet it is not said that it never ran.
     run, effects = sent(False)
     assert effects == () and run.step(1, view, 1, True, bool) == (lost,)
     # A try of the owner before may still run until its time is over.
-    run, taken = r.Run(1, Prng(1)), view._replace(owner=2)
+    run, taken = r.WorkflowRun(1, Prng(1)), view._replace(owner=2)
     assert run.step(7, taken, 2, True, bool) == () and run.due() == 7 + 100 * MS
     assert run.step(7 + 100 * MS, taken, 2, True, bool) == (lost,)
     # So the client hears of it.
     it.say("do a 0 1 unknown")
-    assert r.Waiting(1, 0).look(0, it.books.workflow(1)).fates[0] == ("room", w.MAYBE)
+    assert r.WaitingClient(1, 0).answer(0, it.books.workflow(1)).fates[0] == ("room", w.MAYBE)
 
 
 FAILS = "undo a 0 1; undo a 0 1 failed; undo a 0 2; undo a 0 2 unknown; undo a 0 3; undo a 0 3 failed"
@@ -639,7 +650,7 @@
 )
 def test_what_is_stuck_is_named_and_settled_there(orders: str, place: int, code: str, step: str) -> None:
     it = scripted("short", *orders.split("; "))
-    at, error = r.stuck(it.books.workflow(1))
+    at, error = r.stuck_step(it.books.workflow(1))
     assert (at, error.code, error.figures) == (place, code, {"step": step, "tries": 3})
     assert "by hand at its unit, then tell the books" in error.fields()["do"]
     # The place that is named is the one that the books take an operator's word for, and no other.
@@ -675,9 +686,9 @@
 @pytest.mark.parametrize("what", NOT_FIT)
 def test_what_does_not_fit_is_refused_and_changes_nothing(what: f.What) -> None:
     it = Script()
-    before = it.books.plain()[9]
+    before = it.books.to_plain()[9]
     assert it.do(None if type(what) is f.Limits else "a", what).code == "unreadable"
-    assert it.books.plain()[9] == before
+    assert it.books.to_plain()[9] == before
 
 
 def test_who_does_not_come_is_stood_in_for() -> None:
@@ -685,6 +696,6 @@
     order = sorted(live, key=lambda one: rank(7, live, one))
     for place, me in enumerate(order):
         takeover = Takeover(PACE)
-        takeover.take(0, orphans, live, me, PACE.held)
-        assert not takeover.take(place * PACE.patience - 1, orphans, live, me, 0)
-        assert takeover.take(place * PACE.patience + PACE.every, orphans, live, me, 0) == (f.Adopt(7, 3),)
+        takeover.requests(0, orphans, live, me, PACE.max_owned)
+        assert not takeover.requests(place * PACE.delay - 1, orphans, live, me, 0)
+        assert takeover.requests(place * PACE.delay + PACE.interval, orphans, live, me, 0) == (f.Adopt(7, 3),)
