--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -61,7 +61,14 @@
     assert faults(tmp_path, EXAMPLE) == []
     fleet = reading.read(str(tmp_path / "fleet.xml")).fleet
     found = meaning_workflows.definitions(fleet, ROUTES)["booking"]
-    assert (found.timeout, found.tries, found.back_off, found.longest, found.no_return_index(), found.waits()) == (
+    assert (
+        found.timeout,
+        found.tries,
+        found.back_off,
+        found.longest,
+        found.no_return_index(),
+        found.max_total_back_off(),
+    ) == (
         20_000_000,
         3,
         100_000,
@@ -81,7 +88,7 @@
         (True, True, "never"),
         (True, False, "harmless"),
     ]
-    assert d.well_formed(found) and d.read(d.plain(found)) == found and not list(d.find_flaws(found))
+    assert d.is_well_formed(found) and d.from_plain(d.to_plain(found)) == found and not list(d.find_flaws(found))
     assert meaning_workflows.limits(fleet) == f.Limits(500, 50, 20, 600_000_000)
 
 
