--- a/laurelcourse/fleet/keeper/coordinator.py
+++ b/laurelcourse/fleet/keeper/coordinator.py
@@ -609,7 +609,7 @@
             job = question.job
             if job and (job.origin, job.to) not in {(link.origin, link.to) for link in self.terms.links}:
                 return Done(code="no_direct_link", to=job.name, told=(("link", f"{job.origin}>{job.to}"),))
-            pieces = transfer_views.pieces(planner.plan(self.books, time, job)) if job else ()
+            pieces = transfer_views.pieces_to_plain(planner.plan(self.books, time, job)) if job else ()
             return Done((time, pieces))
         owners = ("*", "0", of) if of != "*" else ()  # of 'moves': a session's and orphans; '*': all
         jobs = [
@@ -620,7 +620,7 @@
         ]
         view = planner.view(self.books, time, jobs)
         ended = self.books.job_end(of) if question.what == "move" else ""
-        return Done(transfer_views.told(view._replace(ended=ended)))
+        return Done(transfer_views.to_plain(view._replace(ended=ended)))
 
     def _answer_workflows(self, numbers: str) -> Done:
         """Answers in the form of `workflows/views.py`, in the order asked for."""
--- a/laurelcourse/fleet/keeper/transfer_planning.py
+++ b/laurelcourse/fleet/keeper/transfer_planning.py
@@ -34,14 +34,14 @@
         self.intended: dict[str, tuple[Job, tuple[Stretch, ...]]] = {}
         self.intended_until = 0
 
-    def view(self, books: Books, time: int, jobs: Iterable[JobView]) -> views.Seen:
+    def view(self, books: Books, time: int, jobs: Iterable[JobView]) -> views.TransferList:
         """Returns jobs as of `time`, the state machine's time by the leader's clock."""
-        found = []
+        transfer_views = []
         for job in jobs:
             live = books.session_by_number(job.owner)
             fence = live.fence if live else None
-            found.append(views.View(job.job, fence, job.pieces, job.proven, job.state))
-        return views.Seen(time, "", tuple(found))
+            transfer_views.append(views.TransferView(job.job, fence, job.pieces, job.proven, job.state))
+        return views.TransferList(time, "", tuple(transfer_views))
 
     def recall(self, books: Books, time: int, interval: int) -> Recall | None:
         """Returns the jobs that have to let go, each named once.
@@ -65,10 +65,10 @@
                 *(job.deadline for job in self.waiting_jobs.values()),
             ]
         )
-        room = _room(books, time, last_deadline, RECALL_LEAD_SLICES)
-        held = tuple(
-            plan.held(
-                room,
+        capacity = _capacity(books, time, last_deadline, RECALL_LEAD_SLICES)
+        reserved = tuple(
+            plan.reserved_job(
+                capacity,
                 known.job,
                 known.proven,
                 known.pieces,
@@ -79,17 +79,20 @@
             for known in jobs
             if known.pieces
         )
-        new = [_with_spare(plan.wanted(room, self.waiting_jobs[name])) for name in sorted(self.waiting_jobs)]
-        changes = plan.replanned(plan.whole(room, held), held, tuple(new))
+        new = [
+            _with_spare(plan.job_request(capacity, self.waiting_jobs[name]))
+            for name in sorted(self.waiting_jobs)
+        ]
+        changes = plan.replan(plan.without_reservations(capacity, reserved), reserved, tuple(new))
         self.waiting_jobs = {}
         if not changes.recall:
             return None
         self.intended_until = time + RECALL_HOLD_INTERVALS * interval
         job_by_name = {known.job.name: known.job for known in jobs} | {
-            want.job.name: want.job for want in new
+            request.job.name: request.job for request in new
         }
         self.intended = {
-            name: (job_by_name[name], plan.stretches(room, parts))
+            name: (job_by_name[name], plan.to_stretches(capacity, parts))
             for name, parts in sorted(changes.plan.items())
         }
         return Recall(changes.recall)
@@ -103,30 +106,32 @@
         jobs = {known.job.name: known for known in books.jobs()}
         known = jobs.get(job.name)
         job = known.job if known else job
-        room = _room(books, time, job.deadline, 1)
-        free, now = plan.Free(room), time // SLICE_US
+        capacity = _capacity(books, time, job.deadline, 1)
+        free, now = plan.FreeCapacity(capacity), time // SLICE_US
         if known is not None:
-            free.put(job, plan.held(room, job, known.proven, known.pieces, now, False).parts, 1)
+            free.give_back(
+                job, plan.reserved_job(capacity, job, known.proven, known.pieces, now, False).parts
+            )
         for name, (other, pieces) in self.intended.items() if time < self.intended_until else ():
             # Room that was recalled for a job is kept for it: it will ask within a few intervals.
             waits = name not in jobs or jobs[name].state == RECALLED
             if name != job.name and waits and pieces[0].first > now:
-                free.put(other, plan.held(room, other, 0, pieces, now, False).parts)
-        want = plan.wanted(room, job, known.proven if known else 0)
-        parts = free.fit(_with_spare(want), False) if want.left > 0 else ()
+                free.take(other, plan.reserved_job(capacity, other, 0, pieces, now, False).parts)
+        request = plan.job_request(capacity, job, known.proven if known else 0)
+        parts = free.fit(_with_spare(request), False) if request.size_left > 0 else ()
         if not parts and known is None and job.earnings and len(self.waiting_jobs) < MAX_WAITING_JOBS:
             self.waiting_jobs[job.name] = job
-        return plan.stretches(room, parts)
+        return plan.to_stretches(capacity, parts)
 
 
-def _with_spare(want: plan.Want) -> plan.Want:
-    return want._replace(left=want.left + want.left // SPARE_PART + SPARE_BYTES)
+def _with_spare(request: plan.JobRequest) -> plan.JobRequest:
+    return request._replace(size_left=request.size_left + request.size_left // SPARE_PART + SPARE_BYTES)
 
 
-def _room(books: Books, time: int, until: int, lead_slices: int) -> plan.Room:
+def _capacity(books: Books, time: int, until: int, lead_slices: int) -> plan.Capacity:
     """Returns the free capacities from now until a time, in at most MAX_GRAINS grains."""
     first = time // SLICE_US + lead_slices
     grain = max(1, -(-max(1, until // SLICE_US - first) // MAX_GRAINS))
     start = -(-first // grain) * grain
     grains = max(1, min(MAX_GRAINS, (until // SLICE_US - start) // grain))
-    return plan.seen(books.resources(), books.free_capacity, start, grain, SLICE_US, grains)
+    return plan.capacity_from(books.resources(), books.free_capacity, start, grain, SLICE_US, grains)
--- a/laurelcourse/fleet/transfers/arrivals.py
+++ b/laurelcourse/fleet/transfers/arrivals.py
@@ -1,7 +1,8 @@
-"""What has come of transfers at one site, in files: parts under `.parts`, whole copies under `in`.
+"""The received bytes of transfers at one site, in files: partial ones under `.parts`, copies under `in`.
 
-A copy is seen once, whole: its part is renamed when the books have its Commit, and not before. The folder is
-the site's, shared by its relays: a lock of the file system lets one of them write to a part at a time.
+A copy becomes visible as a whole: its partial file is renamed once its Commit is in the log, and not before.
+The folder belongs to the site and is shared by its relays: by a file lock, one of them at a time writes to a
+partial file.
 """
 
 import contextlib
@@ -14,28 +15,30 @@
 
 from laurelcourse.fleet.errors import DiskFailedError, JobHeldError
 
-BLOCK = 1 << 20
+BLOCK_BYTES = 1 << 20
+DIGEST_BYTES = 32
+MAX_QUOTED_CHARACTERS = 80  # of a fault, in an error
 
 
-def digest(path: Path) -> bytes:
-    """Raises OSError."""
-    whole = blake2b(digest_size=32)
+def file_digest(path: Path) -> bytes:
+    """Returns the digest of a file. Raises OSError."""
+    digest = blake2b(digest_size=DIGEST_BYTES)
     with path.open("rb") as file:
-        while block := file.read(BLOCK):
-            whole.update(block)
-    return whole.digest()
+        while block := file.read(BLOCK_BYTES):
+            digest.update(block)
+    return digest.digest()
 
 
-def _kept(folder: Path) -> None:
-    """A new name in it outlives a crash of the machine."""
-    there = os.open(folder, os.O_RDONLY)
+def _sync_folder(folder: Path) -> None:
+    """Has new names in the folder outlive a crash of the machine."""
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(there)
+        os.fsync(descriptor)
     finally:
-        os.close(there)
+        os.close(descriptor)
 
 
-def _locked(path: Path, job: str) -> BinaryIO:
+def _open_locked(path: Path, job: str) -> BinaryIO:
     file = path.open("ab")
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -45,86 +48,104 @@
     return file
 
 
-class Part:
-    """An open part: `at` bytes are there, `proven` of them surely on disk."""
+def _disk_failed(job: str, error: OSError) -> DiskFailedError:
+    return DiskFailedError(job, fault=str(error)[:MAX_QUOTED_CHARACTERS])
+
+
+class PartialFile:
+    """An open partial file: it has `offset` bytes, `proven` of them surely on disk."""
 
     def __init__(self, path: Path, job: str, size: int) -> None:
-        """Raises JobHeldError while another process writes to it, DiskFailedError."""
-        self.path, self.job, self.size = path, job, size
+        """Raises JobHeldError while another process writes to it, and DiskFailedError."""
+        self.path = path
+        self.job = job
+        self.size = size
         try:
-            self.file = _locked(path, job)
-            self.at = self.file.tell()
-            if self.at >= size:
-                # The last byte comes again, with the digest of the whole that it is proven by.
-                self.at = size - 1 if self.at == size else 0
-                self.file.truncate(self.at)
+            self.file = _open_locked(path, job)
+            self.offset = self.file.tell()
+            if self.offset >= size:
+                # The last byte is sent again, with the digest of all bytes that proves it.
+                self.offset = size - 1 if self.offset == size else 0
+                self.file.truncate(self.offset)
             os.fsync(self.file.fileno())
-            _kept(path.parent)
+            _sync_folder(path.parent)
         except OSError as error:
-            raise DiskFailedError(job, fault=str(error)[:80]) from error
-        self.proven = self.at
+            raise _disk_failed(job, error) from error
+        self.proven = self.offset
 
     def write(self, data: bytes) -> None:
+        """Appends bytes. Raises DiskFailedError."""
         try:
             self.file.write(data)
         except OSError as error:
-            raise DiskFailedError(self.job, fault=str(error)[:80]) from error
-        self.at += len(data)
+            raise _disk_failed(self.job, error) from error
+        self.offset += len(data)
 
     def sync(self) -> int:
+        """Writes all bytes to disk and returns their number. Raises DiskFailedError."""
         try:
             self.file.flush()
             os.fsync(self.file.fileno())
         except OSError as error:
-            raise DiskFailedError(self.job, fault=str(error)[:80]) from error
-        self.proven = self.at
+            raise _disk_failed(self.job, error) from error
+        self.proven = self.offset
         return self.proven
 
     def digest(self) -> bytes:
-        return digest(self.path)
+        """Returns the digest of the file. Raises OSError."""
+        return file_digest(self.path)
 
-    def drop(self) -> None:
-        """All of it is sent anew: its bytes are not those that were sent."""
+    def discard(self) -> None:
+        """Removes all bytes, as they are not those that were sent: all of them are sent again."""
         self.file.truncate(0)
-        self.at = self.proven = 0
+        self.offset = self.proven = 0
 
     def close(self) -> None:
+        """Closes the file and releases its lock."""
         with contextlib.suppress(OSError):
             self.file.close()
 
 
 class Arrivals:
+    """The files of one site."""
+
     def __init__(self, folder: Path) -> None:
         """Raises OSError."""
-        self.parts, self.whole = folder / ".parts", folder / "in"
-        for one in (self.parts, self.whole):
-            one.mkdir(parents=True, exist_ok=True)
+        self.parts_folder = folder / ".parts"
+        self.copies_folder = folder / "in"
+        for path in (self.parts_folder, self.copies_folder):
+            path.mkdir(parents=True, exist_ok=True)
+
+    def open_partial(self, job: str, size: int) -> PartialFile:
+        """Opens a job's partial file. Raises JobHeldError or DiskFailedError."""
+        return PartialFile(self.parts_folder / file_name(job), job, size)
 
-    def part(self, job: str, size: int) -> Part:
-        return Part(self.parts / file_name(job), job, size)
+    def partial_jobs(self) -> list[str]:
+        """Returns the jobs with a partial file, by name."""
+        return sorted(unquote(path.name) for path in self.parts_folder.iterdir())
 
-    def waiting(self) -> list[str]:
-        """Jobs with a part, by name."""
-        return sorted(unquote(one.name) for one in self.parts.iterdir())
+    def publish(self, job: str) -> bool:
+        """Makes the partial file of a committed job its copy; returns whether this call did.
 
-    def show(self, job: str) -> bool:
-        """The part of a committed job becomes the copy. Whether it did so now. OSError, JobHeldError."""
+        Raises OSError or JobHeldError.
+        """
         name = file_name(job)
-        path = self.parts / name
+        path = self.parts_folder / name
         if not path.exists():
             return False
-        with _locked(path, job):  # nobody writes to it meanwhile
-            if (self.whole / name).exists():  # another relay of the site was first
+        with _open_locked(path, job):  # nobody writes to it meanwhile
+            if (self.copies_folder / name).exists():  # another relay of the site was first
                 path.unlink()
                 return False
-            path.rename(self.whole / name)
-        _kept(self.whole)
+            path.rename(self.copies_folder / name)
+        _sync_folder(self.copies_folder)
         return True
 
-    def forget(self, job: str) -> None:
-        (self.parts / file_name(job)).unlink(missing_ok=True)
+    def delete_partial(self, job: str) -> None:
+        """Deletes a job's partial file. Raises OSError."""
+        (self.parts_folder / file_name(job)).unlink(missing_ok=True)
 
 
 def file_name(job: str) -> str:
-    """Of any job's name a file name that can't lead out of its folder."""
+    """Returns a file name for a job, whatever its name, that stays within its folder."""
     return quote(job, safe="").replace(".", "%2E")
--- a/laurelcourse/fleet/transfers/views.py
+++ b/laurelcourse/fleet/transfers/views.py
@@ -1,4 +1,4 @@
-"""Transfers as the keepers tell them to relays: tuples of whole numbers and texts, and back. No I/O."""
+"""Serializes transfers for relays: tuples of whole numbers and texts, and back. No I/O."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -6,64 +6,65 @@
 from laurelcourse.fleet.books.forms import Fence, Job, Stretch
 from laurelcourse.fleet.errors import UnreadableError
 
-AT_ONCE = 64  # jobs told in one answer
+MAX_JOBS = 64  # in one answer
 
 
-class View(NamedTuple):
-    """`owner` is None for an orphan."""
+class TransferView(NamedTuple):
+    """A job as relays see it."""
 
     job: Job
-    owner: Fence | None
+    owner: Fence | None  # None: its session has ended
     pieces: tuple[Stretch, ...]
-    proven: int
+    proven: int  # bytes
     state: str
 
 
-class Seen(NamedTuple):
-    """`time`: of the books, when it was told. `ended`: how the one job asked for did, if it has."""
+class TransferList(NamedTuple):
+    """The answer to a question about transfers."""
 
-    time: int
-    ended: str
-    views: tuple[View, ...]
+    time: int  # of the state machine, when it was answered
+    ended: str  # how the single job that was asked for ended, if it did
+    views: tuple[TransferView, ...]
 
 
-def told(seen: Seen) -> tuple:
+def to_plain(transfers: TransferList) -> tuple:
+    """Returns the answer as nested tuples, of at most MAX_JOBS jobs."""
     return (
-        seen.time,
-        seen.ended,
+        transfers.time,
+        transfers.ended,
         tuple(
-            (tuple(one.job), tuple(one.owner or ()), pieces(one.pieces), one.proven, one.state)
-            for one in seen.views[:AT_ONCE]
+            (tuple(view.job), tuple(view.owner or ()), pieces_to_plain(view.pieces), view.proven, view.state)
+            for view in transfers.views[:MAX_JOBS]
         ),
     )
 
 
-def pieces(found: Iterable[Stretch]) -> tuple:
-    return tuple(tuple(one) for one in found)
+def pieces_to_plain(pieces: Iterable[Stretch]) -> tuple:
+    """Returns reservations as nested tuples."""
+    return tuple(tuple(piece) for piece in pieces)
 
 
-def seen_pieces(rows: tuple) -> tuple[Stretch, ...]:
-    """Raises UnreadableError."""
+def pieces_from_plain(plain: tuple) -> tuple[Stretch, ...]:
+    """Returns what `pieces_to_plain` was given. Raises UnreadableError."""
     try:
-        found = tuple(Stretch(*one) for one in rows)
-        if any(type(number) is not int for one in found for number in one[:3]):
+        pieces = tuple(Stretch(*piece) for piece in plain)
+        if any(type(number) is not int for piece in pieces for number in piece[:3]):
             raise ValueError("a number")
     except (TypeError, ValueError) as error:
         raise UnreadableError("transfer", fault="its pieces") from error
-    return found
+    return pieces
 
 
-def seen(value: tuple) -> Seen:
-    """What `told` made. Raises UnreadableError."""
+def from_plain(plain: tuple) -> TransferList:
+    """Returns what `to_plain` was given. Raises UnreadableError."""
     try:
-        time, ended, rows = value
-        return Seen(
-            time,
-            ended,
-            tuple(
-                View(Job(*job), Fence(*owner) if owner else None, seen_pieces(found), proven, state)
-                for job, owner, found, proven, state in rows
-            ),
+        time, ended, rows = plain
+        views = tuple(
+            TransferView(
+                Job(*job), Fence(*owner) if owner else None, pieces_from_plain(pieces), proven, state
+            )
+            for job, owner, pieces, proven, state in rows
         )
     except (TypeError, ValueError) as error:
         raise UnreadableError("transfer", fault=type(error).__name__) from error
+    return TransferList(time, ended, views)
--- a/laurelcourse/fleet/wiring.py
+++ b/laurelcourse/fleet/wiring.py
@@ -26,8 +26,10 @@
 from laurelcourse.fleet.orders import Terms
 from laurelcourse.fleet.session import Session
 from laurelcourse.fleet.transfers.arrivals import Arrivals
-from laurelcourse.fleet.transfers.stream import Books, Door, Sending
-from laurelcourse.fleet.transfers.work import Moves
+from laurelcourse.fleet.transfers.books_client import BooksClient
+from laurelcourse.fleet.transfers.engine import TransferEngine
+from laurelcourse.fleet.transfers.receiver import Receiver
+from laurelcourse.fleet.transfers.sender import Sender
 from laurelcourse.fleet.workflows.engine import WorkflowEngine
 from laurelcourse.fleet.workflows.step_sender import StepSender
 from laurelcourse.net.assembly import ProcessContext
@@ -135,12 +137,12 @@
 ) -> list[Callable[[], None]]:
     """Starts transfers from and to this relay's site; returns what to call at the end."""
     name = host.config.name
-    books = Books(member.client, clock)
+    books = BooksClient(member.client, clock)
     site = next((site for site in fleet.sites if any(door.relay == name for door in site.doors)), None)
     if site is None:
         return []
     site_folder = folder / site.folder
-    door = Door(
+    receiver = Receiver(
         fleet.name,
         name,
         site.name,
@@ -150,22 +152,22 @@
         bounds,
         join_address(next(door.address for door in site.doors if door.relay == name)),
     )
-    door.start()
-    doors = {
+    receiver.start()
+    receivers = {
         each.name: tuple((other.relay, join_address(other.address)) for other in each.doors)
         for each in fleet.sites
     }
-    moves = Moves(
+    engine = TransferEngine(
         member,
         CrossThreadMailbox(host.scheduler, MAX_MAIL_ITEMS),
         site.name,
         site_folder,
-        doors,
+        receivers,
         books,
-        Sending,
+        Sender,
     )
-    host.loops.append(moves.work)
-    return [lambda: moves.close(bounds.keeper_timeout), lambda: door.stop(bounds.keeper_timeout)]
+    host.loops.append(engine.work)
+    return [lambda: engine.close(bounds.keeper_timeout), lambda: receiver.stop(bounds.keeper_timeout)]
 
 
 def workflows(host: ProcessContext, fleet: Fleet, member: Member, bounds: Limits) -> list[Callable[[], None]]:
--- a/laurelcourse/lab/guards.py
+++ b/laurelcourse/lab/guards.py
@@ -275,10 +275,10 @@
 
 
 def _no_pace() -> None:
-    from laurelcourse.fleet.transfers.pace import Pace
+    from laurelcourse.fleet.transfers.rate_limiter import RateLimiter
 
-    replace(Pace, "take", lambda *_: True)
-    replace(Pace, "due", lambda self, now, size: now)
+    replace(RateLimiter, "take", lambda *_: True)
+    replace(RateLimiter, "due", lambda self, now, size: now)
 
 
 def _all_free() -> None:
@@ -303,11 +303,11 @@
 
 
 def _any_bytes() -> None:
-    from laurelcourse.fleet.transfers.arrivals import Part
+    from laurelcourse.fleet.transfers.arrivals import PartialFile
 
-    write = Part.write
-    replace(Part, "write", lambda self, data: write(self, bytes(len(data))))
-    replace(Part, "digest", lambda self: type("Any", (), {"__ne__": lambda *_: False})())
+    write = PartialFile.write
+    replace(PartialFile, "write", lambda self, data: write(self, bytes(len(data))))
+    replace(PartialFile, "digest", lambda self: type("Any", (), {"__ne__": lambda *_: False})())
 
 
 def _shown_again() -> None:
@@ -316,13 +316,13 @@
 
     from laurelcourse.fleet.transfers.arrivals import Arrivals, file_name
 
-    def show(self: Any, job: str) -> bool:  # noqa: ANN401
+    def publish(self: Any, job: str) -> bool:  # noqa: ANN401
         name = file_name(job)
-        shutil.copy(self.parts / name, self.parts.parent / name)
-        os.replace(self.parts.parent / name, self.whole / name)
+        shutil.copy(self.parts_folder / name, self.parts_folder.parent / name)
+        os.replace(self.parts_folder.parent / name, self.copies_folder / name)
         return True
 
-    replace(Arrivals, "show", show)
+    replace(Arrivals, "publish", publish)
 
 
 def _kept_on() -> None:
--- a/laurelcourse/lab/transfers.py
+++ b/laurelcourse/lab/transfers.py
@@ -15,7 +15,7 @@
 from laurelcourse.fleet.calls.client import Client
 from laurelcourse.fleet.errors import LapsedLeaseError
 from laurelcourse.fleet.orders import Question, Submit
-from laurelcourse.fleet.transfers import best, plan, views
+from laurelcourse.fleet.transfers import plan, solver, views
 from laurelcourse.fleet.wiring import clock, join_address
 from laurelcourse.lab import faults
 from laurelcourse.lab.host import Host
@@ -103,7 +103,7 @@
 
     def time(self) -> int:
         """Of the books, once anybody leads."""
-        return views.seen(until(lambda: self.ask("move", "none"), 12)).time
+        return views.from_plain(until(lambda: self.ask("move", "none"), 12)).time
 
     def copy(self, name: str) -> Path:
         return self.folder / self.jobs[name].to / "in" / name
@@ -152,7 +152,7 @@
             used: dict[str, int] = {}
             if (value := self.ask("moves", "*")) is None:
                 continue
-            seen = views.seen(value)
+            seen = views.from_plain(value)
             for view in seen.views:
                 bytes_ = sum(one.rate * (one.until - one.first) for one in view.pieces)
                 if view.pieces and not view.proven and bytes_ < view.job.size:
@@ -162,7 +162,7 @@
                         used[site] = used.get(site, 0) + view.job.slots
             self.open = {view.job.name for view in seen.views}
             for name in sorted(self.jobs.keys() - self.ended.keys() - self.open):
-                if (value := self.ask("move", name)) and (ended := views.seen(value).ended):
+                if (value := self.ask("move", name)) and (ended := views.from_plain(value).ended):
                     self.ended[name] = ended
             self.counts["over_compute"] += sum(amount > SLOTS for amount in used.values())
 
@@ -228,16 +228,16 @@
     def figures(self) -> dict[str, float]:
         start = min(job.earliest for job in self.jobs.values()) // SLICE_US
         grains = max(job.deadline for job in self.jobs.values()) // SLICE_US - start
-        room = plan.Room(
+        room = plan.Capacity(
             start,
             1,
             SLICE_US,
             {f"{one}>{to}": (USABLE,) * grains for one in "abc" for to in "abc" if one != to},
             {site: (SLOTS,) * grains for site in "abc"},
         )
-        wants = tuple(plan.wanted(room, job) for job in self.jobs.values())
+        wants = tuple(plan.job_request(room, job) for job in self.jobs.values())
         done = [job for name, job in self.jobs.items() if self.ended.get(name) == "committed"]
-        first, most = plan.first_come(room, wants), yardstick(room, wants, 2.0)
+        first, most = plan.first_come_plan(room, wants), yardstick(room, wants, 2.0)
         earned = sum(job.earnings for job in done)
         return {
             "jobs": len(self.jobs),
@@ -249,12 +249,12 @@
         }
 
 
-def yardstick(room: plan.Room, wants: tuple[plan.Want, ...], seconds: float) -> int:
+def yardstick(room: plan.Capacity, wants: tuple[plan.JobRequest, ...], seconds: float) -> int:
     """The most that a plan earns which knows all jobs beforehand. The solver alone found 79 of 174 in 2 s of
     a busy machine where the greedy plan has all: it begins with that one, and the better of both counts."""
-    greedy = plan.planned(room, wants)
-    found = best.best(room, wants, seconds, hint=greedy)
-    return max(plan.earned(wants, greedy), plan.earned(wants, found.plan) if found else 0)
+    greedy = plan.make_plan(room, wants)
+    found = solver.solve(room, wants, seconds, hint=greedy)
+    return max(plan.total_earnings(wants, greedy), plan.total_earnings(wants, found.plan) if found else 0)
 
 
 def run(seed: int, seconds: float, broken: str, progress: Progress) -> Report:
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_moves.py
@@ -71,8 +71,8 @@
         until(lambda: found, 10)
         return found[0]
 
-    def look(self, job: str) -> views.Seen:
-        return views.seen(self.asked(self.client.ask, Question("move", job)).value)
+    def look(self, job: str) -> views.TransferList:
+        return views.from_plain(self.asked(self.client.ask, Question("move", job)).value)
 
     def given(self, *commands: forms.Command) -> tuple[forms.Done, ...]:
         return self.asked(self.client.submit, Submit(commands))
@@ -182,7 +182,7 @@
     assert fleet.copy("shown").stat() == before
     assert fleet.copy("shown").read_bytes() == data
     assert len(fleet.logs("copy is here", "shown")) == 1
-    assert not Arrivals(fleet.folder / "b").waiting()
+    assert not Arrivals(fleet.folder / "b").partial_jobs()
 
 
 def test_a_job_between_sites_without_a_link_is_told_of_once_by_each_relay(fleet: Fleet) -> None:
--- a/tests/test_fleet_transfers.py
+++ b/tests/test_fleet_transfers.py
@@ -26,7 +26,7 @@
 )
 from laurelcourse.fleet.books.state import GRACE_US, SLICE_US
 from laurelcourse.fleet.keeper.transfer_planning import TransferPlanner
-from laurelcourse.fleet.transfers import best, pace, plan
+from laurelcourse.fleet.transfers import plan, rate_limiter, solver
 from laurelcourse.prng import Prng
 
 SITES, ON = "abc", {"a>b": 90, "a>c": 70, "b>a": 60, "b>c": 60, "c>a": 80, "c>b": 60, "a": 3, "b": 2, "c": 3}
@@ -345,12 +345,14 @@
 # Plans
 
 
-def instance(seed: int, jobs: int, grains: int = 24, load: int = 100) -> tuple[plan.Room, list[plan.Want]]:
+def instance(
+    seed: int, jobs: int, grains: int = 24, load: int = 100
+) -> tuple[plan.Capacity, list[plan.JobRequest]]:
     rng, grain = Prng(seed), 300
     links = {
         f"{x}>{y}": (10_000_000 + rng.below(20_000_000),) * grains for x in SITES for y in SITES if x != y
     }
-    room = plan.Room(0, grain, S, links, {site: (8,) * grains for site in SITES})
+    room = plan.Capacity(0, grain, S, links, {site: (8,) * grains for site in SITES})
     mean = sum(sum(one) for one in links.values()) * grain * load // 100 // jobs
     made = []
     for number in range(jobs):
@@ -369,11 +371,11 @@
             earnings,
             1 + rng.below(2),
         )
-        made.append(plan.wanted(room, job))
+        made.append(plan.job_request(room, job))
     return room, made
 
 
-def unfit(room: plan.Room, wants: list[plan.Want], made: plan.Plan) -> list[str]:
+def unfit(room: plan.Capacity, wants: list[plan.JobRequest], made: plan.Plan) -> list[str]:
     """Held against the books themselves: every job of the plan is taken by them."""
     books, by_name = Books(), {want.job.name: want.job for want in wants}
     links = tuple(Link(*name.split(">"), free[0], 0) for name, free in room.links.items())
@@ -381,7 +383,7 @@
     fence = Fence("r", 1, 1, 1)
     commands = [Command(None, 1, Places(links, sites)), Command(None, 1, forms.Open("r", "a"))]
     commands += [
-        Command(fence, at, Reserve(by_name[name], plan.stretches(room, parts)))
+        Command(fence, at, Reserve(by_name[name], plan.to_stretches(room, parts)))
         for at, (name, parts) in enumerate(made.items(), 1)
     ]
     return [done.code for done in books.apply(1, Batch(0, 1, tuple(commands))) if done.code]
@@ -391,29 +393,31 @@
 def test_plans_fit_the_books_and_come_near_the_best(seed: int) -> None:
     pytest.importorskip("ortools")
     room, wants = instance(seed, 16, 6, 80)
-    greedy = plan.planned(room, wants)
-    found = best.best(room, wants, 5, 1, greedy)
-    assert found.proved and len(greedy) > 8
+    greedy = plan.make_plan(room, wants)
+    found = solver.solve(room, wants, 5, 1, greedy)
+    assert found.is_optimal and len(greedy) > 8
     assert not unfit(room, wants, greedy) and not unfit(room, wants, found.plan)
-    assert plan.earned(wants, greedy) >= 0.85 * found.bound
-    assert plan.earned(wants, greedy) >= plan.earned(wants, plan.first_come(room, wants))
-    assert plan.earned(wants, best.chosen(room, wants, 2)) >= plan.earned(wants, greedy)
-    assert best.relaxed(room, wants, 2)[0] >= plan.earned(wants, found.plan)
+    assert plan.total_earnings(wants, greedy) >= 0.85 * found.bound
+    assert plan.total_earnings(wants, greedy) >= plan.total_earnings(wants, plan.first_come_plan(room, wants))
+    assert plan.total_earnings(wants, solver.choose_plan(room, wants, 2)) >= plan.total_earnings(
+        wants, greedy
+    )
+    assert solver.solve_relaxed(room, wants, 2)[0] >= plan.total_earnings(wants, found.plan)
 
 
 def test_many_jobs_keep_more_deadlines_than_first_come_first_served() -> None:
     kept = first = 0
     for seed in (1, 2, 3):
         room, wants = instance(seed, 100)
-        made = plan.planned(room, wants)
+        made = plan.make_plan(room, wants)
         assert not unfit(room, wants, made)
-        kept += plan.earned(wants, made)
-        first += plan.earned(wants, plan.first_come(room, wants))
+        kept += plan.total_earnings(wants, made)
+        first += plan.total_earnings(wants, plan.first_come_plan(room, wants))
     assert kept > 1.1 * first
 
 
-def flat(amount: int, slots: int = 2, over: int = 0) -> plan.Room:
-    return plan.Room(
+def flat(amount: int, slots: int = 2, over: int = 0) -> plan.Capacity:
+    return plan.Capacity(
         0,
         1,
         S,
@@ -422,12 +426,12 @@
     )
 
 
-def held(name: str, earnings: int, rate: int, told: bool = False) -> plan.Held:
-    want = plan.Want(JOB._replace(name=name, earnings=earnings, size=4 * rate), 4 * rate, 0, 4)
-    return plan.Held(want, tuple((grain, rate, ("a", "b")) for grain in range(4)), told)
+def held(name: str, earnings: int, rate: int, told: bool = False) -> plan.ReservedJob:
+    want = plan.JobRequest(JOB._replace(name=name, earnings=earnings, size=4 * rate), 4 * rate, 0, 4)
+    return plan.ReservedJob(want, tuple((grain, rate, ("a", "b")) for grain in range(4)), told)
 
 
-NEW = plan.Want(JOB._replace(name="n", earnings=105, size=400), 400, 0, 4)
+NEW = plan.JobRequest(JOB._replace(name="n", earnings=105, size=400), 400, 0, 4)
 
 
 @pytest.mark.parametrize(
@@ -443,8 +447,8 @@
         (flat(100, 1), (held("x", 90, 100),), (NEW,), ("x",), ("n",)),
     ],
 )
-def test_planning_anew(room: plan.Room, there: tuple, new: tuple, recall: tuple, planned: tuple) -> None:
-    changes = plan.replanned(room, there, new)
+def test_planning_anew(room: plan.Capacity, there: tuple, new: tuple, recall: tuple, planned: tuple) -> None:
+    changes = plan.replan(room, there, new)
     assert (changes.recall, tuple(sorted(changes.plan))) == (recall, planned)
 
 
@@ -454,10 +458,10 @@
     played = Play(seed)
     links = tuple(Link(*name.split(">"), free[0], 0) for name, free in room.links.items())
     played.give(None, Places(links, tuple(Site(name, free[0]) for name, free in room.sites.items())))
-    made = plan.planned(room, wants)
+    made = plan.make_plan(room, wants)
     for want in wants:
         if want.job.name in made:
-            reserve = Reserve(want.job, plan.stretches(room, made[want.job.name]))
+            reserve = Reserve(want.job, plan.to_stretches(room, made[want.job.name]))
             assert not played.give(played.fences[0], reserve).code
     played.at = 300 * S + 1
     for resource, amount in (("a>b", links[0].capacity // 3), ("c", 4)):
@@ -465,20 +469,20 @@
     books, told, earnings = played.books, [], 0
     assert books.over_reserved()
     for _ in range(4):
-        seen = plan.seen(books.resources(), books.free_capacity, 600, 300, S, 10)
+        seen = plan.capacity_from(books.resources(), books.free_capacity, 600, 300, S, 10)
         there = tuple(
-            plan.held(
+            plan.reserved_job(
                 seen, one.job, one.proven, one.pieces, played.at // S, one.state == reservations.RECALLED
             )
             for one in books.jobs()
         )
-        changes = plan.replanned(plan.whole(seen, there), there, ())
+        changes = plan.replan(plan.without_reservations(seen, there), there, ())
         for one in books.jobs():
             if one.state == reservations.RECALLED and one.job.name not in changes.plan:
                 played.give(played.fences[0], Free(one.job.name))
                 earnings += one.job.earnings
             elif one.state == reservations.RECALLED:
-                new = Move(one.job.name, plan.stretches(seen, changes.plan[one.job.name]))
+                new = Move(one.job.name, plan.to_stretches(seen, changes.plan[one.job.name]))
                 assert played.give(played.fences[0], new).code in ("", "capacity_taken")
         told += (now := played.give(None, Recall(changes.recall)).value)
         assert not any(played.give(played.fences[0], Move(name, ())).code for name in now)
@@ -495,11 +499,11 @@
         gone = sorted(room.links)[seed]
         room = room._replace(links={name: free for name, free in room.links.items() if name != gone})
         for made in (
-            plan.planned(room, wants),
-            plan.first_come(room, wants),
-            best.chosen(room, wants, 2),
-            best.best(room, wants, 1).plan,
-            plan.replanned(room, (), tuple(wants)).plan,
+            plan.make_plan(room, wants),
+            plan.first_come_plan(room, wants),
+            solver.choose_plan(room, wants, 2),
+            solver.solve(room, wants, 1).plan,
+            plan.replan(room, (), tuple(wants)).plan,
         ):
             by_job = {want.job.name: (want.job.origin, want.job.to) for want in wants}
             assert made and all(way == by_job[name] for name, parts in made.items() for _, _, way in parts)
@@ -537,10 +541,10 @@
 
 
 def test_nothing_left_takes_no_room_and_nobody_lets_go_for_it() -> None:
-    gone = plan.Want(JOB._replace(name="n", earnings=90), 0, 0, 10)
-    assert plan.Free(flat(100)).fit(gone, False) == ()
-    there = (held("x", 5, 100), plan.Held(gone, ((0, 200, ("a", "b")),), False))
-    assert plan.replanned(flat(100), there, ()) == plan.Changes(("n",), {})
+    gone = plan.JobRequest(JOB._replace(name="n", earnings=90), 0, 0, 10)
+    assert plan.FreeCapacity(flat(100)).fit(gone, False) == ()
+    there = (held("x", 5, 100), plan.ReservedJob(gone, ((0, 200, ("a", "b")),), False))
+    assert plan.replan(flat(100), there, ()) == plan.Changes(("n",), {})
 
 
 def test_a_site_lost_by_the_settings_ends_no_leader_that_plans() -> None:
@@ -577,12 +581,13 @@
 
 def test_a_newcomer_pushes_a_few_out_and_the_others_stay() -> None:
     wants = [
-        plan.Want(JOB._replace(name=f"j{at}", size=100, earnings=10 + at), 100, 0, 10) for at in range(9)
+        plan.JobRequest(JOB._replace(name=f"j{at}", size=100, earnings=10 + at), 100, 0, 10)
+        for at in range(9)
     ]
-    room = plan.Room(0, 1, S, {"a>b": (100,) * 10}, {"a": (1,) * 10, "b": (1,) * 10})
-    there = tuple(plan.Held(want, ((at, 100, ("a", "b")),), False) for at, want in enumerate(wants))
-    new = plan.Want(JOB._replace(name="n", size=300, earnings=60), 300, 0, 10)
-    changes = plan.replanned(room, there, (new,))
+    room = plan.Capacity(0, 1, S, {"a>b": (100,) * 10}, {"a": (1,) * 10, "b": (1,) * 10})
+    there = tuple(plan.ReservedJob(want, ((at, 100, ("a", "b")),), False) for at, want in enumerate(wants))
+    new = plan.JobRequest(JOB._replace(name="n", size=300, earnings=60), 300, 0, 10)
+    changes = plan.replan(room, there, (new,))
     assert len(changes.recall) == 2 and set(changes.plan) == {"n"}
 
 
@@ -667,7 +672,7 @@
             elif not sends:
                 self.sends[name] = [
                     there.pieces,
-                    pace.sender(there.pieces, S, self.now, 16 << 10),
+                    rate_limiter.sender_limiter(there.pieces, S, self.now, 16 << 10),
                     self.now + 60_000,
                 ]
 
@@ -683,14 +688,14 @@
                 if (self.now + place * self.STEP) % BEAT == 0:
                     self.beat(site)
         free = {f"{x}>{y}": (self.RATE,) * 30 for x in SITES for y in SITES if x != y}
-        room = plan.Room(0, 1, S, free, {site: (self.SLOTS,) * 30 for site in SITES})
-        wants = [plan.wanted(room, job) for job in self.jobs.values()]
+        room = plan.Capacity(0, 1, S, free, {site: (self.SLOTS,) * 30 for site in SITES})
+        wants = [plan.job_request(room, job) for job in self.jobs.values()]
         done = sum(
             job.earnings
             for name, job in self.jobs.items()
             if self.books.job_end(name) == reservations.COMMITTED
         )
-        return done / plan.earned(wants, plan.planned(room, wants))
+        return done / plan.total_earnings(wants, plan.make_plan(room, wants))
 
 
 def test_jobs_as_they_come_earn_nearly_what_a_plan_made_beforehand_would() -> None:
@@ -702,7 +707,7 @@
 
 
 def test_a_sender_that_wakes_late_carries_what_is_reserved() -> None:
-    send = pace.sender((Stretch(0, 5, 256 << 10, ("a", "b")),), S, 0, 16 << 10)
+    send = rate_limiter.sender_limiter((Stretch(0, 5, 256 << 10, ("a", "b")),), S, 0, 16 << 10)
     rng, now, sent = Prng(3), 0, 0
     while due := send.due(now, 16 << 10):
         now = due + rng.below(30_000)
@@ -712,12 +717,19 @@
 
 def test_a_sender_keeps_to_the_rate_and_a_receiver_refuses_what_goes_beyond() -> None:
     pieces, rng = (Stretch(1, 3, 1_000, ("a", "b")), Stretch(2, 5, 3_000, ("a", "c", "b"))), Prng(7)
-    send, hear, fast = (make(pieces, S, 0, 64) for make in (pace.sender, pace.receiver, pace.receiver))
+    send, hear, fast = (
+        make(pieces, S, 0, 64)
+        for make in (
+            rate_limiter.sender_limiter,
+            rate_limiter.receiver_limiter,
+            rate_limiter.receiver_limiter,
+        )
+    )
     sent = now = fast_taken = 0
     by_second = Counter()
     while now < 6 * S:
         now += 1 + rng.below(30_000)
-        size = min(64, send.room(now))
+        size = min(64, send.available(now))
         if send.take(now, size):
             assert hear.take(now + rng.below(1_000), size)
             sent, by_second[now // S] = sent + size, by_second[now // S] + size
@@ -727,10 +739,14 @@
         by_second[at] <= rate + max(150, rate // 20)
         for at, rate in ((1, 1_000), (2, 4_000), (3, 3_000), (4, 3_000))
     )
-    assert fast_taken <= 11_000 + (1_000 + 3_000) * 2 * pace.SLACK // S + 4 * 64
+    assert fast_taken <= 11_000 + (1_000 + 3_000) * 2 * rate_limiter.RECEIVER_SLACK_US // S + 4 * 64
     assert not send.take(now, -1) and send.due(now, 1) == 0
-    early, late = (pace.receiver(pieces, S, at, 64) for at in (0, 5 * S))
-    assert early.take(S - 1, 64) and not early.take(S - 1, 300) and late.take(5 * S + pace.SLACK - 1, 64)
-    fresh = pace.sender(pieces, S, 0, 64)
+    early, late = (rate_limiter.receiver_limiter(pieces, S, at, 64) for at in (0, 5 * S))
+    assert (
+        early.take(S - 1, 64)
+        and not early.take(S - 1, 300)
+        and late.take(5 * S + rate_limiter.RECEIVER_SLACK_US - 1, 64)
+    )
+    fresh = rate_limiter.sender_limiter(pieces, S, 0, 64)
     due = fresh.due(0, 50)
     assert not fresh.take(due - 1, 50) and fresh.take(due, 50) and due == S + 50_000
--- a/tests/test_fleet_transfers_lab.py
+++ b/tests/test_fleet_transfers_lab.py
@@ -10,18 +10,22 @@
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.books.forms import Batch, Command, Link, Places, Site
 from laurelcourse.fleet.orders import Submit
-from laurelcourse.fleet.transfers import best, plan
+from laurelcourse.fleet.transfers import plan, solver
 from laurelcourse.lab import transfers
 from laurelcourse.lab.transfers_reqs import LEAST, Took, compared
 
 
-@pytest.mark.parametrize("found", [None, best.Best({}, 1, False)])
+@pytest.mark.parametrize("found", [None, solver.SolverPlan({}, 1, False)])
 def test_a_solver_short_of_time_does_not_lower_the_yardstick(
-    found: best.Best | None, monkeypatch: pytest.MonkeyPatch
+    found: solver.SolverPlan | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     room, wants = instance(1, 16, 6, 80)
-    monkeypatch.setattr(transfers.best, "best", lambda *_, **__: found)
-    assert transfers.yardstick(room, tuple(wants), 2.0) == plan.earned(wants, plan.planned(room, wants)) > 0
+    monkeypatch.setattr(transfers.solver, "solve", lambda *_, **__: found)
+    assert (
+        transfers.yardstick(room, tuple(wants), 2.0)
+        == plan.total_earnings(wants, plan.make_plan(room, wants))
+        > 0
+    )
 
 
 @pytest.mark.parametrize("count, ratio", [(LEAST, 3.0), (LEAST - 1, -1)])
--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -88,7 +88,9 @@
         (True, True, "never"),
         (True, False, "harmless"),
     ]
-    assert d.is_well_formed(found) and d.from_plain(d.to_plain(found)) == found and not list(d.find_flaws(found))
+    assert (
+        d.is_well_formed(found) and d.from_plain(d.to_plain(found)) == found and not list(d.find_flaws(found))
+    )
     assert meaning_workflows.limits(fleet) == f.Limits(500, 50, 20, 600_000_000)
 
 
