--- a/laurelcourse/cli.py
+++ b/laurelcourse/cli.py
@@ -13,7 +13,7 @@
 from laurelcourse.net.relay import Relay
 
 if TYPE_CHECKING:
-    from laurelcourse.operator.form import Operator
+    from laurelcourse.operator.settings import Operator
 
 CONFIG_OPTION = click.option(
     "--config",
@@ -60,11 +60,11 @@
     """Checks the fleet's workflows against the platform's routes; prints what is wrong and exits with 2."""
     if operator is None or operator.fleet is None or config is None:
         return
-    from laurelcourse.operator import meaning_workflows
+    from laurelcourse.operator import workflows
 
-    faults = list(meaning_workflows.against(operator.fleet, config.settings.routes))
+    faults = list(workflows.find_route_faults(operator.fleet, config.settings.routes))
     for fault in faults:
-        click.echo(f"{operator.path}:{fault.line}: {fault.words}", err=True)
+        click.echo(f"{operator.path}:{fault.line}: {fault.message}", err=True)
     if faults:
         sys.exit(2)
 
--- a/laurelcourse/fleet/terms.py
+++ b/laurelcourse/fleet/terms.py
@@ -3,8 +3,8 @@
 from laurelcourse.fleet.books.forms import Budget, Link, Site
 from laurelcourse.fleet.keeper.messages import Bounds, Keepers
 from laurelcourse.fleet.orders import Terms
-from laurelcourse.operator import meaning_workflows
-from laurelcourse.operator.form import Address, Fleet
+from laurelcourse.operator import workflows
+from laurelcourse.operator.settings import Address, Fleet
 
 MILLION = 1_000_000
 
@@ -50,7 +50,7 @@
             for budget in budgets
         ),
         snapshot_every=bounds.snapshot_every,
-        limits=meaning_workflows.limits(fleet),
+        limits=workflows.to_limits(fleet),
         links=tuple(sorted(Link(link.origin, link.to, link.capacity, link.kept) for link in fleet.links)),
         sites=tuple(sorted(Site(site.name, site.slots) for site in fleet.sites)),
     )
--- a/laurelcourse/fleet/wiring.py
+++ b/laurelcourse/fleet/wiring.py
@@ -33,8 +33,8 @@
 from laurelcourse.fleet.workflows.engine import WorkflowEngine
 from laurelcourse.fleet.workflows.step_sender import StepSender
 from laurelcourse.net.assembly import ProcessContext
-from laurelcourse.operator import meaning_workflows as meaning
-from laurelcourse.operator.form import Fleet
+from laurelcourse.operator import workflows as workflow_settings
+from laurelcourse.operator.settings import Fleet
 from laurelcourse.prng import Prng
 
 log = logging.getLogger(__name__)
@@ -185,7 +185,7 @@
         member,
         CrossThreadMailbox(host.scheduler, MAX_MAIL_ITEMS),
         step_sender,
-        meaning.definitions(fleet, routes),
+        workflow_settings.to_definitions(fleet, routes),
         Prng(host.config.seed + 3),
     )
     host.loops.append(engine.work)
--- a/laurelcourse/fronts/tuf/decide_mirrors.py
+++ b/laurelcourse/fronts/tuf/decide_mirrors.py
@@ -45,7 +45,7 @@
             for unit, build in builds.items()
         }
 
-    def rests(self, now: int, unit: int) -> bool:
+    def is_excluded(self, now: int, unit: int) -> bool:
         return unit in self.known and self.known[unit].until > now
 
     def good(self, unit: int) -> None:
--- a/laurelcourse/fronts/tuf/exchange.py
+++ b/laurelcourse/fronts/tuf/exchange.py
@@ -16,7 +16,7 @@
 from laurelcourse.net.counters import Counters
 from laurelcourse.net.scheduler import LATE, MAIL, Mailbox, Scheduler
 from laurelcourse.net.tries import MALFORMED
-from laurelcourse.operator.form import MANIFEST, METADATA, TARGET, Limits
+from laurelcourse.operator.settings import MANIFEST, METADATA, TARGET, Limits
 
 PART = "part"
 HEARD_SHARE = 8  # of the latency objective: how often a file under way is told of as heard
--- a/laurelcourse/fronts/tuf/front.py
+++ b/laurelcourse/fronts/tuf/front.py
@@ -21,7 +21,7 @@
 from laurelcourse.net.limits import Limits
 from laurelcourse.net.req import ANSWER, COMPLETED, GONE, SHED, WITHDRAWN, ReqLifecycle
 from laurelcourse.net.scheduler import Mailbox, Scheduler
-from laurelcourse.operator.form import MANIFEST, TARGET, Tuf
+from laurelcourse.operator.settings import MANIFEST, TARGET, Tuf
 
 SECOND = 1_000_000
 KEPT_CHUNKS = 2  # of one file, in memory
--- a/laurelcourse/fronts/tuf/listing.py
+++ b/laurelcourse/fronts/tuf/listing.py
@@ -11,7 +11,7 @@
 from laurelcourse.net.dispatcher import Dispatcher
 from laurelcourse.net.payloads import BuildState, Tally
 from laurelcourse.net.scheduler import Scheduler
-from laurelcourse.operator.form import METADATA
+from laurelcourse.operator.settings import METADATA
 
 log = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
         self.dispatcher.tally(found)
 
     def _masked(self, one: face.Listed) -> face.Listed:
-        masked = self.mirrors.rests(self.scheduler.now(), one.unit) or self.room.full(one.unit)
+        masked = self.mirrors.is_excluded(self.scheduler.now(), one.unit) or self.room.full(one.unit)
         return one._replace(health=face.DRAINING) if masked and one.health == face.READY else one
 
     def _tell(self, unit: int) -> None:
--- a/laurelcourse/fronts/tuf/wiring.py
+++ b/laurelcourse/fronts/tuf/wiring.py
@@ -20,7 +20,7 @@
 from laurelcourse.net.directory import Directory
 from laurelcourse.net.dispatcher import Dispatcher
 from laurelcourse.net.payloads import BuildState, UnitList
-from laurelcourse.operator.form import MANIFEST, METADATA, TARGET, Tuf
+from laurelcourse.operator.settings import MANIFEST, METADATA, TARGET, Tuf
 from laurelcourse.prng import Prng
 
 MEMORY_SHARE = 64  # of the relay's memory: hashes of blocks
@@ -123,7 +123,7 @@
     """`folder`: where relative names of files start from."""
     scheduler, own = relay.scheduler, config(relay.config, front, fronts)
     counters = relay.counters.with_prefix(front.name)
-    mirrors = decide_mirrors.Mirrors(decide_mirrors.Bounds(*front.rests[1:]))
+    mirrors = decide_mirrors.Mirrors(decide_mirrors.Bounds(*front.exclusions[1:]))
     limits = front.limits
     room = decide_room.Room(
         decide_room.Bounds(limits.files, limits.files_per_mirror, limits.files_per_client, limits.bytes)
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -11,14 +11,14 @@
 from laurelcourse.fleet import terms
 from laurelcourse.fleet.books.forms import Budget
 from laurelcourse.fleet.keeper.messages import Bounds
-from laurelcourse.operator import form, reading
+from laurelcourse.operator import reading, settings
 
 EXAMPLE = (ROOT / "deploy" / "fleet.xml").read_text()
 NO_BUDGETS = re.sub(r"<budget [^>]*/>", "", EXAMPLE)
 FLEET = EXAMPLE[EXAMPLE.index("<fleet name") :].split(">")[0]
 
 
-def read(folder: Path, text: str) -> form.Fleet | list[str]:
+def read(folder: Path, text: str) -> settings.Fleet | list[str]:
     path = folder / "fleet.xml"
     path.write_text(text)
     try:
@@ -85,7 +85,7 @@
     ],
 )
 def test_what_is_just_right_is_taken(tmp_path: Path, text: str) -> None:
-    assert text != EXAMPLE and isinstance(read(tmp_path, text), form.Fleet)
+    assert text != EXAMPLE and isinstance(read(tmp_path, text), settings.Fleet)
 
 
 BUDGET = '<budget name="resends"'
@@ -180,4 +180,4 @@
     for name in ("image", "director"):
         (tmp_path / "roots" / f"{name}.json").write_text("{}")
     found = read(tmp_path, EXAMPLE.replace("</operator>", f"{front}</operator>"))
-    assert any(words in one for one in found) if words else isinstance(found, form.Fleet), found
+    assert any(words in one for one in found) if words else isinstance(found, settings.Fleet), found
--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -12,7 +12,7 @@
 from laurelcourse.fleet.books.apply import Books
 from laurelcourse.fleet.workflows import definition as d
 from laurelcourse.fleet.workflows import statements
-from laurelcourse.operator import meaning_workflows, reading
+from laurelcourse.operator import reading, workflows
 from laurelcourse.settings import DEDUPED, NON_RETRIABLE, RETRIABLE, Route
 
 ASK = "SELECT blob FROM rows WHERE handle = '%s'"
@@ -54,13 +54,13 @@
         fleet = reading.read(str(path)).fleet
     except reading.OperatorError as error:
         return str(error).splitlines()
-    return [f"{path}:{one.line}: {one.words}" for one in meaning_workflows.against(fleet, ROUTES)]
+    return [f"{path}:{one.line}: {one.message}" for one in workflows.find_route_faults(fleet, ROUTES)]
 
 
 def test_the_example_becomes_a_definition(tmp_path: Path) -> None:
     assert faults(tmp_path, EXAMPLE) == []
     fleet = reading.read(str(tmp_path / "fleet.xml")).fleet
-    found = meaning_workflows.definitions(fleet, ROUTES)["booking"]
+    found = workflows.to_definitions(fleet, ROUTES)["booking"]
     assert (
         found.timeout,
         found.tries,
@@ -91,7 +91,7 @@
     assert (
         d.is_well_formed(found) and d.from_plain(d.to_plain(found)) == found and not list(d.find_flaws(found))
     )
-    assert meaning_workflows.limits(fleet) == f.Limits(500, 50, 20, 600_000_000)
+    assert workflows.to_limits(fleet) == f.Limits(500, 50, 20, 600_000_000)
 
 
 FREE, KEYED, COMMIT = 'undo route="free"', 'undo route="keyed"', 'no-return="true" fails="never"'
@@ -206,8 +206,8 @@
     line = EXAMPLE[: EXAMPLE.index(old)].count("\n") + 1
     said = [one for one in ran.output.splitlines() if one.startswith(f"{path}:{line}: workflow booking: ")]
     # What is begun with settings that nobody checked is refused then, and nothing else is.
-    monkeypatch.setattr(reading.meaning, "faults", lambda *_: [])
-    found = meaning_workflows.definitions(reading.read(str(path)).fleet, ROUTES)["booking"]
+    monkeypatch.setattr(reading.validation, "find_faults", lambda *_: [])
+    found = workflows.to_definitions(reading.read(str(path)).fleet, ROUTES)["booking"]
     taken = any(not begun(found, values) for values in GIVEN)
     assert (ran.exit_code, bool(said), taken) == ((2, True, False) if words else (0, False, True)), ran.output
     assert not words or any(words in one for one in said), ran.output
--- a/tests/test_tuf_decisions.py
+++ b/tests/test_tuf_decisions.py
@@ -207,17 +207,19 @@
 
 def test_those_behind_rest_a_little_those_that_lie_long_and_not_all() -> None:
     one, now = mirrors(1, 1, 1, 1), 100 * SECOND
-    assert one.behind(now, 0) and one.rests(now + SECOND - 1, 0) and not one.rests(now + SECOND, 0)
+    assert (
+        one.behind(now, 0) and one.is_excluded(now + SECOND - 1, 0) and not one.is_excluded(now + SECOND, 0)
+    )
     assert one.behind(now, 1) and not one.behind(now, 2)  # half of them at most
-    assert one.wrong(now, 2) and one.rests(now + 9 * SECOND, 2)
-    assert not one.wrong(now, 3) and not one.rests(now, 3)  # the last one awake
+    assert one.wrong(now, 2) and one.is_excluded(now + 9 * SECOND, 2)
+    assert not one.wrong(now, 3) and not one.is_excluded(now, 3)  # the last one awake
     now += SECOND
-    assert one.behind(now, 0) and one.rests(now + 2 * SECOND - 1, 0)  # twice as long on end
+    assert one.behind(now, 0) and one.is_excluded(now + 2 * SECOND - 1, 0)  # twice as long on end
     now += 20 * SECOND
     one.good(0)
-    assert one.behind(now, 0) and not one.rests(now + SECOND, 0)
+    assert one.behind(now, 0) and not one.is_excluded(now + SECOND, 0)
     one.listed({0: 2, 1: 1})
-    assert not one.rests(now, 0)  # another build is another mirror
+    assert not one.is_excluded(now, 0)  # another build is another mirror
 
 
 def test_one_that_gives_strange_bytes_for_long_is_not_merely_ahead() -> None:
