--- a/laurelcourse/fronts/tuf/front.py
+++ b/laurelcourse/fronts/tuf/front.py
@@ -1,4 +1,4 @@
-"""The TUF front: what kiosks ask by HTTP, answered from what is proven, or with a file as it is proven."""
+"""The TUF front: answers HTTP requests with verified metadata, and with files as they are verified."""
 
 import logging
 from collections.abc import Callable
@@ -6,15 +6,15 @@
 
 from tuf.api.metadata import TargetFile
 
-from laurelcourse.fronts.tuf import http, transfer, uptane
-from laurelcourse.fronts.tuf.decide_pace import Pace
-from laurelcourse.fronts.tuf.decide_room import Room
-from laurelcourse.fronts.tuf.exchange import PART, Download, Report
-from laurelcourse.fronts.tuf.http import BadRequestError, Head
+from laurelcourse.fronts.tuf import download, http_messages, uptane
+from laurelcourse.fronts.tuf.download import BlockHashes, Download
+from laurelcourse.fronts.tuf.exchange import PART, FileRequest, ManifestRequest
+from laurelcourse.fronts.tuf.file_admission import FileAdmission
+from laurelcourse.fronts.tuf.http_messages import BadRequestError, RequestHead
 from laurelcourse.fronts.tuf.repository import RefusedError, Repository
-from laurelcourse.fronts.tuf.transfer import Blocks, Transfer
-from laurelcourse.fronts.tuf.trust import MOST_ROLES, View
-from laurelcourse.fronts.tuf.uptane import ManifestError, Reports
+from laurelcourse.fronts.tuf.throughput import ThroughputMonitor
+from laurelcourse.fronts.tuf.trust import MAX_ROLES, View
+from laurelcourse.fronts.tuf.uptane import ManifestError, ManifestLog
 from laurelcourse.net.admission import Client, ClientAdmission
 from laurelcourse.net.connection import GOT
 from laurelcourse.net.counters import Counters
@@ -23,370 +23,453 @@
 from laurelcourse.net.scheduler import Mailbox, Scheduler
 from laurelcourse.operator.settings import MANIFEST, TARGET, Tuf
 
-SECOND = 1_000_000
-KEPT_CHUNKS = 2  # of one file, in memory
-READER_PATIENCE = 4  # a client's stretch, as a multiple of a mirror's
-LATER = 2 * SECOND  # when to come back where nobody says
+SECOND_US = 1_000_000
+MILLISECOND_US = 1000
+HELD_CHUNKS = 2  # of one file, in memory
+CLIENT_WINDOW_FACTOR = 4  # a client's throughput is measured over so many times a mirror's window
+CLIENT_WRITE_BYTES = 16 << 10  # small enough that a slow client shows between two writes
+DEFAULT_RETRY_AFTER_US = 2 * SECOND_US
+MAX_MANIFESTS = 1 << 16  # remembered
+MAX_KEPT_ANSWER_BYTES = 4 << 10  # of a director's answer
+
+Pins = dict[str, View | None]  # by repository: the view that a connection's client has
 
 log = logging.getLogger(__name__)
 
 
-class Found(NamedTuple):
-    """A target as a path under a repository names it, the length that it had in the view before, and whether
-    the path names its hash."""
+class FoundTarget(NamedTuple):
+    """A target that a path under a repository means."""
 
     target: TargetFile
-    older: int | None
-    versioned: bool
+    former_length: int | None  # in the previous view
+    is_versioned: bool  # the path contains its hash
+
+
+class FileResponse(NamedTuple):
+    """The head of a response with a file."""
+
+    status: int
+    fields: dict[str, str]
+    length: int
 
 
 class Front:
+    """Serves the clients of one TUF front."""
+
     def __init__(
         self,
         scheduler: Scheduler,
         limits: Limits,
         settings: Tuf,
-        lives: ReqLifecycle,
-        doors: ClientAdmission,
+        lifecycle: ReqLifecycle,
+        admission: ClientAdmission,
         repositories: dict[str, Repository],
-        room: Room,
-        blocks: Blocks,
-        name: Callable[[], str],
+        files: FileAdmission,
+        blocks: BlockHashes,
+        new_req_name: Callable[[], str],
         counters: Counters,
     ) -> None:
-        """`name` gives a req's name."""
-        self.scheduler, self.limits, self.settings, self.lifecycle = scheduler, limits, settings, lives
-        self.admission, self.repositories, self.room, self.blocks = doors, repositories, room, blocks
-        self.name, self.counters = name, counters
+        self.scheduler = scheduler
+        self.limits = limits
+        self.settings = settings
+        self.lifecycle = lifecycle
+        self.admission = admission
+        self.repositories = repositories
+        self.files = files
+        self.blocks = blocks
+        self.new_req_name = new_req_name
+        self.counters = counters
         self.timeouts = {route.name: route.timeout for route in settings.routes}
-        two = settings.uptane
-        self.reports = Reports(bool(two and two.counter), two.memory if two else 0, 1 << 16, 4 << 10)
+        director = settings.uptane
+        self.manifests = ManifestLog(
+            bool(director and director.counter),
+            director.memory if director else 0,
+            MAX_MANIFESTS,
+            MAX_KEPT_ANSWER_BYTES,
+        )
 
-    # -- a connection
+    # Connections
 
     def serve(self, client: Client) -> None:
-        """One client's requests in order, each answered before the next is read."""
-        pins: dict[str, View | None] = {}
+        """Answers one client's requests in order."""
+        pins: Pins = {}
         began = False
-        while (head := self._head(client)) is not None:
+        while (head := self._read_head(client)) is not None:
             if not began and not self.admission.admit(client):
-                self._say(client, head._replace(stays=False), 503, "too many connections", LATER)
+                self._respond_text(
+                    client,
+                    head._replace(stays=False),
+                    503,
+                    "too many connections",
+                    DEFAULT_RETRY_AFTER_US,
+                )
                 return
             began = client.has_spoken = True
             self.counters.add("asked")
             try:
-                stays = self._answer(client, head, pins)
+                stays = self._handle(client, head, pins)
             except BadRequestError as error:
                 # A body that was not read would pass for the next request.
                 head = head._replace(stays=head.stays and not head.length)
-                stays = self._say(client, head, error.status, str(error))
+                stays = self._respond_text(client, head, error.status, str(error))
             except RefusedError as error:
                 self.counters.add("refused")
-                stays = self._say(client, head, 503, str(error), error.back)
+                stays = self._respond_text(client, head, 503, str(error), error.retry_after)
             if not stays:
                 client.conn.close_gracefully(self.scheduler.now() + self.limits.stop_drain)
                 return
 
-    def _head(self, client: Client) -> Head | None:
+    def _read_head(self, client: Client) -> RequestHead | None:
         buffer = client.conn.buffer
         while True:
             try:
-                end = http.end_of_head(buffer.data, buffer.start, buffer.end)
+                end = http_messages.find_head_end(buffer.data, buffer.start, buffer.end)
                 if end is None:
-                    if not self.admission.wait_for_bytes(client, self._unfinished, self.limits.max_idle):
+                    if not self.admission.wait_for_bytes(
+                        client, self._timeout_response, self.limits.max_idle
+                    ):
                         return None
                     continue
                 self.admission.partial.pop(client, None)
                 raw = bytes(buffer.data[buffer.start : end])
                 buffer.start = end
-                head = http.head(raw)
-                body = head.method == "POST"
-                if head.length and not body:
+                head = http_messages.parse_head(raw)
+                if head.length and head.method != "POST":
                     raise BadRequestError(400, "a body where none is taken")
                 return head
             except BadRequestError as error:
-                # What follows can't be told apart any more.
+                # Where the next request begins is unknown from here on.
                 self.counters.add(f"clients_faults.{error.status}")
-                words = str(error).encode() + b"\n"
+                body = str(error).encode() + b"\n"
                 self.admission.faulty[client] = self.scheduler.now()
-                self.admission.close_with_reply(
-                    client, http.answer(None, error.status, {}, len(words), False) + words
-                )
+                response = http_messages.build_response(None, error.status, {}, len(body), False)
+                self.admission.close_with_reply(client, response + body)
                 return None
 
-    def _unfinished(self) -> bytes:
-        return http.answer(None, 408, {}, 0, False)
+    def _timeout_response(self) -> bytes:
+        return http_messages.build_response(None, 408, {}, 0, False)
 
-    def _say(self, client: Client, head: Head, status: int, words: str, back: int = 0) -> bool:
-        """A short answer; whether the connection stays."""
-        body = words.encode() + b"\n"
+    def _respond_text(
+        self, client: Client, head: RequestHead, status: int, message: str, retry_after: int = 0
+    ) -> bool:
+        """Sends a short text; returns whether the connection stays open."""
+        body = message.encode() + b"\n"
         fields = {"Content-Type": "text/plain; charset=utf-8"}
-        fields |= {"Retry-After": str(-(-back // SECOND))} if back else {}
-        return self._give(client, head, status, fields, body)
+        fields |= {"Retry-After": str(-(-retry_after // SECOND_US))} if retry_after else {}
+        return self._respond(client, head, status, fields, body)
 
-    def _give(self, client: Client, head: Head, status: int, fields: dict[str, str], body: bytes) -> bool:
+    def _respond(
+        self, client: Client, head: RequestHead, status: int, fields: dict[str, str], body: bytes
+    ) -> bool:
+        """Sends a response; returns whether the connection stays open."""
         stays = head.stays and not client.stopping
-        raw = http.answer(head, status, fields, len(body), stays)
+        raw = http_messages.build_response(head, status, fields, len(body), stays)
         self.counters.add(f"answers.{status}")
         return client.conn.write(raw if head.method == "HEAD" else raw + body) and stays
 
-    # -- what is asked
+    # Requests
 
-    def _answer(self, client: Client, head: Head, pins: dict[str, View | None]) -> bool:
+    def _handle(self, client: Client, head: RequestHead, pins: Pins) -> bool:
         path = head.path
         if head.method == "POST":
             if self.settings.uptane is None or path != self.settings.uptane.manifests:
                 raise BadRequestError(405, "nothing is posted here")
-            return self._manifest(client, head)
+            return self._handle_manifest(client, head)
         if head.method not in ("GET", "HEAD"):
             raise BadRequestError(405, "GET, HEAD, or POST for manifests")
-        for one in self.settings.repositories:
-            if path.startswith(one.metadata):
-                return self._metadata(client, head, one.name, path.removeprefix(one.metadata), pins)
-            if one.targets and path.startswith(one.targets):
-                return self._target(client, head, one.name, path.removeprefix(one.targets), pins)
+        for repository in self.settings.repositories:
+            if path.startswith(repository.metadata):
+                name = path.removeprefix(repository.metadata)
+                return self._handle_metadata(client, head, repository.name, name, pins)
+            if repository.targets and path.startswith(repository.targets):
+                name = path.removeprefix(repository.targets)
+                return self._handle_target(client, head, repository.name, name, pins)
         raise BadRequestError(404, "no such path")
 
-    def _metadata(
-        self, client: Client, head: Head, name: str, file: str, pins: dict[str, View | None]
+    def _handle_metadata(
+        self, client: Client, head: RequestHead, repository_name: str, name: str, pins: Pins
     ) -> bool:
-        repository = self.repositories[name]
-        found, pins[name] = repository.metadata(file, pins.get(name), Mailbox(self.scheduler))
-        if found is None:
+        repository = self.repositories[repository_name]
+        file, pins[repository_name] = repository.find_metadata(
+            name, pins.get(repository_name), Mailbox(self.scheduler)
+        )
+        if file is None:
             raise BadRequestError(404, "no such metadata")
-        fields = {"Content-Type": "application/json", "Age": str(found.age // SECOND)}
-        return self._give(client, head, 200, fields, found.raw)
+        fields = {"Content-Type": "application/json", "Age": str(file.age // SECOND_US)}
+        return self._respond(client, head, 200, fields, file.raw)
 
-    # -- files
+    # Files
 
-    def _target(self, client: Client, head: Head, name: str, file: str, pins: dict[str, View | None]) -> bool:
-        asked = http.segments(file)
-        found = self._find(self.repositories[name], asked, Mailbox(self.scheduler))
+    def _handle_target(
+        self, client: Client, head: RequestHead, repository_name: str, name: str, pins: Pins
+    ) -> bool:
+        repository = self.repositories[repository_name]
+        path = http_messages.decode_path(name)
+        found = self._find_target(repository, path, Mailbox(self.scheduler))
         if found is None:
             raise BadRequestError(404, "no such target")
-        target, pinned = found.target, pins.get(name)
-        if pinned and not found.versioned:
-            held = self.repositories[name].trust.seek(pinned, asked).target
-            if held and held.hashes != target.hashes:
-                # Its metadata names a file that is there no more: better told now than found out at the end.
-                raise BadRequestError(409, "the repository has moved on: refresh first")
+        target = found.target
+        self._check_pinned(repository, path, found, pins.get(repository_name))
         try:
-            etag = f'"{transfer.name_of(target)}"'
+            etag = f'"{download.file_id(target)}"'
         except KeyError:
             raise BadRequestError(502, "a target without a hash that is known here") from None
-        self._directed(name, target)
-        span = http.wanted(head.fields, target.length, etag) if target.length else None
+        self._check_director(repository_name, target)
+        span = http_messages.requested_range(head.fields, target.length, etag) if target.length else None
         first, last = span or (0, target.length - 1)
         fields = {"Content-Type": "application/octet-stream", "Accept-Ranges": "bytes", "ETag": etag}
         fields |= {"Content-Range": f"bytes {first}-{last}/{target.length}"} if span else {}
+        response = FileResponse(206 if span else 200, fields, last - first + 1)
         if head.method == "HEAD" or not target.length:
             stays = head.stays and not client.stopping
-            raw = http.answer(head, 206 if span else 200, fields, last - first + 1, stays)
+            raw = http_messages.build_response(head, response.status, fields, response.length, stays)
             return client.conn.write(raw) and stays
-        held = min(KEPT_CHUNKS * self.settings.limits.chunk, target.length)
-        if why := self.room.enter(client.address, held):
+        held = min(HELD_CHUNKS * self.settings.limits.chunk, target.length)
+        if why := self.files.admit(client.address, held):
             self.counters.add(f"files_turned_away.{why}")
-            raise RefusedError(f"too many files under way ({why})", LATER)
+            raise RefusedError(f"too many files under way ({why})", DEFAULT_RETRY_AFTER_US)
         try:
-            moving = Transfer(target, first, last, self.settings.limits.chunk, self.blocks, found.versioned)
-            doubt = self.repositories[name].fresh.doubt
-            return self._send(client, head, moving, found.older, doubt, fields, 206 if span else 200)
+            reading = Download(
+                target, first, last, self.settings.limits.chunk, self.blocks, found.is_versioned
+            )
+            mark_outdated = repository.freshness.mark_outdated
+            return self._send_file(client, head, reading, found.former_length, mark_outdated, response)
         finally:
-            self.room.leave(client.address, held)
+            self.files.release(client.address, held)
+
+    @staticmethod
+    def _check_pinned(repository: Repository, path: str, found: FoundTarget, pinned: View | None) -> None:
+        """Raises BadRequestError if the client's metadata names a file that no longer exists.
+
+        It would otherwise find out only at the end.
+        """
+        if pinned is None or found.is_versioned:
+            return
+        known = repository.trust.find_target(pinned, path).target
+        if known and known.hashes != found.target.hashes:
+            raise BadRequestError(409, "the repository has moved on: refresh first")
 
-    def _find(self, repository: Repository, asked: str, box: Mailbox) -> Found | None:
-        """The target that a path means, in the view or the one before; delegated roles are proven on the
-        way."""
+    def _find_target(self, repository: Repository, path: str, mailbox: Mailbox) -> FoundTarget | None:
+        """Returns the target that a path means, in the current view or the previous one.
+
+        Delegated roles are verified on the way.
+        """
         trust = repository.trust
-        view = trust.view if trust.usable(self.scheduler.now()) else repository.newest(box)
-        views = [one for one in (view, trust.before) if one is not None]
-        for place, one in enumerate(views):
-            for path, digest in trust.paths(asked):
-                target = self._sought(repository, one, path, box)
+        is_usable = trust.is_usable(self.scheduler.now())
+        current = trust.view if is_usable else repository.newest_view(mailbox)
+        views = [view for view in (current, trust.previous_view) if view is not None]
+        for index, view in enumerate(views):
+            for target_path, digest in trust.possible_targets(path):
+                target = self._search_target(repository, view, target_path, mailbox)
                 if target and (not digest or digest in target.hashes.values()):
-                    before = views[place + 1 :] and trust.seek(views[place + 1], path).target
-                    return Found(target, before.length if before else None, bool(digest))
+                    former = views[index + 1 :] and trust.find_target(views[index + 1], target_path).target
+                    return FoundTarget(target, former.length if former else None, bool(digest))
         return None
 
-    def _sought(self, repository: Repository, view: View, path: str, box: Mailbox) -> TargetFile | None:
-        for _ in range(MOST_ROLES + 1):
-            sought = repository.trust.seek(view, path)
-            if sought.target or not sought.need:
-                return sought.target
-            if view is not repository.trust.view or not repository.prove(view, sought.need, box):
+    def _search_target(
+        self, repository: Repository, view: View, path: str, mailbox: Mailbox
+    ) -> TargetFile | None:
+        for _ in range(MAX_ROLES + 1):
+            result = repository.trust.find_target(view, path)
+            if result.target or not result.missing_role:
+                return result.target
+            if view is not repository.trust.view or not repository.verify_role(
+                view, result.missing_role, mailbox
+            ):
                 return None
-        raise RefusedError("too many delegations on the way to a target", LATER)
+        raise RefusedError("too many delegations on the way to a target", DEFAULT_RETRY_AFTER_US)
 
-    def _directed(self, name: str, image: TargetFile) -> None:
-        """Uptane: an image passes only if the director says the same of it, or need not have named it."""
-        two = self.settings.uptane
-        if two is None or name != two.image:
+    def _check_director(self, repository_name: str, image: TargetFile) -> None:
+        """Uptane: raises BadRequestError unless the director agrees, or need not have named the image."""
+        uptane_settings = self.settings.uptane
+        if uptane_settings is None or repository_name != uptane_settings.image:
             return
-        verdict = self._judge(self.repositories[two.director], image)
+        director = self.repositories[uptane_settings.director]
+        verdict = self._compare_with_director(director, image)
         if verdict != uptane.AGREED:
-            # The director may have said something newer since it was last asked.
-            self.repositories[two.director].newest(Mailbox(self.scheduler))
-            verdict = self._judge(self.repositories[two.director], image)
+            # The director may have published something newer since it was last asked.
+            director.newest_view(Mailbox(self.scheduler))
+            verdict = self._compare_with_director(director, image)
         if verdict == uptane.DISAGREE:
             self.counters.add("uptane_disagree")
             raise BadRequestError(409, "director and image repository disagree on this image")
-        if verdict == uptane.UNDIRECTED and two.directed_only:
+        if verdict == uptane.UNDIRECTED and uptane_settings.directed_only:
             raise BadRequestError(404, "the director names no such image")
 
-    def _judge(self, director: Repository, image: TargetFile) -> str:
-        """By what the director says now, and said until lately: vehicles may be half-way."""
-        if not director.trust.usable(self.scheduler.now()):
-            director.newest(Mailbox(self.scheduler))
+    def _compare_with_director(self, director: Repository, image: TargetFile) -> str:
+        """Compares with the current and the previous view: vehicles may be in the middle of a refresh."""
+        if not director.trust.is_usable(self.scheduler.now()):
+            director.newest_view(Mailbox(self.scheduler))
         views = [
-            one
-            for one in (director.trust.view, director.trust.before)
-            if one and not one.expired(self.scheduler.now())
+            view
+            for view in (director.trust.view, director.trust.previous_view)
+            if view and not view.is_expired(self.scheduler.now())
+        ]
+        directed = [
+            self._search_target(director, view, image.path, Mailbox(self.scheduler)) for view in views
         ]
-        said = [self._sought(director, one, image.path, Mailbox(self.scheduler)) for one in views]
-        return uptane.judge(image, [one for one in said if one])
+        return uptane.compare_image(image, [target for target in directed if target])
 
-    def _send(
+    def _send_file(
         self,
         client: Client,
-        head: Head,
-        moving: Transfer,
-        older: int | None,
-        doubt: Callable[[], None],
-        fields: dict[str, str],
-        status: int,
+        head: RequestHead,
+        reading: Download,
+        former_length: int | None,
+        mark_outdated: Callable[[], None],
+        response: FileResponse,
     ) -> bool:
-        """A file's way to the client, part by part, with an eye on the client while a part is awaited. Once
-        its head is out it ends whole, or with the connection."""
-        if self._left(client, TARGET):
+        """Sends a file to the client part by part, and notices if the client leaves meanwhile.
+
+        Once its head is sent, the response ends complete or with the connection.
+        """
+        if self._has_left(client, TARGET):
             return False
         timeout = self.timeouts[TARGET]
         due = self.scheduler.now() + timeout
-        acks, box = Mailbox(self.scheduler), Mailbox(self.scheduler)
-        asked = Download(self.name(), head.path, timeout // 1000, moving, older, client.mailbox, acks, doubt)
-        self.lifecycle.begin(asked, box, client.mailbox)
-        reader = Pace(self.settings.limits.floor, READER_PATIENCE * self.settings.limits.floor_over)
+        acknowledgements, mailbox = Mailbox(self.scheduler), Mailbox(self.scheduler)
+        request = FileRequest(
+            self.new_req_name(),
+            head.path,
+            timeout // MILLISECOND_US,
+            reading,
+            former_length,
+            client.mailbox,
+            acknowledgements,
+            mark_outdated,
+        )
+        self.lifecycle.begin(request, mailbox, client.mailbox)
+        floor, floor_over = self.settings.limits.floor, self.settings.limits.floor_over
+        monitor = ThroughputMonitor(floor, CLIENT_WINDOW_FACTOR * floor_over)
         begun, stays = False, head.stays
-        while word := self.admission.next_message(client):
-            what, *rest = word
-            if what == PART:
+        while message := self.admission.next_message(client):
+            kind, *content = message
+            if kind == PART:
                 raw = b""
                 if not begun:
                     begun, stays = True, stays and not client.stopping
-                    raw = http.answer(head, status, fields, moving.last - moving.first + 1, stays)
-                if self._written(client, raw + rest[0], due, reader):
-                    acks.put(True)
+                    raw = http_messages.build_response(
+                        head, response.status, response.fields, response.length, stays
+                    )
+                if self._write(client, raw + content[0], due, monitor):
+                    acknowledgements.put(True)
                     continue
                 self.counters.add("clients_left")
-            elif what == ANSWER:
-                end, told = rest
+            elif kind == ANSWER:
+                end, retry_after = content
                 if end == COMPLETED:
-                    self.counters.add(f"answers.{status}")
+                    self.counters.add(f"answers.{response.status}")
                     return stays and not client.stopping
                 if not begun and end == SHED:
-                    raise RefusedError("no mirror gives it now", max(told, SECOND))
+                    raise RefusedError("no mirror gives it now", max(retry_after, SECOND_US))
                 if not begun:
                     raise BadRequestError(502, "no mirror gave what is proven")
-            # Cut: what is out can't be made whole, or nobody is there to read it.
+            # What was sent can't be completed, or nobody reads it.
             self.counters.add("answers.cut")
-            box.put((GONE,))
-            acks.put(False)
+            mailbox.put((GONE,))
+            acknowledgements.put(False)
             client.conn.close()
             return False
         self.counters.add("clients_left")
-        box.put((GONE,))
-        acks.put(False)
+        mailbox.put((GONE,))
+        acknowledgements.put(False)
         return False
 
-    def _left(self, client: Client, route: str) -> bool:
-        """Whether a client had gone before its req was begun, asked right before that: what it asked ahead
-        is read late, and is sent on for nobody."""
+    def _has_left(self, client: Client, route: str) -> bool:
+        """Returns whether a client had left before its req began.
+
+        Requests sent ahead are read late; they are not forwarded for a client that has left.
+        """
         if not client.conn.peer_has_closed():
             return False
         self.counters.add("clients_left")
         self.counters.add(f"reqs.{route}.{WITHDRAWN}")
         return True
 
-    def _written(self, client: Client, data: bytes, due: int, reader: Pace) -> bool:
-        """Writes a part; a client that reads below the floor is left, however little it reads at a time."""
-        view, at = memoryview(data), 0
-        while at < len(data):
+    def _write(self, client: Client, data: bytes, due: int, monitor: ThroughputMonitor) -> bool:
+        """Writes a part; returns False for a client that reads too slowly, however little at a time."""
+        view, offset = memoryview(data), 0
+        while offset < len(data):
             began = self.scheduler.now()
-            # Small enough that a slow reader shows between two of them.
-            piece = view[at : at + (16 << 10)]
-            if not client.conn.write(piece, min(due, began + reader.left())):
+            piece = view[offset : offset + CLIENT_WRITE_BYTES]
+            if not client.conn.write(piece, min(due, began + monitor.window_left())):
                 return False
-            at += len(piece)
-            if not reader.add(self.scheduler.now() - began, len(piece)):
+            offset += len(piece)
+            if not monitor.record(self.scheduler.now() - began, len(piece)):
                 self.counters.add("clients_slow")
                 return False
         return True
 
-    # -- manifests
+    # Manifests
 
-    def _manifest(self, client: Client, head: Head) -> bool:
+    def _handle_manifest(self, client: Client, head: RequestHead) -> bool:
         if head.length > self.settings.limits.manifest:
             raise BadRequestError(413, f"a manifest over {self.settings.limits.manifest} bytes")
         if "content-length" not in head.fields:
             raise BadRequestError(411, "a manifest names its length")
-        body = self._body(client, head)
+        body = self._read_body(client, head)
         if body is None:
             return False
         try:
-            one = uptane.manifest(body, self.settings.uptane.counter)
+            manifest = uptane.parse_manifest(body, self.settings.uptane.counter)
         except ManifestError as error:
             raise BadRequestError(400, f"no manifest: {error}") from None
-        if self._left(client, MANIFEST):
+        if self._has_left(client, MANIFEST):
             return False
-        verdict, given = self.reports.take(self.scheduler.now(), one.key)
-        if verdict == uptane.GIVE:
+        action, answer = self.manifests.begin(self.scheduler.now(), manifest.key)
+        if action == uptane.ANSWER:
             self.counters.add("manifests_given_again")
-            return self._give(client, head, given.status, {}, given.body)
-        if verdict == uptane.WAIT:
-            return self._say(client, head, 503, "this manifest is under way", LATER)
-        if verdict == uptane.UNKNOWN:
-            return self._say(client, head, 409, "this manifest may have been taken; it is not sent again")
-        return self._report(client, head, one.key, body)
-
-    def _body(self, client: Client, head: Head) -> bytes | None:
-        """A manifest's bytes within the time that an unfinished message has; None if they stay out."""
-        conn, found = client.conn, bytearray()
-        until = self.scheduler.now() + self.limits.message_time
+            return self._respond(client, head, answer.status, {}, answer.body)
+        if action == uptane.WAIT:
+            return self._respond_text(client, head, 503, "this manifest is under way", DEFAULT_RETRY_AFTER_US)
+        if action == uptane.UNKNOWN:
+            return self._respond_text(
+                client, head, 409, "this manifest may have been taken; it is not sent again"
+            )
+        return self._send_manifest(client, head, manifest.key, body)
+
+    def _read_body(self, client: Client, head: RequestHead) -> bytes | None:
+        """Returns a manifest's bytes; None if they don't arrive in time."""
+        conn, body = client.conn, bytearray()
+        deadline = self.scheduler.now() + self.limits.message_time
         if head.fields.get("expect", "").lower() == "100-continue":
             conn.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         while True:
-            take = min(len(conn.buffer), head.length - len(found))
-            found += conn.buffer.data[conn.buffer.start : conn.buffer.start + take]
-            conn.buffer.skip(take)
-            if len(found) == head.length:
-                return bytes(found)
-            if conn.read(until) != GOT:
+            count = min(len(conn.buffer), head.length - len(body))
+            body += conn.buffer.data[conn.buffer.start : conn.buffer.start + count]
+            conn.buffer.skip(count)
+            if len(body) == head.length:
+                return bytes(body)
+            if conn.read(deadline) != GOT:
                 self.counters.add("clients_faults.408")
-                self.admission.close_with_reply(client, self._unfinished())
+                self.admission.close_with_reply(client, self._timeout_response())
                 return None
 
-    def _report(self, client: Client, head: Head, key: bytes, body: bytes) -> bool:
-        box = Mailbox(self.scheduler)
-        kind = head.fields.get("content-type", "application/json")
-        asked = Report(self.name(), head.path, self.timeouts[MANIFEST] // 1000, body, kind)
-        ended = uptane.LOST  # unless an answer says more
-        self.lifecycle.begin(asked, box, client.mailbox)
+    def _send_manifest(self, client: Client, head: RequestHead, key: bytes, body: bytes) -> bool:
+        mailbox = Mailbox(self.scheduler)
+        content_type = head.fields.get("content-type", "application/json")
+        timeout_ms = self.timeouts[MANIFEST] // MILLISECOND_US
+        request = ManifestRequest(self.new_req_name(), head.path, timeout_ms, body, content_type)
+        state = uptane.LOST  # unless an answer says more
+        self.lifecycle.begin(request, mailbox, client.mailbox)
         try:
-            while word := self.admission.next_message(client):
-                what, *rest = word
-                if what != ANSWER:
+            while message := self.admission.next_message(client):
+                kind, *content = message
+                if kind != ANSWER:
                     continue
-                end, told = rest
+                end, result = content
                 if end == COMPLETED:
-                    ended = uptane.DONE
-                    self.reports.ended(self.scheduler.now(), key, ended, told)
-                    return self._give(client, head, told.status, {}, told.body)
+                    state = uptane.DONE
+                    self.manifests.end(self.scheduler.now(), key, state, result)
+                    return self._respond(client, head, result.status, {}, result.body)
                 if end == SHED:
-                    ended = ""
-                    return self._say(client, head, 503, "no director takes it now", max(told, SECOND))
-                return self._say(client, head, 502, "the manifest may have been taken")
+                    state = ""
+                    retry_after = max(result, SECOND_US)
+                    return self._respond_text(client, head, 503, "no director takes it now", retry_after)
+                return self._respond_text(client, head, 502, "the manifest may have been taken")
             self.counters.add("clients_left")
-            box.put((GONE,))
+            mailbox.put((GONE,))
             return False
         finally:
-            if ended != uptane.DONE:
-                self.reports.ended(self.scheduler.now(), key, ended)
+            if state != uptane.DONE:
+                self.manifests.end(self.scheduler.now(), key, state)
--- a/laurelcourse/fronts/tuf/uptane.py
+++ b/laurelcourse/fronts/tuf/uptane.py
@@ -1,4 +1,4 @@
-"""Uptane's decisions (Standard 2.0.0): repositories held against each other, manifests told apart. Pure."""
+"""Uptane (Standard 2.0.0): compares repositories with each other, and tells manifests apart. Pure."""
 
 import hashlib
 import json
@@ -8,137 +8,170 @@
 
 from tuf.api.metadata import TargetFile
 
-# Whether an image may pass: what the director says of it.
-AGREED, UNDIRECTED, DISAGREE = "agreed", "undirected", "disagree"
+# What the director says of an image.
+AGREED = "agreed"
+UNDIRECTED = "undirected"
+DISAGREE = "disagree"
+
 # What to do with a manifest.
-SEND, GIVE, WAIT, UNKNOWN = "send", "give", "wait", "unknown"
-UNDER_WAY, DONE, LOST = "under way", "done", "lost"
+SEND = "send"
+ANSWER = "give"  # as it was answered before
+WAIT = "wait"
+UNKNOWN = "unknown"  # it may have been accepted, and is not sent again
+
+# States of a manifest.
+IN_FLIGHT = "under way"
+DONE = "done"
+LOST = "lost"
+
+KEY_BYTES = 16
 
 
-def same(one: TargetFile, other: TargetFile) -> bool:
-    """Length and every hash that both name; one such hash at least (5.4.4.2, full verification)."""
-    common = one.hashes.keys() & other.hashes.keys()
+def same_file(image: TargetFile, other: TargetFile) -> bool:
+    """Returns whether length and hashes agree, with at least one hash in common (5.4.4.2)."""
+    common = image.hashes.keys() & other.hashes.keys()
     return (
-        one.length == other.length
+        image.length == other.length
         and bool(common)
-        and all(one.hashes[name] == other.hashes[name] for name in common)
+        and all(image.hashes[name] == other.hashes[name] for name in common)
     )
 
 
-def hardware(image: TargetFile) -> set[str]:
-    """The hardware that an image is said to be for; empty if it does not say."""
-    found = image.custom.get("hardwareIds", []) if image.custom else []
-    return {one for one in found if isinstance(one, str)} if isinstance(found, list) else set()
+def hardware_ids(image: TargetFile) -> set[str]:
+    """Returns the hardware that an image is for; empty if it does not say."""
+    ids = image.custom.get("hardwareIds", []) if image.custom else []
+    return {hardware for hardware in ids if isinstance(hardware, str)} if isinstance(ids, list) else set()
 
 
-def directed_to(target: TargetFile) -> set[str]:
-    """The hardware that the director means it for: `ecuIdentifiers`, each with a hardwareId."""
-    found = target.custom.get("ecuIdentifiers", {}) if target.custom else {}
-    ecus = found.values() if isinstance(found, dict) else ()
+def directed_hardware_ids(target: TargetFile) -> set[str]:
+    """Returns the hardware that the director names: `ecuIdentifiers`, each with a hardwareId."""
+    identifiers = target.custom.get("ecuIdentifiers", {}) if target.custom else {}
+    ecus = identifiers.values() if isinstance(identifiers, dict) else ()
     return {
-        one["hardwareId"] for one in ecus if isinstance(one, dict) and isinstance(one.get("hardwareId"), str)
+        ecu["hardwareId"] for ecu in ecus if isinstance(ecu, dict) and isinstance(ecu.get("hardwareId"), str)
     }
 
 
-def judge(image: TargetFile, directed: Iterable[TargetFile]) -> str:
-    """An image against all that directors say under its path: one that agrees is enough, since another
-    vehicle's director may mean another version; none that agrees among some is a disagreement."""
-    said = False
+def compare_image(image: TargetFile, directed: Iterable[TargetFile]) -> str:
+    """Compares an image with all that directors say under its path.
+
+    One that agrees is enough, since another vehicle's director may mean another version; none that agrees
+    among some is a disagreement.
+    """
+    is_directed = False
     for target in directed:
-        said = True
-        ours, theirs = hardware(image), directed_to(target)
-        if same(image, target) and (not ours or not theirs or theirs <= ours):
+        is_directed = True
+        for_hardware, directed_to = hardware_ids(image), directed_hardware_ids(target)
+        if same_file(image, target) and (not for_hardware or not directed_to or directed_to <= for_hardware):
             return AGREED
-    return DISAGREE if said else UNDIRECTED
+    return DISAGREE if is_directed else UNDIRECTED
 
 
 class ManifestError(Exception):
-    """Why a manifest can't be passed up."""
+    """Why a manifest can't be passed on."""
 
 
 class Manifest(NamedTuple):
-    """`key` tells it apart: vehicle and counter, or all its bytes where the director names no counter."""
+    """What tells a manifest apart: vehicle and counter, or all its bytes without a counter."""
 
     key: bytes
     counted: bool
 
 
-def manifest(body: bytes, counter: str | None) -> Manifest:
-    """A vehicle version manifest (5.4.2.1): signed by the primary, whose keys the director alone has; here
-    its form counts alone, and what tells it apart."""
+def parse_manifest(body: bytes, counter: str | None) -> Manifest:
+    """Parses a vehicle version manifest (5.4.2.1). Raises ManifestError.
+
+    It is signed by the primary ECU, whose keys only the director has: only its form is checked here.
+    `counter`: the field that counts manifests, if the director names one.
+    """
     try:
-        found = json.loads(body)
+        parsed = json.loads(body)
     except (ValueError, RecursionError):
         raise ManifestError("not JSON") from None
-    signed = found.get("signed") if isinstance(found, dict) else None
-    if not isinstance(signed, dict) or not isinstance(found.get("signatures"), list):
+    signed = parsed.get("signed") if isinstance(parsed, dict) else None
+    if not isinstance(signed, dict) or not isinstance(parsed.get("signatures"), list):
         raise ManifestError("neither signed part nor signatures")
     vehicle = signed.get("vin")
     if not isinstance(vehicle, str) or not vehicle:
         raise ManifestError("no vin")
     if counter is None:
-        return Manifest(hashlib.blake2b(body, digest_size=16).digest(), False)
+        return Manifest(_key(body), False)
     count = signed.get(counter)
     if isinstance(count, bool) or not isinstance(count, int):
         raise ManifestError(f"no whole number in {counter}")
-    return Manifest(hashlib.blake2b(f"{vehicle}\0{count}".encode(), digest_size=16).digest(), True)
+    return Manifest(_key(f"{vehicle}\0{count}".encode()), True)
 
 
-class Given(NamedTuple):
-    """The director's answer, kept to be given again."""
+def _key(data: bytes) -> bytes:
+    return hashlib.blake2b(data, digest_size=KEY_BYTES).digest()
+
+
+class DirectorAnswer(NamedTuple):
+    """The director's answer, kept for repetitions of the manifest."""
 
     status: int
     body: bytes
 
 
-class Entry:
-    __slots__ = ("at", "given", "state")
+class ManifestEntry:
+    """What is known of one manifest."""
+
+    __slots__ = ("answer", "changed_at", "state")
+
+    def __init__(self, now: int) -> None:
+        self.state = IN_FLIGHT
+        self.changed_at = now
+        self.answer: DirectorAnswer | None = None
 
-    def __init__(self, at: int) -> None:
-        self.state, self.at = UNDER_WAY, at
-        self.given: Given | None = None
 
+class ManifestLog:
+    """What became of each manifest, for as long as it may be repeated.
 
-class Reports:
-    """What became of each manifest, for as long as a repeat of it may come: never sent twice by this relay
-    while it may have been taken, unless the director drops repeats by their counter."""
+    A manifest that may have been accepted is never sent twice by this relay, unless the director drops
+    repeats by their counter.
+    """
 
-    def __init__(self, deduped: bool, memory: int, most: int, longest: int) -> None:
-        """`memory` in microseconds; `most` entries; answers up to `longest` bytes are kept."""
-        self.deduped, self.memory, self.most, self.longest = deduped, memory, most, longest
-        self.entries: OrderedDict[bytes, Entry] = OrderedDict()
+    def __init__(self, deduplicated: bool, memory: int, max_entries: int, max_answer_bytes: int) -> None:
+        """`memory` is in microseconds; longer answers are not kept."""
+        self.deduplicated = deduplicated
+        self.memory = memory
+        self.max_entries = max_entries
+        self.max_answer_bytes = max_answer_bytes
+        self.entries: OrderedDict[bytes, ManifestEntry] = OrderedDict()
 
-    def take(self, now: int, key: bytes) -> tuple[str, Given | None]:
-        """A manifest has come: send it, give the answer that it had, or say that it can't be sent now."""
+    def begin(self, now: int, key: bytes) -> tuple[str, DirectorAnswer | None]:
+        """Returns what to do with a manifest, with its former answer for ANSWER."""
         self._forget(now)
         entry = self.entries.get(key)
         if entry is None:
-            if len(self.entries) >= self.most:
+            if len(self.entries) >= self.max_entries:
                 return WAIT, None
-            self.entries[key] = Entry(now)
+            self.entries[key] = ManifestEntry(now)
             return SEND, None
-        if entry.state == UNDER_WAY:
+        if entry.state == IN_FLIGHT:
             return WAIT, None
-        if entry.state == DONE and entry.given is not None:
-            return GIVE, entry.given
-        if entry.state == LOST and self.deduped:
-            entry.state, entry.at = UNDER_WAY, now
+        if entry.state == DONE and entry.answer is not None:
+            return ANSWER, entry.answer
+        if entry.state == LOST and self.deduplicated:
+            entry.state = IN_FLIGHT
+            entry.changed_at = now
             return SEND, None
         return UNKNOWN, None
 
-    def ended(self, now: int, key: bytes, state: str, given: Given | None = None) -> None:
-        """DONE with its answer; LOST if it may have been taken; an empty state if it never left."""
+    def end(self, now: int, key: bytes, state: str, answer: DirectorAnswer | None = None) -> None:
+        """Notes DONE with an answer, LOST if it may have been accepted, or '' if it was never sent."""
         if not state:
             self.entries.pop(key, None)
         elif entry := self.entries.get(key):
-            entry.state, entry.at = state, now
-            entry.given = given if given and len(given.body) <= self.longest else None
+            entry.state = state
+            entry.changed_at = now
+            entry.answer = answer if answer and len(answer.body) <= self.max_answer_bytes else None
             self.entries.move_to_end(key)
 
     def _forget(self, now: int) -> None:
-        """Entries stand in the order of their last change: those that ended go from the front on."""
+        """Removes old entries; they are in the order of their last change."""
         while self.entries:
             key, entry = next(iter(self.entries.items()))
-            if entry.state == UNDER_WAY or now - entry.at <= self.memory:
+            if entry.state == IN_FLIGHT or now - entry.changed_at <= self.memory:
                 return
             del self.entries[key]
--- a/laurelcourse/fronts/tuf/wiring.py
+++ b/laurelcourse/fronts/tuf/wiring.py
@@ -1,21 +1,27 @@
-"""A TUF front put together from the operators' settings: its own Balancer, pool, doors, mirrors, state."""
+"""Assembles a TUF front from the operators' settings: its own Balancer, pool, admission, mirrors, state."""
 
 import itertools
 import logging
+from collections.abc import Callable
 from pathlib import Path
 
 from laurelcourse import interface as face
-from laurelcourse import settings as known
-from laurelcourse.fronts.tuf import decide_fresh, decide_mirrors, decide_room, kept
+from laurelcourse import settings as platform
+from laurelcourse.fronts.tuf import state_store
+from laurelcourse.fronts.tuf.download import BlockHashes
 from laurelcourse.fronts.tuf.exchange import Exchange
+from laurelcourse.fronts.tuf.file_admission import AdmissionBounds, FileAdmission
+from laurelcourse.fronts.tuf.freshness import FreshnessBounds
 from laurelcourse.fronts.tuf.front import Front
-from laurelcourse.fronts.tuf.listing import Listing
+from laurelcourse.fronts.tuf.mirror_exclusion import ExclusionBounds, MirrorRecords
+from laurelcourse.fronts.tuf.mirror_list import MirrorList
 from laurelcourse.fronts.tuf.repository import Repository
-from laurelcourse.fronts.tuf.transfer import Blocks
+from laurelcourse.fronts.tuf.state_store import StateStore, StoredState
 from laurelcourse.fronts.tuf.trust import Trust, TrustError
 from laurelcourse.net import payloads
 from laurelcourse.net.assembly import Assembly, ProcessContext
 from laurelcourse.net.config import Config, ConfigError
+from laurelcourse.net.counters import Counters
 from laurelcourse.net.deployer import Deployer
 from laurelcourse.net.directory import Directory
 from laurelcourse.net.dispatcher import Dispatcher
@@ -23,40 +29,53 @@
 from laurelcourse.operator.settings import MANIFEST, METADATA, TARGET, Tuf
 from laurelcourse.prng import Prng
 
-MEMORY_SHARE = 64  # of the relay's memory: hashes of blocks
-HASH_BYTES = 80  # about what one takes, its place in a tuple included
+# Hashes of blocks take one part in so many of the relay's memory.
+HASH_MEMORY_PARTS = 64
+UNFINISHED_PARTS = 16  # the relay's memory in parts of `unfinished_bytes`
+HASH_BYTES = 80  # of memory per hash, its place in a tuple included
+
+MIN_UPSTREAM_CONNECTIONS = 8
 
 log = logging.getLogger(__name__)
 
+# These libraries log each invalid signature; here that is counted, and exclusions of mirrors are logged.
+for library in ("tuf", "securesystemslib"):
+    logging.getLogger(library).setLevel(logging.ERROR)
+
+
+def routes(front: Tuf) -> tuple[platform.Route, ...]:
+    """Returns the front's routes.
 
-def routes(front: Tuf) -> tuple[known.Route, ...]:
-    """The front's routes; a manifest is sent again only where the director drops repeats by their counter."""
-    deduped = front.uptane is not None and front.uptane.counter is not None
-    repeats = {
-        METADATA: known.RETRIABLE,
-        TARGET: known.RETRIABLE,
-        MANIFEST: known.DEDUPED if deduped else known.NON_RETRIABLE,
+    A manifest is repeated only where the director drops repeats by their counter.
+    """
+    is_deduplicated = front.uptane is not None and front.uptane.counter is not None
+    repeat_policies = {
+        METADATA: platform.RETRIABLE,
+        TARGET: platform.RETRIABLE,
+        MANIFEST: platform.DEDUPED if is_deduplicated else platform.NON_RETRIABLE,
     }
-    memory = front.uptane.memory if front.uptane else 0
+    dedup_window = front.uptane.memory if front.uptane else 0
     return tuple(
-        known.Route(
-            one.name,
-            one.objective,
-            one.timeout,
-            one.earnings,
+        platform.Route(
+            route.name,
+            route.objective,
+            route.timeout,
+            route.earnings,
             0.0,
-            repeats[one.name],
-            known.GROUP_ALL,
-            memory,
+            repeat_policies[route.name],
+            platform.GROUP_ALL,
+            dedup_window,
         )
-        for one in front.routes
+        for route in front.routes
     )
 
 
-def settings(base: known.Settings, front: Tuf) -> known.Settings:
-    """The platform's obligations with the front's own routes and stages. Nothing is tried twice at once: a
-    file has one way to its client."""
-    found = base._replace(
+def front_settings(base: platform.Settings, front: Tuf) -> platform.Settings:
+    """Returns the platform's obligations with the front's own routes and stages.
+
+    Nothing is tried twice at once: a file has one way to its client.
+    """
+    settings = base._replace(
         routes=routes(front),
         max_tries=front.tries,
         may_duplicate=False,
@@ -68,160 +87,179 @@
         complaint_share=1.0,
     )
     if front.release is None:
-        return found
+        return settings
     release = front.release
-    return found._replace(
+    return settings._replace(
         cap_free_tries=release.free,
         cap_window=release.window,
         stage_caps=release.caps,
         stage_shares=release.shares,
         min_stage_time=release.bake,
-        release_control=known.ANY,
+        release_control=platform.ANY,
         votes_to_advance=1,
         votes_to_roll_back=1,
     )
 
 
-def config(base: Config, front: Tuf, fronts: int) -> Config:
-    """The front's configuration; fronts share descriptors and memory evenly."""
+def front_config(base: Config, front: Tuf, fronts: int) -> Config:
+    """Returns the front's configuration; fronts share descriptors and memory evenly."""
     share, limits, release = fronts + 1, base.limits, front.release
     entries = [
         (
             face.Listed(
-                payloads.unit_number(one.name), one.zone, 0, one.build, face.READY, 1.0, face.START_UNKNOWN_US
+                payloads.unit_number(mirror.name),
+                mirror.zone,
+                0,
+                mirror.build,
+                face.READY,
+                1.0,
+                face.START_UNKNOWN_US,
             ),
-            one.address,
+            mirror.address,
         )
-        for one in front.mirrors.listed
+        for mirror in front.mirrors.listed
     ]
-    newest = max((one.build for one in front.mirrors.listed), default=0)
-    decided = settings(base.settings, front)
+    newest_build = max((mirror.build for mirror in front.mirrors.listed), default=0)
+    settings = front_settings(base.settings, front)
     return base._replace(
         listen=front.listen,
         directory=front.mirrors.directory or base.directory,
         deployer=release.deployer if release else base.deployer,
-        news=BuildState(newest, len(decided.stage_caps) - 1, face.RELEASED, 1.0, 0),
+        news=BuildState(newest_build, len(settings.stage_caps) - 1, face.RELEASED, 1.0, 0),
         known=UnitList(0, True, entries),
         load_told=False,
-        settings=decided,
+        settings=settings,
         limits=limits._replace(
             max_clients=limits.max_clients // share,
             make_room_from=limits.make_room_from // share,
             max_rejected=max(limits.max_rejected // share, 1),
-            max_upstream=max(limits.max_upstream // share, 8),
+            max_upstream=max(limits.max_upstream // share, MIN_UPSTREAM_CONNECTIONS),
             unfinished_bytes=limits.unfinished_bytes // share,
         ),
     )
 
 
-# They tell each signature that is no good; here that is counted, and a mirror's rest told.
-for name_of_library in ("tuf", "securesystemslib"):
-    logging.getLogger(name_of_library).setLevel(logging.ERROR)
-
-
 def assemble(relay: ProcessContext, front: Tuf, fronts: int, folder: Path) -> Assembly:
-    """`folder`: where relative names of files start from."""
-    scheduler, own = relay.scheduler, config(relay.config, front, fronts)
+    """Assembles a front. Relative names of files start from `folder`. Raises ConfigError."""
+    scheduler, config = relay.scheduler, front_config(relay.config, front, fronts)
     counters = relay.counters.with_prefix(front.name)
-    mirrors = decide_mirrors.Mirrors(decide_mirrors.Bounds(*front.exclusions[1:]))
+    mirrors = MirrorRecords(ExclusionBounds(*front.exclusions[1:]))
     limits = front.limits
-    room = decide_room.Room(
-        decide_room.Bounds(limits.files, limits.files_per_mirror, limits.files_per_client, limits.bytes)
+    admission = FileAdmission(
+        AdmissionBounds(limits.files, limits.files_per_mirror, limits.files_per_client, limits.bytes)
     )
-    objectives = {one.name: one.objective for one in front.routes}
-    made: list[Listing] = []
+    objectives = {route.name: route.objective for route in front.routes}
+    mirror_lists: list[MirrorList] = []
 
-    def exchange(choices: Dispatcher) -> Exchange:
-        found = Exchange(
+    def make_exchange(dispatcher: Dispatcher) -> Exchange:
+        exchange = Exchange(
             scheduler,
             limits,
             relay.config.name,
             objectives[TARGET],
             counters,
-            lambda *told: made[0].judged(*told),
-            choices.streaming,
-            lambda *told: made[0].full(*told),
+            lambda *assessed: mirror_lists[0].assess(*assessed),
+            dispatcher.streaming,
+            lambda *part: mirror_lists[0].count_part(*part),
         )
-        made.append(Listing(scheduler, choices, mirrors, room, counters, found.leave))
-        return found
-
-    # One read takes half a chunk: a file in smaller pieces costs a turn of the scheduler each.
-    upstream = own.limits._replace(usual_buffer=max(limits.chunk // 2, own.limits.usual_buffer))
-    found = Assembly(scheduler, own, counters, exchange, upstream)
-    listing = made[0]
-    found.directory_listener = listing
+        mirror_lists.append(
+            MirrorList(scheduler, dispatcher, mirrors, admission, counters, exchange.cancel_files)
+        )
+        return exchange
+
+    # One read takes half a chunk: a file in smaller pieces costs a turn of the scheduler for each.
+    buffer_bytes = max(limits.chunk // 2, config.limits.usual_buffer)
+    upstream_limits = config.limits._replace(usual_buffer=buffer_bytes)
+    assembly = Assembly(scheduler, config, counters, make_exchange, upstream_limits)
+    mirror_list = mirror_lists[0]
+    assembly.directory_listener = mirror_list
     if front.mirrors.directory:
-        found.use_directory(Directory(scheduler, own, listing, found.pool, counters))
+        assembly.use_directory(Directory(scheduler, config, mirror_list, assembly.pool, counters))
     if front.release:
-        found.use_deployer(Deployer(scheduler, own, listing, counters))
+        assembly.use_deployer(Deployer(scheduler, config, mirror_list, counters))
     number = itertools.count(1)
 
-    def name() -> str:
+    def new_req_name() -> str:
         return f"{front.name}-{next(number)}"
 
-    keeper = kept.Keeper(Path(front.folder)) if front.folder else None
-    if keeper:
-        relay.on_close.append(keeper.close)
+    repositories = _repositories(relay, front, folder, assembly, counters, new_req_name)
+    max_hashes = relay.config.limits.unfinished_bytes * UNFINISHED_PARTS // HASH_MEMORY_PARTS // HASH_BYTES
+    assembly.front = Front(
+        scheduler,
+        config.limits,
+        front,
+        assembly.lifecycle,
+        assembly.admission,
+        repositories,
+        admission,
+        BlockHashes(limits.chunk, max_hashes),
+        new_req_name,
+        counters,
+    )
+    return assembly
+
 
-    def adopted(one: Repository) -> None:
-        if keeper:
-            keeper.write(one.name, kept.state_of(one.trust, one.fresh.proven_at or 0))
+def _repositories(
+    relay: ProcessContext,
+    front: Tuf,
+    folder: Path,
+    assembly: Assembly,
+    counters: Counters,
+    new_req_name: Callable[[], str],
+) -> dict[str, Repository]:
+    """Returns the front's repositories, with their stored state."""
+    store = StateStore(Path(front.folder)) if front.folder else None
+    if store:
+        relay.on_close.append(store.close)
 
-    timeouts = {one.name: one.timeout for one in front.routes}
-    bounds = decide_fresh.Bounds(*front.freshness[1:], objectives[METADATA])
+    def on_adopted(repository: Repository) -> None:
+        if store:
+            verified_at = repository.freshness.verified_at or 0
+            store.write(repository.name, state_store.state_of(repository.trust, verified_at))
+
+    timeouts = {route.name: route.timeout for route in front.routes}
+    objectives = {route.name: route.objective for route in front.routes}
+    bounds = FreshnessBounds(*front.freshness[1:], objectives[METADATA])
     repositories = {}
-    for place, one in enumerate(front.repositories):
-        rng = Prng(relay.config.seed + place)
-        trust = _trust(folder / one.root, one.name, limits.metadata)
-        repositories[one.name] = repository = Repository(
-            one.name,
-            one.metadata,
+    for index, settings in enumerate(front.repositories):
+        rng = Prng(relay.config.seed + index)
+        trust = _pinned_trust(folder / settings.root, settings.name, front.limits.metadata)
+        repositories[settings.name] = repository = Repository(
+            settings.name,
+            settings.metadata,
             trust,
             bounds,
             timeouts[METADATA],
-            scheduler,
-            found.lifecycle,
-            name,
+            relay.scheduler,
+            assembly.lifecycle,
+            new_req_name,
             rng,
             counters,
-            adopted,
+            on_adopted,
         )
-        if keeper and (state := keeper.read(one.name)):
-            _restore(repository, state, scheduler.now())
-    blocks = Blocks(limits.chunk, relay.config.limits.unfinished_bytes * 16 // MEMORY_SHARE // HASH_BYTES)
-    found.front = Front(
-        scheduler,
-        own.limits,
-        front,
-        found.lifecycle,
-        found.admission,
-        repositories,
-        room,
-        blocks,
-        name,
-        counters,
-    )
-    return found
+        if store and (state := store.read(settings.name)):
+            _restore(repository, state, relay.scheduler.now())
+    return repositories
 
 
-def _trust(path: Path, name: str, most: int) -> Trust:
+def _pinned_trust(path: Path, name: str, max_bytes: int) -> Trust:
     try:
-        return Trust(path.read_bytes(), most)
+        return Trust(path.read_bytes(), max_bytes)
     except (OSError, TrustError) as error:
         raise ConfigError(f"{path}: the pinned root of repository {name}: {error}") from None
 
 
-def _restore(repository: Repository, state: kept.State, now: int) -> None:
-    """What was kept, if it can be proven; else the pinned root counts, as if nothing had been kept."""
+def _restore(repository: Repository, state: StoredState, now: int) -> None:
+    """Restores a stored state if it can be verified; otherwise begins with the pinned root."""
     pinned = min(repository.trust.roots)
     try:
-        if kept.restore(repository.trust, state, now):
-            repository.fresh.restored(min(state.proven_at, now))
+        if state_store.restore(repository.trust, state, now):
+            repository.freshness.restore(min(state.proven_at, now))
             log.info(
                 "restored",
                 extra={"repository": repository.name, "timestamp": repository.trust.view.timestamp.version},
             )
-    except kept.StateError as error:
+    except state_store.StateError as error:
         log.warning(
             "what was kept can't be proven, the pinned root counts",
             extra={"repository": repository.name, "fault": error, "root": pinned},
--- a/laurelcourse/lab/guards.py
+++ b/laurelcourse/lab/guards.py
@@ -42,27 +42,27 @@
 def _one_more_answer() -> None:
     from laurelcourse.fronts.tuf.front import Front
 
-    give = Front._give
+    respond = Front._respond
 
     def twice(self: Any, client: Any, *told: Any) -> bool:  # noqa: ANN401
-        stays = give(self, client, *told)
+        stays = respond(self, client, *told)
         client.conn.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         return stays
 
-    replace(Front, "_give", twice)
+    replace(Front, "_respond", twice)
 
 
 def _no_hash() -> None:
-    from laurelcourse.fronts.tuf.transfer import Transfer
+    from laurelcourse.fronts.tuf.download import Download
 
-    restart = Transfer._restart
+    restart = Download._restart
 
     def blind(self: Any) -> None:  # noqa: ANN401
-        self.known = None
+        self.known_hashes = None
         restart(self)
         self.hashes.clear()
 
-    replace(Transfer, "_restart", blind)
+    replace(Download, "_restart", blind)
 
 
 def _no_floor() -> None:
@@ -72,15 +72,15 @@
 
     def forget(self: Any, view: Any) -> None:  # noqa: ANN401
         adopt(self, view)
-        self.floor = None
+        self.rollback_floor = None
 
     replace(Trust, "adopt", forget)
 
 
 def _no_drain() -> None:
-    from laurelcourse.fronts.tuf.listing import Listing
+    from laurelcourse.fronts.tuf.mirror_list import MirrorList
 
-    told = Listing.directory
+    told = MirrorList.directory
 
     def deaf(self: Any, how: str, entries: Any) -> None:  # noqa: ANN401
         told(
@@ -89,7 +89,7 @@
             [one._replace(health=face.READY) if one.health == face.DRAINING else one for one in entries],
         )
 
-    replace(Listing, "directory", deaf)
+    replace(MirrorList, "directory", deaf)
 
 
 def _manifests_again() -> None:
@@ -102,13 +102,13 @@
         "routes",
         lambda front: tuple(one._replace(repeat_policy=settings.RETRIABLE) for one in routes(front)),
     )
-    replace(uptane.Reports, "take", lambda *_: (uptane.SEND, None))
+    replace(uptane.ManifestLog, "begin", lambda *_: (uptane.SEND, None))
 
 
 def _hold_back() -> None:
     from laurelcourse.fronts.tuf.front import Front
 
-    say = Front._say
+    say = Front._respond_text
 
     def late(self: Any, client: Any, head: Any, status: int, *more: Any) -> bool:  # noqa: ANN401
         if status == 503:
@@ -117,14 +117,14 @@
             self.scheduler.sleep(max(due - self.scheduler.now(), 0))
         return say(self, client, head, status, *more)
 
-    replace(Front, "_say", late)
-    answer = Front._answer
+    replace(Front, "_respond_text", late)
+    answer = Front._handle
 
     def noted(self: Any, client: Any, *told: Any) -> bool:  # noqa: ANN401
         client.asked_at = self.scheduler.now()
         return answer(self, client, *told)
 
-    replace(Front, "_answer", noted)
+    replace(Front, "_handle", noted)
 
 
 def _undo_first_first() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -46,7 +46,11 @@
         ("manifest", 1_000_000, 5_000_000),
     ]
     assert front.limits.chunk == 65536 and front.limits.floor == 16384
-    assert (front.exclusions.behind, front.exclusions.wrong, front.exclusions.most) == (2_000_000, 30_000_000, 0.5)
+    assert (front.exclusions.behind, front.exclusions.wrong, front.exclusions.most) == (
+        2_000_000,
+        30_000_000,
+        0.5,
+    )
     assert front.freshness.serve_proven == 3_600_000_000
     assert front.uptane.directed_only and front.release is None and front.folder is None
 
--- a/tests/test_tuf_decisions.py
+++ b/tests/test_tuf_decisions.py
@@ -10,10 +10,28 @@
 import pytest
 from tuf.api.metadata import TargetFile
 
-from laurelcourse.fronts.tuf import decide_fresh, decide_mirrors, decide_room, http, kept, transfer, uptane
-from laurelcourse.fronts.tuf.decide_pace import Pace
-from laurelcourse.fronts.tuf.http import BadRequestError
-from laurelcourse.fronts.tuf.transfer import CUT, FINE, MOVING, OLD, OTHER, PROVEN, UNFIT, Blocks, Transfer
+from laurelcourse.fronts.tuf import (
+    download,
+    file_admission,
+    freshness,
+    http_messages,
+    mirror_exclusion,
+    state_store,
+    uptane,
+)
+from laurelcourse.fronts.tuf.download import (
+    BETWEEN_MIRRORS,
+    FAILED,
+    FITS,
+    MISMATCH,
+    NO_RANGES,
+    OUTDATED,
+    VERIFIED,
+    BlockHashes,
+    Download,
+)
+from laurelcourse.fronts.tuf.http_messages import BadRequestError
+from laurelcourse.fronts.tuf.throughput import ThroughputMonitor
 from laurelcourse.fronts.tuf.trust import Refresh, Trust
 from laurelcourse.prng import Prng
 from laurelcourse.standins.repository import TufRepository
@@ -22,25 +40,25 @@
 DATA = bytes(place * 7 % 251 for place in range(20_300))
 
 
-def moved(first: int = 0, last: int = len(DATA) - 1, blocks: Blocks | None = None) -> Transfer:
+def moved(first: int = 0, last: int = len(DATA) - 1, blocks: BlockHashes | None = None) -> Download:
     target = TargetFile.from_data("a.bin", DATA, ["sha256", "sha512"])
-    return Transfer(target, first, last, CHUNK, blocks or Blocks(CHUNK, 1000))
+    return Download(target, first, last, CHUNK, blocks or BlockHashes(CHUNK, 1000))
 
 
-def feed(one: Transfer, data: bytes, unit: int = 1, most: int | None = None, size: int = 700) -> bytes:
+def feed(one: Download, data: bytes, unit: int = 1, most: int | None = None, size: int = 700) -> bytes:
     """A mirror that gives what is asked of it out of these bytes, `most` of them, and then breaks."""
-    span = one.asks()
+    span = one.range_to_ask()
     first, last = span or (0, one.length - 1)
     status = 206 if span else 200
     told = (first, last, one.length) if span else None
-    assert one.begin(unit, status, last - first + 1, told, None) == FINE
+    assert one.begin(unit, status, last - first + 1, told, None) == FITS
     out, given = b"", data[first : last + 1][:most]
     for at in range(0, len(given), size):
-        out += b"".join(one.take(given[at : at + size]))
-        if one.state != transfer.READING:
+        out += b"".join(one.add(given[at : at + size]))
+        if one.state != download.READING:
             break
     assert len(one.held) <= 2 * CHUNK
-    one.left()
+    one.leave_mirror()
     return out
 
 
@@ -49,12 +67,12 @@
 def test_a_file_passes_whole_or_in_part_and_its_end_waits_for_the_proof(
     first: int, last: int, known: bool
 ) -> None:
-    blocks = Blocks(CHUNK, 1000)
+    blocks = BlockHashes(CHUNK, 1000)
     if known:
         feed(moved(blocks=blocks), DATA)
     one = moved(first, last, blocks)
     out = feed(one, DATA)
-    assert one.state == PROVEN and out == DATA[first : last + 1] and one.given == len(out)
+    assert one.state == VERIFIED and out == DATA[first : last + 1] and one.delivered == len(out)
     assert one.fetched <= (last - first + 1 + 2 * CHUNK if known else len(DATA))
 
 
@@ -65,55 +83,61 @@
     spoilt[wrong_at] ^= 1
     one = moved(first, last)
     out = feed(one, bytes(spoilt))
-    assert one.state in (CUT, MOVING) and len(out) < last - first + 1 and one.culprits() in ({1}, set())
-    if one.state == MOVING:
-        assert not out and feed(one, DATA, 2) == DATA[first : last + 1] and one.state == PROVEN
+    assert (
+        one.state in (FAILED, BETWEEN_MIRRORS)
+        and len(out) < last - first + 1
+        and one.suspects() in ({1}, set())
+    )
+    if one.state == BETWEEN_MIRRORS:
+        assert not out and feed(one, DATA, 2) == DATA[first : last + 1] and one.state == VERIFIED
 
 
 def test_a_small_file_that_was_wrong_is_read_anew_elsewhere() -> None:
     small = b"small" * 20
-    one = Transfer(TargetFile.from_data("s", small, ["sha256"]), 0, len(small) - 1, CHUNK, Blocks(CHUNK, 9))
-    assert feed(one, bytes(len(small))) == b"" and one.state == MOVING and one.asks() is None
-    assert feed(one, small, 2) == small and one.state == PROVEN
+    one = Download(
+        TargetFile.from_data("s", small, ["sha256"]), 0, len(small) - 1, CHUNK, BlockHashes(CHUNK, 9)
+    )
+    assert feed(one, bytes(len(small))) == b"" and one.state == BETWEEN_MIRRORS and one.range_to_ask() is None
+    assert feed(one, small, 2) == small and one.state == VERIFIED
 
 
 @pytest.mark.parametrize("known", [False, True])
 def test_a_file_goes_on_from_the_byte_reached(known: bool) -> None:
-    blocks = Blocks(CHUNK, 1000)
+    blocks = BlockHashes(CHUNK, 1000)
     if known:
         feed(moved(blocks=blocks), DATA)
     one = moved(blocks=blocks)
     out = feed(one, DATA, 1, 7300) + feed(one, DATA, 2, 5000)
-    assert one.asks()[0] >= 11_000 and one.state == MOVING
+    assert one.range_to_ask()[0] >= 11_000 and one.state == BETWEEN_MIRRORS
     out += feed(one, DATA, 3)
-    assert out == DATA and one.state == PROVEN and one.fetched < len(DATA) + 3 * CHUNK
+    assert out == DATA and one.state == VERIFIED and one.fetched < len(DATA) + 3 * CHUNK
 
 
 def test_a_wrong_block_of_a_known_file_is_read_again_and_its_mirror_told() -> None:
-    blocks, spoilt = Blocks(CHUNK, 1000), bytearray(DATA)
+    blocks, spoilt = BlockHashes(CHUNK, 1000), bytearray(DATA)
     feed(moved(blocks=blocks), DATA)
     spoilt[9_500] ^= 1
     one = moved(blocks=blocks)
     out = feed(one, DATA, 1, 5000) + feed(one, bytes(spoilt), 2)
-    assert out == DATA[:9000] and one.culprits() == {2} and one.asks()[0] == 9000
+    assert out == DATA[:9000] and one.suspects() == {2} and one.range_to_ask()[0] == 9000
     assert out + feed(one, DATA, 3) == DATA
 
 
 @pytest.mark.parametrize(
     "reached, status, length, span, older, fit",
     [
-        (0, 200, len(DATA), None, None, FINE),
-        (0, 200, None, None, None, FINE),
-        (0, 200, 5, None, None, OTHER),
-        (0, 200, 5, None, 5, OLD),
-        (0, 301, None, None, None, OTHER),
-        (7000, 206, len(DATA) - 7000, (7000, len(DATA) - 1, len(DATA)), None, FINE),
-        (7000, 206, None, (7001, len(DATA) - 1, len(DATA)), None, OTHER),
-        (7000, 206, None, None, None, OTHER),
-        (7000, 206, 3, (7000, len(DATA) - 1, len(DATA)), None, OTHER),
-        (7000, 206, None, (7000, 8000, 8001), 8001, OLD),
-        (7000, 200, len(DATA), None, None, FINE),
-        (18_000, 200, len(DATA), None, None, UNFIT),
+        (0, 200, len(DATA), None, None, FITS),
+        (0, 200, None, None, None, FITS),
+        (0, 200, 5, None, None, MISMATCH),
+        (0, 200, 5, None, 5, OUTDATED),
+        (0, 301, None, None, None, MISMATCH),
+        (7000, 206, len(DATA) - 7000, (7000, len(DATA) - 1, len(DATA)), None, FITS),
+        (7000, 206, None, (7001, len(DATA) - 1, len(DATA)), None, MISMATCH),
+        (7000, 206, None, None, None, MISMATCH),
+        (7000, 206, 3, (7000, len(DATA) - 1, len(DATA)), None, MISMATCH),
+        (7000, 206, None, (7000, 8000, 8001), 8001, OUTDATED),
+        (7000, 200, len(DATA), None, None, FITS),
+        (18_000, 200, len(DATA), None, None, NO_RANGES),
     ],
 )
 def test_a_mirrors_head_is_held_against_what_was_asked(
@@ -122,18 +146,18 @@
     one = moved()
     feed(one, DATA, 1, reached, 100) if reached else None
     assert one.begin(2, status, length, span, older) == fit
-    if fit == FINE:
+    if fit == FITS:
         assert one.skip == (reached if reached and status == 200 else 0)
 
 
 def test_known_hashes_are_bounded_and_the_latest_used_stay() -> None:
-    blocks = Blocks(CHUNK, 10)
+    blocks = BlockHashes(CHUNK, 10)
     for name in ("a", "b"):
         blocks.put(name, (b"",) * 4)
     blocks.get("a")
     blocks.put("c", (b"",) * 4)
     blocks.put("d", (b"",) * 11)
-    assert set(blocks.files) == {"a", "c"} and blocks.held == 8
+    assert set(blocks.files) == {"a", "c"} and blocks.count == 8
 
 
 @pytest.mark.parametrize(
@@ -147,87 +171,91 @@
     ],
 )
 def test_a_mirror_stalls_by_its_pace_not_by_silence_alone(reads: list, stalled: bool) -> None:
-    pace = Pace(10_000, SECOND)
-    assert all(pace.add(waited, count) for waited, count in reads) is not stalled
-    assert 0 < pace.left() <= SECOND
+    pace = ThroughputMonitor(10_000, SECOND)
+    assert all(pace.record(waited, count) for waited, count in reads) is not stalled
+    assert 0 < pace.window_left() <= SECOND
 
 
 def test_the_time_of_a_large_file_is_told_as_of_a_usual_one() -> None:
-    pace = Pace(1, SECOND)
+    pace = ThroughputMonitor(1, SECOND)
     for _ in range(32):
-        pace.add(10_000, 1 << 20)
-    assert pace.lag(0) == 10_000
+        pace.record(10_000, 1 << 20)
+    assert pace.latency(0) == 10_000
 
 
-def fresh() -> decide_fresh.Freshness:
-    return decide_fresh.Freshness(decide_fresh.Bounds(SECOND, 60 * SECOND, SECOND // 2), Prng(3))
+def fresh() -> freshness.Freshness:
+    return freshness.Freshness(freshness.FreshnessBounds(SECOND, 60 * SECOND, SECOND // 2), Prng(3))
 
 
 def test_all_who_ask_share_one_refresh_and_its_failure() -> None:
     one, now = fresh(), 100 * SECOND
-    assert one.ask(now, False) == decide_fresh.BEGIN
+    assert one.decide(now, False) == freshness.REFRESH
     one.begin(now)
-    assert [one.ask(now + place, False) for place in range(10_000)] == [decide_fresh.JOIN] * 10_000
-    one.ended(now + SECOND, False)
-    assert [one.ask(now + SECOND + place, False) for place in range(1000)] == [decide_fresh.REFUSE] * 1000
-    assert one.come_back(now + SECOND) >= SECOND
+    assert [one.decide(now + place, False) for place in range(10_000)] == [freshness.JOIN] * 10_000
+    one.end(now + SECOND, False)
+    assert [one.decide(now + SECOND + place, False) for place in range(1000)] == [freshness.REFUSE] * 1000
+    assert one.retry_after(now + SECOND) >= SECOND
     one.begin(now + 9 * SECOND)
-    one.ended(now + 9 * SECOND, True)
-    assert one.ask(now + 9 * SECOND + 999_999, True) == decide_fresh.GIVE
-    assert one.ask(now + 10 * SECOND, True) == decide_fresh.BEGIN
+    one.end(now + 9 * SECOND, True)
+    assert one.decide(now + 9 * SECOND + 999_999, True) == freshness.SERVE
+    assert one.decide(now + 10 * SECOND, True) == freshness.REFRESH
 
 
 def test_what_is_proven_is_given_while_no_mirror_answers_as_long_as_it_may() -> None:
     one, now = fresh(), 100 * SECOND
     one.begin(now)
-    one.ended(now, True)
+    one.end(now, True)
     pauses = []
     for _ in range(8):
         now += 2 * SECOND
         now = max(now, one.not_before)
-        assert one.ask(now, True) == decide_fresh.BEGIN
+        assert one.decide(now, True) == freshness.REFRESH
         one.begin(now)
         patient = one.age(now) <= 60 * SECOND
-        assert one.waits_until(now, True, now + 3 * SECOND) == now + (SECOND // 2 if patient else 3 * SECOND)
-        assert one.waits_until(now, False, now + 3 * SECOND) == now + 3 * SECOND
-        one.ended(now, False)
-        pauses.append(one.not_before - now)
-        assert one.ask(now, True) == (
-            decide_fresh.GIVE if one.age(now) <= 60 * SECOND else decide_fresh.REFUSE
+        assert one.wait_deadline(now, True, now + 3 * SECOND) == now + (
+            SECOND // 2 if patient else 3 * SECOND
         )
-        assert one.ask(now, False) == decide_fresh.REFUSE
+        assert one.wait_deadline(now, False, now + 3 * SECOND) == now + 3 * SECOND
+        one.end(now, False)
+        pauses.append(one.not_before - now)
+        assert one.decide(now, True) == (freshness.SERVE if one.age(now) <= 60 * SECOND else freshness.REFUSE)
+        assert one.decide(now, False) == freshness.REFUSE
     assert pauses[5] > pauses[0] and max(pauses) <= 32 * SECOND and one.age(now) > 60 * SECOND
 
 
-def mirrors(*builds: int) -> decide_mirrors.Mirrors:
-    made = decide_mirrors.Mirrors(decide_mirrors.Bounds(SECOND, 10 * SECOND, 0.5))
-    made.listed(dict(enumerate(builds)))
+def mirrors(*builds: int) -> mirror_exclusion.MirrorRecords:
+    made = mirror_exclusion.MirrorRecords(mirror_exclusion.ExclusionBounds(SECOND, 10 * SECOND, 0.5))
+    made.set_ready(dict(enumerate(builds)))
     return made
 
 
 def test_those_behind_rest_a_little_those_that_lie_long_and_not_all() -> None:
     one, now = mirrors(1, 1, 1, 1), 100 * SECOND
     assert (
-        one.behind(now, 0) and one.is_excluded(now + SECOND - 1, 0) and not one.is_excluded(now + SECOND, 0)
+        one.exclude_behind(now, 0)
+        and one.is_excluded(now + SECOND - 1, 0)
+        and not one.is_excluded(now + SECOND, 0)
     )
-    assert one.behind(now, 1) and not one.behind(now, 2)  # half of them at most
-    assert one.wrong(now, 2) and one.is_excluded(now + 9 * SECOND, 2)
-    assert not one.wrong(now, 3) and not one.is_excluded(now, 3)  # the last one awake
+    assert one.exclude_behind(now, 1) and not one.exclude_behind(now, 2)  # half of them at most
+    assert one.exclude_wrong(now, 2) and one.is_excluded(now + 9 * SECOND, 2)
+    assert not one.exclude_wrong(now, 3) and not one.is_excluded(now, 3)  # the last one awake
     now += SECOND
-    assert one.behind(now, 0) and one.is_excluded(now + 2 * SECOND - 1, 0)  # twice as long on end
+    assert one.exclude_behind(now, 0) and one.is_excluded(now + 2 * SECOND - 1, 0)  # twice as long on end
     now += 20 * SECOND
-    one.good(0)
-    assert one.behind(now, 0) and not one.is_excluded(now + SECOND, 0)
-    one.listed({0: 2, 1: 1})
+    one.record_good(0)
+    assert one.exclude_behind(now, 0) and not one.is_excluded(now + SECOND, 0)
+    one.set_ready({0: 2, 1: 1})
     assert not one.is_excluded(now, 0)  # another build is another mirror
 
 
 def test_one_that_gives_strange_bytes_for_long_is_not_merely_ahead() -> None:
     one, now = mirrors(1, 1, 1, 1), 100 * SECOND
-    assert not one.strange(now, 0) and not one.strange(now + 4 * SECOND - 1, 0)
-    assert one.strange(now + 4 * SECOND, 0)
-    one.good(0)
-    assert not one.strange(now + 9 * SECOND, 0)
+    assert not one.is_wrong_if_unverifiable(now, 0) and not one.is_wrong_if_unverifiable(
+        now + 4 * SECOND - 1, 0
+    )
+    assert one.is_wrong_if_unverifiable(now + 4 * SECOND, 0)
+    one.record_good(0)
+    assert not one.is_wrong_if_unverifiable(now + 9 * SECOND, 0)
 
 
 def test_a_mirror_in_two_wrong_files_beside_others_is_the_one_they_share() -> None:
@@ -239,19 +267,30 @@
 def test_one_machines_lies_are_not_its_builds() -> None:
     one, now = mirrors(1, 1, 2, 2, 3), 100 * SECOND
     for unit, tells in ((2, False), (2, False), (3, True), (4, True)):
-        one.wrong(now, unit)
-        assert one.tells_against_build(now, unit) is tells, unit
+        one.exclude_wrong(now, unit)
+        assert one.counts_against_build(now, unit) is tells, unit
 
 
 def test_room_is_held_by_front_client_mirror_and_bytes() -> None:
-    one = decide_room.Room(decide_room.Bounds(4, 2, 2, 100))
-    assert [one.enter("a", 10) for _ in range(3)] == ["", "", decide_room.FULL_CLIENT]
-    assert one.enter("b", 90) == decide_room.FULL_BYTES
-    assert [one.enter("c", 10), one.enter("d", 10), one.enter("e", 1)] == ["", "", decide_room.FULL_FILES]
+    one = file_admission.FileAdmission(file_admission.AdmissionBounds(4, 2, 2, 100))
+    assert [one.admit("a", 10) for _ in range(3)] == ["", "", file_admission.TOO_MANY_OF_CLIENT]
+    assert one.admit("b", 90) == file_admission.TOO_MANY_BYTES
+    assert [one.admit("c", 10), one.admit("d", 10), one.admit("e", 1)] == [
+        "",
+        "",
+        file_admission.TOO_MANY_FILES,
+    ]
     for client in "aacd":
-        one.leave(client, 10)
+        one.release(client, 10)
     assert (one.files, one.bytes, dict(one.by_client)) == (0, 0, {})
-    assert [one.begin(7), one.begin(7), one.full(7), one.end(7), one.end(7), one.full(7)] == [
+    assert [
+        one.begin_part(7),
+        one.begin_part(7),
+        one.is_full(7),
+        one.end_part(7),
+        one.end_part(7),
+        one.is_full(7),
+    ] == [
         False,
         True,
         True,
@@ -283,7 +322,7 @@
     ],
 )
 def test_an_image_is_held_against_what_the_director_says(directed: list, verdict: str) -> None:
-    assert uptane.judge(IMAGE, directed) == verdict
+    assert uptane.compare_image(IMAGE, directed) == verdict
 
 
 def body(vin: object = "v1", count: object = 1, **more: object) -> bytes:
@@ -308,28 +347,30 @@
 )
 def test_what_is_no_manifest_is_refused(raw: bytes) -> None:
     with pytest.raises(uptane.ManifestError):
-        uptane.manifest(raw, "n")
+        uptane.parse_manifest(raw, "n")
 
 
 def test_manifests_are_told_apart_by_vehicle_and_counter() -> None:
-    keys = {uptane.manifest(raw, "n").key for raw in (body(), body(more=1), body(count=2), body(vin="v2"))}
+    keys = {
+        uptane.parse_manifest(raw, "n").key for raw in (body(), body(more=1), body(count=2), body(vin="v2"))
+    }
     assert len(keys) == 3
-    assert uptane.manifest(body(), None).key != uptane.manifest(body(more=1), None).key
+    assert uptane.parse_manifest(body(), None).key != uptane.parse_manifest(body(more=1), None).key
 
 
 @pytest.mark.parametrize("deduped", [False, True])
 def test_a_manifest_that_may_have_been_taken_goes_again_only_where_repeats_are_dropped(deduped: bool) -> None:
-    one, key, now = uptane.Reports(deduped, 10 * SECOND, 3, 100), b"k", 100 * SECOND
-    given = uptane.Given(200, b"taken")
-    assert one.take(now, key) == (uptane.SEND, None) and one.take(now, key) == (uptane.WAIT, None)
-    one.ended(now, key, "")
-    assert one.take(now, key) == (uptane.SEND, None)  # it never left
-    one.ended(now, key, uptane.LOST)
-    assert one.take(now, key)[0] == (uptane.SEND if deduped else uptane.UNKNOWN)
-    one.ended(now, key, uptane.DONE, given)
-    assert one.take(now + 10 * SECOND, key) == (uptane.GIVE, given)
-    assert one.take(now + 11 * SECOND, key) == (uptane.SEND, None)  # forgotten
-    assert [one.take(now + 11 * SECOND, name)[0] for name in (b"l", b"m", b"n")] == [
+    one, key, now = uptane.ManifestLog(deduped, 10 * SECOND, 3, 100), b"k", 100 * SECOND
+    given = uptane.DirectorAnswer(200, b"taken")
+    assert one.begin(now, key) == (uptane.SEND, None) and one.begin(now, key) == (uptane.WAIT, None)
+    one.end(now, key, "")
+    assert one.begin(now, key) == (uptane.SEND, None)  # it never left
+    one.end(now, key, uptane.LOST)
+    assert one.begin(now, key)[0] == (uptane.SEND if deduped else uptane.UNKNOWN)
+    one.end(now, key, uptane.DONE, given)
+    assert one.begin(now + 10 * SECOND, key) == (uptane.ANSWER, given)
+    assert one.begin(now + 11 * SECOND, key) == (uptane.SEND, None)  # forgotten
+    assert [one.begin(now + 11 * SECOND, name)[0] for name in (b"l", b"m", b"n")] == [
         uptane.SEND,
         uptane.SEND,
         uptane.WAIT,
@@ -366,16 +407,16 @@
 )
 def test_a_head_that_two_parsers_might_read_in_two_ways_is_refused(raw: bytes, status: int) -> None:
     with pytest.raises(BadRequestError) as fault:
-        end = http.end_of_head(raw, 0, len(raw))
+        end = http_messages.find_head_end(raw, 0, len(raw))
         assert end == len(raw)
-        http.head(raw)
+        http_messages.parse_head(raw)
     assert fault.value.status == status
 
 
 def test_a_head_is_found_however_it_is_split() -> None:
     raw = GET + b"Range: bytes=1-2\r\nConnection: close\r\n\r\n"
-    assert all(http.end_of_head(raw, 0, cut) is None for cut in range(len(raw)))
-    found = http.head(raw[: http.end_of_head(raw + b"more", 0, len(raw) + 4)])
+    assert all(http_messages.find_head_end(raw, 0, cut) is None for cut in range(len(raw)))
+    found = http_messages.parse_head(raw[: http_messages.find_head_end(raw + b"more", 0, len(raw) + 4)])
     assert (found.method, found.path, found.fields["range"], found.stays) == (
         "GET",
         "/image/metadata/timestamp.json",
@@ -404,7 +445,7 @@
 )
 def test_ranges_by_rfc_9110(fields: dict, span: object) -> None:
     try:
-        assert http.wanted(fields, 100, '"e"') == span
+        assert http_messages.requested_range(fields, 100, '"e"') == span
     except BadRequestError as error:
         assert error.status == span
 
@@ -412,7 +453,7 @@
 @pytest.mark.parametrize("path", ["a/../b", "a//b", "%2e%2e/a", "a%00", "a\\b", "", "a/%ff"])
 def test_a_path_that_might_name_two_files_is_refused(path: str) -> None:
     with pytest.raises(BadRequestError):
-        http.segments(path)
+        http_messages.decode_path(path)
 
 
 # What was proven lasts.
@@ -432,31 +473,31 @@
 def proven(one: TufRepository) -> Trust:
     trust = Trust(one.pinned, 1 << 20)
     refresh = Refresh(trust)
-    while want := refresh.wants():
+    while want := refresh.next_file():
         raw = one.newest.metadata.get(want.name)
-        refresh.lacks() if raw is None else refresh.offer(raw, int(time.time() * SECOND))
-    want = trust.want_role(trust.view, "dev")
-    trust.offer_role(trust.view, "dev", one.newest.metadata[want.name], int(time.time() * SECOND))
+        refresh.add_missing() if raw is None else refresh.add(raw, int(time.time() * SECOND))
+    want = trust.wanted_role_file(trust.view, "dev")
+    trust.add_role(trust.view, "dev", one.newest.metadata[want.name], int(time.time() * SECOND))
     return trust
 
 
 def test_what_was_proven_is_proven_anew_from_the_pinned_root(published: TufRepository) -> None:
     now = int(time.time() * SECOND)
-    state = kept.unpacked(kept.packed(kept.state_of(proven(published), now)))
+    state = state_store.deserialize(state_store.serialize(state_store.state_of(proven(published), now)))
     trust = Trust(published.pinned, 1 << 20)
-    assert kept.restore(trust, state, now) and trust.usable(now)
+    assert state_store.restore(trust, state, now) and trust.is_usable(now)
     assert set(trust.view.roles) == {"targets", "dev"} and trust.root.version == 2
     later = now + 7200 * SECOND
     expired = Trust(published.pinned, 1 << 20)
-    assert kept.restore(expired, state, later) and not expired.usable(later)  # a floor all the same
+    assert state_store.restore(expired, state, later) and not expired.is_usable(later)  # a floor all the same
     stranger = Trust(TufRepository().pinned, 1 << 20)
-    with pytest.raises(kept.StateError):
-        kept.restore(stranger, state, now)
+    with pytest.raises(state_store.StateError):
+        state_store.restore(stranger, state, now)
     forged = state._replace(
         files=state.files | published.forged() | {"timestamp": published.forged()["timestamp.json"]}
     )
-    with pytest.raises(kept.StateError):
-        kept.restore(Trust(published.pinned, 1 << 20), forged, now)
+    with pytest.raises(state_store.StateError):
+        state_store.restore(Trust(published.pinned, 1 << 20), forged, now)
 
 
 @pytest.mark.parametrize(
@@ -474,8 +515,8 @@
 def test_a_damaged_file_is_as_good_as_none(
     published: TufRepository, tmp_path: Path, spoil: Callable[[bytes], bytes]
 ) -> None:
-    raw = kept.packed(kept.state_of(proven(published), 5))
-    keeper = kept.Keeper(tmp_path)
+    raw = state_store.serialize(state_store.state_of(proven(published), 5))
+    keeper = state_store.StateStore(tmp_path)
     keeper.path("image").write_bytes(raw)
     assert keeper.read("image").proven_at == 5
     keeper.path("image").write_bytes(spoil(raw))
@@ -484,7 +525,7 @@
 
 
 def _die(path: Path, raw: bytes, at: str) -> None:
-    kept.write_whole(path, raw, lambda step: os._exit(9) if step == at else None)
+    state_store.write_atomically(path, raw, lambda step: os._exit(9) if step == at else None)
 
 
 @pytest.mark.parametrize(
@@ -493,16 +534,19 @@
 def test_a_process_killed_while_writing_leaves_the_old_file_or_the_new(
     tmp_path: Path, at: str, new: bool
 ) -> None:
-    old, newer = (kept.packed(kept.State([], {"timestamp": word}, 1)) for word in (b"old", b"new" * 9))
+    old, newer = (
+        state_store.serialize(state_store.StoredState([], {"timestamp": word}, 1))
+        for word in (b"old", b"new" * 9)
+    )
     path = tmp_path / "image.proven"
     for _ in range(5):
-        kept.write_whole(path, old)
+        state_store.write_atomically(path, old)
         process = multiprocessing.get_context("fork").Process(target=_die, args=(path, newer, at))
         process.start()
         process.join()
         assert process.exitcode == 9 and path.read_bytes() == (newer if new else old)
-        keeper = kept.Keeper(tmp_path)
+        keeper = state_store.StateStore(tmp_path)
         assert [one.name for one in tmp_path.iterdir()] == ["image.proven"] and keeper.read("image")
-        keeper.write("image", kept.State([], {}, 2))
+        keeper.write("image", state_store.StoredState([], {}, 2))
         keeper.close()
         assert keeper.read("image").proven_at == 2
--- a/tests/test_tuf_trust.py
+++ b/tests/test_tuf_trust.py
@@ -8,12 +8,12 @@
 from securesystemslib.signer import CryptoSigner
 
 from laurelcourse.fronts.tuf.trust import (
-    BEHIND,
-    PROVEN,
-    SAME,
-    STRANGE,
-    WRONG,
-    Offer,
+    INVALID,
+    OUTDATED,
+    UNCHANGED,
+    UNVERIFIABLE,
+    VERIFIED,
+    Assessment,
     Refresh,
     Trust,
     TrustError,
@@ -35,13 +35,13 @@
     return made
 
 
-def walk(trust: Trust, given: Published, later: float = 0.0) -> list[Offer]:
+def walk(trust: Trust, given: Published, later: float = 0.0) -> list[Assessment]:
     """A refresh whose every question goes to one mirror; ends at the first answer that is not believed."""
     refresh, offers = Refresh(trust), []
-    while (want := refresh.wants()) is not None:
+    while (want := refresh.next_file()) is not None:
         raw = given.metadata.get(want.name)
-        offers.append(refresh.lacks() if raw is None else refresh.offer(raw, now(later)))
-        if offers[-1].verdict not in (PROVEN, SAME):
+        offers.append(refresh.add_missing() if raw is None else refresh.add(raw, now(later)))
+        if offers[-1].verdict not in (VERIFIED, UNCHANGED):
             break
     return offers
 
@@ -55,12 +55,12 @@
     one = TufRepository(consistent)
     one.add("app.bin", b"one")
     trust = Trust((one.publish() and one.pinned), MOST)
-    assert [offer.verdict for offer in walk(trust, one.newest)] == [SAME, PROVEN, PROVEN, PROVEN]
-    assert trust.usable(now()) and trust.view.timestamp.version == 1
-    assert [offer.verdict for offer in walk(trust, one.newest)] == [SAME, SAME]
+    assert [offer.verdict for offer in walk(trust, one.newest)] == [UNCHANGED, VERIFIED, VERIFIED, VERIFIED]
+    assert trust.is_usable(now()) and trust.view.timestamp.version == 1
+    assert [offer.verdict for offer in walk(trust, one.newest)] == [UNCHANGED, UNCHANGED]
     for name, raw in one.newest.metadata.items():
-        role, version = trust.named(name)
-        assert trust.held(role, version, trust.view).raw == raw
+        role, version = trust.parse_name(name)
+        assert trust.find_file(role, version, trust.view).raw == raw
 
 
 def test_a_pinned_root_must_sign_itself(repository: TufRepository) -> None:
@@ -78,10 +78,10 @@
 @pytest.mark.parametrize(
     "spoil, verdict",
     [
-        (lambda raw: b"", WRONG),
-        (lambda raw: b"[" * 100_000, WRONG),
-        (lambda raw: raw[:-10], WRONG),
-        (lambda raw: raw.replace(b'"version":2', b'"version":3'), WRONG),
+        (lambda raw: b"", INVALID),
+        (lambda raw: b"[" * 100_000, INVALID),
+        (lambda raw: raw[:-10], INVALID),
+        (lambda raw: raw.replace(b'"version":2', b'"version":3'), INVALID),
     ],
 )
 def test_a_spoilt_file_is_wrong_and_changes_nothing(
@@ -95,14 +95,14 @@
     name = next(name for name in given.metadata if role in name and "1." not in name)
     given.metadata[name] = spoil(given.metadata[name])
     assert last(trust, given) == verdict and trust.view is held
-    assert last(trust, repository.newest) == PROVEN  # another mirror is believed all the same
+    assert last(trust, repository.newest) == VERIFIED  # another mirror is believed all the same
 
 
 def test_what_is_older_is_behind_and_never_taken_on(repository: TufRepository) -> None:
     trust = Trust(repository.pinned, MOST)
     repository.publish()
     walk(trust, repository.newest)
-    assert last(trust, repository.revisions[0]) == BEHIND and trust.view.timestamp.version == 2
+    assert last(trust, repository.revisions[0]) == OUTDATED and trust.view.timestamp.version == 2
 
 
 @pytest.mark.parametrize("role", ["snapshot", "targets"])
@@ -112,9 +112,9 @@
     repository.publish()
     given = Published(dict(repository.newest.metadata), {}, 2)
     given.metadata[f"2.{role}.json"] = repository.revisions[0].metadata[f"1.{role}.json"]
-    assert last(trust, given) == BEHIND and trust.view.timestamp.version == 1
+    assert last(trust, given) == OUTDATED and trust.view.timestamp.version == 1
     del given.metadata[f"2.{role}.json"]
-    assert last(trust, given) == BEHIND
+    assert last(trust, given) == OUTDATED
 
 
 def test_a_signed_snapshot_that_takes_a_role_back_is_not_taken_on(repository: TufRepository) -> None:
@@ -124,22 +124,22 @@
     repository.targets.signed.version -= 2
     repository.publish()
     offers = walk(trust, repository.newest)
-    assert offers[-1].verdict == BEHIND and "takes targets.json back" in offers[-1].why
+    assert offers[-1].verdict == OUTDATED and "takes targets.json back" in offers[-1].why
 
 
 def test_two_timestamps_of_one_version_are_not_mixed(repository: TufRepository) -> None:
     trust = Trust(repository.pinned, MOST)
     walk(trust, repository.newest)
     repository.publish(ahead=0, expires=5000)
-    assert last(trust, repository.newest) == BEHIND
+    assert last(trust, repository.newest) == OUTDATED
 
 
 def test_expired_files_are_behind_and_what_is_held_expires_while_serving(repository: TufRepository) -> None:
     trust = Trust(repository.pinned, MOST)
-    assert last(trust, repository.newest, later=4000) == BEHIND
+    assert last(trust, repository.newest, later=4000) == OUTDATED
     walk(trust, repository.newest)
-    assert trust.usable(now()) and not trust.usable(now(4000))
-    assert last(trust, repository.newest, later=4000) == BEHIND
+    assert trust.is_usable(now()) and not trust.is_usable(now(4000))
+    assert last(trust, repository.newest, later=4000) == OUTDATED
 
 
 def test_a_threshold_that_is_not_met_proves_nothing() -> None:
@@ -149,7 +149,7 @@
     given = Published(dict(one.newest.metadata), {}, 1)
     one._sign(one.timestamp, one.signers["timestamp"][:1])
     given.metadata["timestamp.json"] = one.timestamp.to_bytes()
-    assert last(trust, given) == WRONG and last(trust, one.newest) == PROVEN
+    assert last(trust, given) == INVALID and last(trust, one.newest) == VERIFIED
 
 
 def test_roots_rotate_one_version_at_a_time(repository: TufRepository) -> None:
@@ -159,16 +159,16 @@
     repository.publish()
     skipped = Published(dict(repository.newest.metadata), {}, 2)
     skipped.metadata["2.root.json"] = skipped.metadata["3.root.json"]
-    assert last(trust, skipped) == WRONG and trust.latest.version == 1
-    assert last(trust, repository.newest) == PROVEN and trust.root.version == 4
-    assert [trust.held("root", version, None).version for version in (1, 2, 3, 4)] == [1, 2, 3, 4]
-    assert trust.offer_root(repository.roots[1]).verdict == BEHIND
+    assert last(trust, skipped) == INVALID and trust.latest_root.version == 1
+    assert last(trust, repository.newest) == VERIFIED and trust.root.version == 4
+    assert [trust.find_file("root", version, None).version for version in (1, 2, 3, 4)] == [1, 2, 3, 4]
+    assert trust.add_root(repository.roots[1]).verdict == OUTDATED
 
 
 def test_a_root_signed_by_nobody_known_is_wrong(repository: TufRepository) -> None:
     other = TufRepository()
     other.rotate("root")
-    assert Trust(repository.pinned, MOST).offer_root(other.roots[1]).verdict == WRONG
+    assert Trust(repository.pinned, MOST).add_root(other.roots[1]).verdict == INVALID
 
 
 def test_a_revoked_key_proves_nothing_more_and_is_no_lie(repository: TufRepository) -> None:
@@ -177,10 +177,10 @@
     old = repository.signers["timestamp"][:]
     repository.rotate("timestamp")
     repository.publish()
-    assert last(trust, repository.newest) == PROVEN
+    assert last(trust, repository.newest) == VERIFIED
     repository.signers["timestamp"] = old
     repository.publish(ahead=50)
-    assert last(trust, repository.newest) == BEHIND and trust.view.timestamp.version == 2
+    assert last(trust, repository.newest) == OUTDATED and trust.view.timestamp.version == 2
 
 
 def test_a_rotation_forgets_versions_that_the_old_key_ran_ahead(repository: TufRepository) -> None:
@@ -190,7 +190,7 @@
     repository.timestamp.signed.version = repository.snapshot.signed.version = 5
     repository.rotate("timestamp")
     repository.publish()
-    assert last(trust, repository.newest) == PROVEN and trust.view.timestamp.version == 6
+    assert last(trust, repository.newest) == VERIFIED and trust.view.timestamp.version == 6
 
 
 @pytest.mark.parametrize("role", ["timestamp", "snapshot", "targets", "root"])
@@ -208,10 +208,10 @@
     )
     found = walk(trust, given)  # a mirror that has the root, and not yet the rest
     revoked = role == "timestamp"
-    assert found[-1].verdict == (BEHIND if revoked else SAME)
-    assert trust.usable(now()) and trust.root.version == (2 if role == "root" else 1)
-    assert last(trust, repository.newest) == PROVEN
-    assert (trust.root.version, trust.view.timestamp.version, trust.usable(now())) == (2, 2, True)
+    assert found[-1].verdict == (OUTDATED if revoked else UNCHANGED)
+    assert trust.is_usable(now()) and trust.root.version == (2 if role == "root" else 1)
+    assert last(trust, repository.newest) == VERIFIED
+    assert (trust.root.version, trust.view.timestamp.version, trust.is_usable(now())) == (2, 2, True)
 
 
 def test_targets_keys_may_rotate_without_a_way_back_for_timestamps(repository: TufRepository) -> None:
@@ -219,11 +219,11 @@
     repository.publish(ahead=9)
     walk(trust, repository.newest)
     repository.rotate("targets")
-    assert trust.offer_root(repository.roots[-1]).verdict == PROVEN
-    assert trust.usable(now())  # until a view is proven under it, or for too long
-    trust.settle()
-    assert trust.view is None and not trust.usable(now())
-    assert last(trust, repository.revisions[0]) == BEHIND
+    assert trust.add_root(repository.roots[-1]).verdict == VERIFIED
+    assert trust.is_usable(now())  # until a view is proven under it, or for too long
+    trust.adopt_pending_roots()
+    assert trust.view is None and not trust.is_usable(now())
+    assert last(trust, repository.revisions[0]) == OUTDATED
 
 
 def test_a_mirror_ahead_of_a_rotation_is_strange_and_makes_the_next_root_wanted(
@@ -233,14 +233,14 @@
     repository.rotate("timestamp")
     repository.publish()
     refresh = Refresh(trust)
-    refresh.lacks()  # a mirror that has not heard of the rotation
-    assert refresh.offer(repository.newest.metadata["timestamp.json"], now()).verdict == STRANGE
-    assert refresh.wants().name == "timestamp.json"  # another mirror may have one that is known
-    assert refresh.failed() and refresh.wants().name == "2.root.json"
-    refresh.lacks()
-    assert not refresh.failed()
-    assert Refresh(trust).offer(repository.newest.metadata["2.root.json"], now()).verdict == PROVEN
-    assert last(trust, Published(repository.forged() | {}, {}, 0)) == STRANGE
+    refresh.add_missing()  # a mirror that has not heard of the rotation
+    assert refresh.add(repository.newest.metadata["timestamp.json"], now()).verdict == UNVERIFIABLE
+    assert refresh.next_file().name == "timestamp.json"  # another mirror may have one that is known
+    assert refresh.try_again() and refresh.next_file().name == "2.root.json"
+    refresh.add_missing()
+    assert not refresh.try_again()
+    assert Refresh(trust).add(repository.newest.metadata["2.root.json"], now()).verdict == VERIFIED
+    assert last(trust, Published(repository.forged() | {}, {}, 0)) == UNVERIFIABLE
 
 
 def chain(deep: int, loop: bool = False, clock: Callable[[], datetime] = wall_clock) -> TufRepository:
@@ -258,10 +258,10 @@
 
 def prove_all(trust: Trust, one: TufRepository, path: str) -> tuple[object, int]:
     asked = 0
-    while (sought := trust.seek(trust.view, path)).need:
-        want = trust.want_role(trust.view, sought.need)
+    while (sought := trust.find_target(trust.view, path)).missing_role:
+        want = trust.wanted_role_file(trust.view, sought.missing_role)
         raw = one.newest.metadata[want.name]
-        assert trust.offer_role(trust.view, sought.need, raw, now()).verdict == PROVEN
+        assert trust.add_role(trust.view, sought.missing_role, raw, now()).verdict == VERIFIED
         asked += 1
     return sought.target, asked
 
@@ -285,13 +285,16 @@
     trust = Trust(one.pinned, MOST)
     walk(trust, one.newest)
     raw = {role: one.newest.metadata[f"1.{role}.json"] for role in ("r0", "r1", "r2")}
-    assert trust.reach(trust.view, "r2") == "r0" and trust.reach(trust.view, "r9") == "r0"
-    assert trust.offer_role(trust.view, "r1", raw["r1"], now()).verdict == WRONG  # r0 is not proven yet
-    assert trust.offer_role(trust.view, "r0", raw["r1"], now()).verdict == WRONG
+    assert (
+        trust.next_role_towards(trust.view, "r2") == "r0"
+        and trust.next_role_towards(trust.view, "r9") == "r0"
+    )
+    assert trust.add_role(trust.view, "r1", raw["r1"], now()).verdict == INVALID  # r0 is not proven yet
+    assert trust.add_role(trust.view, "r0", raw["r1"], now()).verdict == INVALID
     for role in ("r0", "r1", "r2"):
-        assert trust.reach(trust.view, "r2") == role
-        assert trust.offer_role(trust.view, role, raw[role], now()).verdict == PROVEN
-    assert trust.reach(trust.view, "r9") is None
+        assert trust.next_role_towards(trust.view, "r2") == role
+        assert trust.add_role(trust.view, role, raw[role], now()).verdict == VERIFIED
+    assert trust.next_role_towards(trust.view, "r9") is None
 
 
 def test_proven_roles_stay_while_the_snapshot_means_them_and_their_keys_hold() -> None:
@@ -330,4 +333,4 @@
 )
 def test_a_files_name_tells_role_and_version(name: str, consistent: bool, found: tuple) -> None:
     one = TufRepository(consistent)
-    assert Trust(one.pinned, MOST).named(name) == found
+    assert Trust(one.pinned, MOST).parse_name(name) == found
