--- a/laurelcourse/lab/checks/__init__.py
+++ b/laurelcourse/lab/checks/__init__.py
@@ -1,1 +1,1 @@
-"""What labs saw, held against what is allowed: pure, one file for each kind of thing that may not be."""
+"""Checks of what labs observed, without I/O."""
--- a/laurelcourse/lab/checks/shares.py
+++ b/laurelcourse/lab/checks/shares.py
@@ -1,4 +1,4 @@
-"""Whether more of a whole may be in use than there is, by what its holders themselves think usable."""
+"""Checks that no more of a budget is in use than there is, by what its holders consider usable."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,23 +7,29 @@
 
 
 class Holding(NamedTuple):
-    """What one holder may be using of one budget at this instant: its own word, or what it still held when
-    its lease ended and its unit has not yet let go of."""
+    """What one holder may be using of one budget at one instant.
+
+    That is what it considers usable, or what it still held when its lease ended and its unit has not freed
+    yet.
+    """
 
     holder: str
     budget: str
     amount: int
 
 
-def over_whole(budgets: Iterable[Budget], holdings: Iterable[Holding]) -> list[str]:
-    """One line for each budget of which holdings and the floors of all relays exceed the whole."""
-    held: dict[str, list[Holding]] = {}
-    for one in holdings:
-        held.setdefault(one.budget, []).append(one)
-    found = []
+def budgets_exceeded(budgets: Iterable[Budget], holdings: Iterable[Holding]) -> list[str]:
+    """Returns one line for each budget that holdings and the floors of all relays exceed."""
+    by_budget: dict[str, list[Holding]] = {}
+    for holding in holdings:
+        by_budget.setdefault(holding.budget, []).append(holding)
+    lines = []
     for budget in budgets:
-        total = budget.relays * budget.floor + sum(one.amount for one in held.get(budget.name, ()))
+        budget_holdings = by_budget.get(budget.name, [])
+        total = budget.relays * budget.floor + sum(holding.amount for holding in budget_holdings)
         if total > budget.whole:
-            told = ", ".join(f"{one.holder} {one.amount}" for one in held[budget.name] if one.amount)
-            found.append(f"{budget.name}: {total} of {budget.whole}: {told}")
-    return found
+            holders = ", ".join(
+                f"{holding.holder} {holding.amount}" for holding in budget_holdings if holding.amount
+            )
+            lines.append(f"{budget.name}: {total} of {budget.whole}: {holders}")
+    return lines
--- a/laurelcourse/lab/command.py
+++ b/laurelcourse/lab/command.py
@@ -1,48 +1,65 @@
-"""`lab NAME`: runs one lab and prints its report; exits with 0, 1 if a check does not hold, 2 if it could
-not run."""
+"""The command `lab NAME`: runs one lab and prints its report.
+
+Exits with 0, with 1 if a check does not hold, with 2 if the lab could not run.
+"""
 
 import sys
 from collections.abc import Callable
+from typing import NamedTuple
 
 import click
 
 from laurelcourse.lab.report import Progress, Report
 
+EXIT_HOLDS = 0
+EXIT_BROKEN = 1
+EXIT_NOT_RUN = 2
+
+
+class Lab(NamedTuple):
+    """A lab's function, and how long it usually runs, in seconds."""
+
+    run: Callable[..., Report]
+    seconds: float
+
+
+# A lab's libraries are loaded only if it runs.
+
 
-def _relay() -> tuple[Callable[..., Report], float]:
+def _relay() -> Lab:
     from laurelcourse.lab import relay
 
-    return relay.run, 42.0
+    return Lab(relay.run, 42.0)
 
 
-def _tuf() -> tuple[Callable[..., Report], float]:
+def _tuf() -> Lab:
     from laurelcourse.lab import tuf
 
-    return tuf.run, 50.0
+    return Lab(tuf.run, 50.0)
 
 
-def _workflows() -> tuple[Callable[..., Report], float]:
+def _workflows() -> Lab:
     from laurelcourse.lab import workflows
 
-    return workflows.run, 45.0
+    return Lab(workflows.run, 45.0)
 
 
-def _keepers() -> tuple[Callable[..., Report], float]:
+def _keepers() -> Lab:
     from laurelcourse.lab import keepers
 
-    return keepers.run, keepers.SECONDS
+    return Lab(keepers.run, keepers.DEFAULT_SECONDS)
 
 
-def _transfers() -> tuple[Callable[..., Report], float]:
+def _transfers() -> Lab:
     from laurelcourse.lab import transfers
 
-    return transfers.run, 45.0
+    return Lab(transfers.run, 45.0)
 
 
-def _budgets() -> tuple[Callable[..., Report], float]:
+def _budgets() -> Lab:
     from laurelcourse.lab import budgets
 
-    return budgets.run, 50.0
+    return Lab(budgets.run, 50.0)
 
 
 LABS = {
@@ -53,14 +70,14 @@
     "tuf": _tuf,
     "workflows": _workflows,
 }
-CALM = frozenset(("tuf",))  # labs that can do without faults
-CORE = frozenset(("keepers",))  # labs of pure modules in simulated time
+CALM_LABS = frozenset(("tuf",))  # that can run without faults
+CORE_LABS = frozenset(("keepers",))  # of pure modules, in simulated time
 
 
 def guards(name: str) -> tuple[str, ...]:
-    """Names of the guards that can be taken out in this lab."""
-    if name in CORE:
-        # In simulated time the guard goes out of the lab's own processes: no relay is started.
+    """Returns the names of the guards that can be removed in a lab."""
+    if name in CORE_LABS:
+        # In simulated time the guard is removed in the lab's own processes: no relay is started.
         from laurelcourse.lab import keepers_guards
 
         return tuple(keepers_guards.GUARDS)
@@ -70,19 +87,21 @@
 
 
 def run(
-    name: str, seed: int, seconds: float | None, as_json: bool, broken: str, calm: bool, core: bool
+    name: str, seed: int, seconds: float | None, as_json: bool, removed_guard: str, calm: bool, core: bool
 ) -> None:
-    if broken and broken not in guards(name):
+    """Runs a lab, prints its report, and exits. Raises click.UsageError if it has no such option."""
+    if removed_guard and removed_guard not in guards(name):
         raise click.UsageError(f"--break takes one of: {', '.join(guards(name))}")
-    if core != (name in CORE):
-        raise click.UsageError(f"--core goes with: {', '.join(CORE)}")
-    if calm and name not in CALM:
-        raise click.UsageError(f"--calm is for: {', '.join(CALM)}")
-    lab, usual = LABS[name]()
+    if core != (name in CORE_LABS):
+        raise click.UsageError(f"--core goes with: {', '.join(CORE_LABS)}")
+    if calm and name not in CALM_LABS:
+        raise click.UsageError(f"--calm is for: {', '.join(CALM_LABS)}")
+    lab = LABS[name]()
+    options = {"calm": True} if calm else {}
     try:
-        report = lab(seed, seconds or usual, broken, Progress(), **({"calm": True} if calm else {}))
+        report = lab.run(seed, seconds or lab.seconds, removed_guard, Progress(), **options)
     except (OSError, RuntimeError, AssertionError) as error:
         click.echo(f"lab {name} could not run: {error}", err=True)
-        sys.exit(2)
+        sys.exit(EXIT_NOT_RUN)
     click.echo(report.as_json() if as_json else report.as_table())
-    sys.exit(0 if report.holds else 1)
+    sys.exit(EXIT_HOLDS if report.holds else EXIT_BROKEN)
--- a/laurelcourse/lab/keepers_guards.py
+++ b/laurelcourse/lab/keepers_guards.py
@@ -1,4 +1,4 @@
-"""By check of `lab keepers`, how the guard that it watches is taken out, in this process, and put back."""
+"""Guards of keepers by check of `lab keepers`, and how each is removed, in this process, and put back."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -7,100 +7,103 @@
 from laurelcourse.fleet.books import apply
 from laurelcourse.fleet.keeper.coordinator import Coordinator
 from laurelcourse.fleet.keeper.core import Core
+from laurelcourse.fleet.keeper.messages import LEADER, Entry
 from laurelcourse.fleet.keeper.stale_disk import NO_MARK, Marks
+from laurelcourse.fleet.orders import Acts
 from laurelcourse.fleet.session import Session
 
-Put = Callable[[Any, str, Any], Any]  # in the place of what is there, which it gives back
+Replace = Callable[[Any, str, Any], Any]  # of an owner's attribute by a value; returns the former value
 
 
 @contextlib.contextmanager
-def out(name: str) -> Iterator[None]:
-    """Without the guard of this name; '' takes none out."""
-    undo: list[tuple[Any, str, Any]] = []
+def without_guard(name: str) -> Iterator[None]:
+    """Removes the guard of this name for a while; '' removes none."""
+    former: list[tuple[Any, str, Any]] = []
 
-    def put(where: Any, what: str, instead: Any) -> Any:  # noqa: ANN401
-        undo.append((where, what, getattr(where, what)))
-        setattr(where, what, instead)
-        return undo[-1][2]
+    def replace(owner: Any, attribute: str, value: Any) -> Any:  # noqa: ANN401
+        former.append((owner, attribute, getattr(owner, attribute)))
+        setattr(owner, attribute, value)
+        return former[-1][2]
 
     try:
         if name:
-            GUARDS[name](put)
+            GUARDS[name](replace)
         yield
     finally:
-        for where, what, before in reversed(undo):
-            setattr(where, what, before)
+        for owner, attribute, value in reversed(former):
+            setattr(owner, attribute, value)
 
 
-def _elects_itself(put: Put) -> None:
-    """One vote is enough, its own."""
+def _elect_alone(replace: Replace) -> None:
+    """One vote is enough, the candidate's own."""
 
-    def alone(self: Core, now: int) -> None:
+    def count_votes(self: Core, now: int) -> None:
         if self._is_trial:
             self._campaign(now, trial=False)
         else:
             self._lead(now)
 
-    put(Core, "_count_votes", alone)
+    replace(Core, "_count_votes", count_votes)
 
 
-def _votes_for_any(put: Put) -> None:
+def _vote_for_any_log(replace: Replace) -> None:
     """A keeper whose log is behind may be elected."""
-    put(Core, "_is_up_to_date", lambda *_: True)
+    replace(Core, "_is_up_to_date", lambda *_: True)
 
 
-def _commits_alone(put: Put) -> None:
+def _commit_alone(replace: Replace) -> None:
     """What the leader holds counts as committed, whoever else holds it."""
-    put(Core, "_quorum_value", lambda self, mine, theirs: mine)
+    replace(Core, "_quorum_value", lambda self, mine, theirs: mine)
 
 
-def _own_time(put: Put) -> None:
+def _apply_at_own_time(replace: Replace) -> None:
     """Each keeper's own clock enters its books, not the time in the batch."""
 
-    def by_own(self: Coordinator, now: int, entry: Any) -> Any:  # noqa: ANN401
+    def apply_batch(self: Coordinator, now: int, entry: Entry) -> Any:  # noqa: ANN401
         decode = self.decode
         self.decode = lambda data: decode(data)._replace(at=now)
         try:
-            return books(self, now, entry)
+            return former(self, now, entry)
         finally:
             self.decode = decode
 
-    books = put(Coordinator, "_apply_batch", by_own)
+    former = replace(Coordinator, "_apply_batch", apply_batch)
 
 
-def _reads_unconfirmed(put: Put) -> None:
+def _read_unconfirmed(replace: Replace) -> None:
     """Whoever believes that it leads answers reads at once."""
 
-    def read(self: Core, now: int, token: int) -> Any:  # noqa: ANN401
-        if self.role != "leader":
+    def read(self: Core, now: int, token: int) -> Acts:
+        if self.role != LEADER:
             return self._refuse(token, "not_leader")
         self._confirmed_reads.append((token, self.commit))
         return self._take_out()
 
-    put(Core, "read", read)
+    replace(Core, "read", read)
 
 
-def _lease_unlooked(put: Put) -> None:
-    """A holder uses its shares without a look at its lease."""
-    put(Session, "_in_lease", lambda self, now: self.granted_at is not None)
+def _ignore_lease(replace: Replace) -> None:
+    """A holder uses its shares without checking its lease."""
+    replace(Session, "_in_lease", lambda self, now: self.granted_at is not None)
 
 
-def _marks_forgotten(put: Put) -> None:
-    put(Marks, "of", lambda *_: NO_MARK)
+def _forget_marks(replace: Replace) -> None:
+    """A keeper does not remember what others have held."""
+    replace(Marks, "of", lambda *_: NO_MARK)
 
 
-def _refusals_raised(put: Put) -> None:
+def _raise_refusals(replace: Replace) -> None:
     """A command that the books refuse is an exception."""
-    put(apply, "FleetError", ())
-
-
-GUARDS: dict[str, Callable[[Put], None]] = {
-    "two_leaders_in_a_term": _elects_itself,
-    "logs_differ": _votes_for_any,
-    "committed_lost": _commits_alone,
-    "states_differ": _own_time,
-    "not_linearizable": _reads_unconfirmed,
-    "over_whole": _lease_unlooked,
-    "older_disk_voted": _marks_forgotten,
-    "module_faults": _refusals_raised,
+    replace(apply, "FleetError", ())
+
+
+GUARDS: dict[str, Callable[[Replace], None]] = {
+    "two_leaders_in_a_term": _elect_alone,
+    "logs_differ": _vote_for_any_log,
+    "committed_lost": _commit_alone,
+    "states_differ": _apply_at_own_time,
+    "not_linearizable": _read_unconfirmed,
+    "over_whole": _ignore_lease,
+    "older_disk_voted": _forget_marks,
+    "module_faults": _raise_refusals,
 }
--- a/laurelcourse/lab/relay.py
+++ b/laurelcourse/lab/relay.py
@@ -1,190 +1,235 @@
-"""The main job on loopback: two relay processes before units of an old and a new build; a bad build is voted
-back, then a good one voted on, while clients ask on."""
+"""`lab relay`: two relay processes before units of an old and a new build, without a fleet.
+
+A bad build is voted back, then a good one is voted on, while clients go on asking.
+"""
 
 import contextlib
-import json
+import copy
 import re
 import tempfile
 import threading
 import time
 from pathlib import Path
 
-from laurelcourse.lab.fleet import Fleet, offer, over_cap
 from laurelcourse.lab.process import RelayProcess
-from laurelcourse.lab.report import Check, Progress, Report, part
+from laurelcourse.lab.report import Check, Progress, Report, quantile
+from laurelcourse.lab.rollout import MachinePool, count_over_cap, offer_build
 from laurelcourse.prng import Prng
-from laurelcourse.standins.base import RELAY
-from laurelcourse.standins.deployer import Rollout
-from laurelcourse.standins.directory import DirectoryStand
+from laurelcourse.standins.base import RELAY_HOST
+from laurelcourse.standins.deployer import RolloutDeployer
+from laurelcourse.standins.directory import DirectoryStandIn
 from laurelcourse.standins.ports import reserve_port
-from laurelcourse.standins.postgres import PgClient, UnitStand, sql
-from laurelcourse.standins.settings import OUTSIDE, config
+from laurelcourse.standins.postgres import PgClient, UnitStandIn, build_query
+from laurelcourse.standins.settings import PLATFORM_SETTINGS, relay_config
 
-UNITS, RELAYS, CLIENTS = 10, 2, 24
-CAPS, FREE, WINDOW = (0.1, 0.5, 1.0), 2, 2.0
-STAGE = 1.25 * WINDOW  # a stage lasts so long at least: its exposure is counted over a window
-MACHINES = (0.3, 0.6, 1.0)  # the share of units that run the build on trial, by stage
-ANSWERS_LATE = 0.25  # a relay may be so late with its answer on a busy machine
-WAIT_MS, PACE = 1500, 0.12  # a req's time, and a client's usual pause between two
-# A sound unit works on a req for so long, a tenth of the objective: where answers come at once, the waits
-# of a busy machine for its processors are several times what is usual, and pass for a slow build.
-WORK = 0.1
+UNITS = 10
+RELAYS = 2
+CLIENTS = 24
+BAD_BUILD = 2
+GOOD_BUILD = 3
 
+# Exposure of a build on trial.
+CAPS = (0.1, 0.5, 1.0)  # by stage
+FREE = 2  # tries, in a window
+WINDOW = 2.0  # seconds
+STAGE_SECONDS = 1.25 * WINDOW  # at least: exposure is counted over a window
+MACHINE_SHARES = (0.3, 0.6, 1.0)  # of units that run the build on trial, by stage
 
-class Asked:
-    """One req as its client saw it."""
+LATE_ANSWER_SECONDS = 0.25  # by which a busy machine may be late
+TIMEOUT_MS = 1500  # of a request
+PAUSE = 0.12  # seconds, a client's usual pause between two requests
+# Of a sound unit on a request, in seconds. If answers came at once, waits of a busy machine for its
+# processors would be several times what is usual, and pass for a slow build.
+WORK_SECONDS = 0.1
 
-    __slots__ = ("at", "code", "late", "letters", "name", "relay", "took")
+WARM_UP_SECONDS = 2.5  # before a build is offered
+CLIENT_JOIN_TIMEOUT = 5
+TRAILING_ANSWER_TIMEOUT = 0.3
 
-    def __init__(self, name: str, relay: int, at: float) -> None:
-        self.name, self.relay, self.at = name, relay, at
-        self.letters, self.code, self.took, self.late = "", "", 0.0, False
 
-    def once(self) -> bool:
+class Request:
+    """One request as its client saw it."""
+
+    __slots__ = ("answer", "at", "code", "late", "name", "relay", "took")
+
+    def __init__(self, name: str, relay: int, at: float) -> None:
+        self.name = name
+        self.relay = relay
+        self.at = at
+        self.answer = ""  # types of the messages of the answer
+        self.code = ""
+        self.took = 0.0
+        self.late = False
+
+    def answered_once(self) -> bool:
         """Whether exactly one final answer came, in time."""
-        return self.letters in ("TDCZ", "EZ") and not self.late
+        return self.answer in ("TDCZ", "EZ") and not self.late
 
 
-def settings(me: int) -> dict:
-    found = json.loads(json.dumps(OUTSIDE))
-    found["me"], found["balancers"] = me, RELAYS
-    found["limits"]["peer_messages"] = False
-    found["domain"] |= {
+def platform_settings(number: int) -> dict:
+    """Returns the settings of one relay as the platform gives them."""
+    settings = copy.deepcopy(PLATFORM_SETTINGS)
+    settings["me"] = number
+    settings["balancers"] = RELAYS
+    settings["limits"]["peer_messages"] = False
+    settings["domain"] |= {
         "free": FREE,
         "counted_over": WINDOW * 1000,
         "most_shares": CAPS,
-        "rings": MACHINES,
+        "rings": MACHINE_SHARES,
         "least_stage": 1000.0,
     }
-    found["obligations"]["warm_after"] = 1000.0
-    return found
+    settings["obligations"]["warm_after"] = 1000.0
+    return settings
 
 
-class Caller:
-    """A client that asks again and again, one req at a time."""
+class RepeatingClient:
+    """A client that sends one request after another."""
 
-    def __init__(self, number: int, relay: int, port: int, over: threading.Event) -> None:
-        self.relay, self.port, self.over, self.rng = relay, port, over, Prng(number)
-        self.asked: list[Asked] = []
-        self.unasked = 0
-        self.thread = threading.Thread(target=self._work, daemon=True)
+    def __init__(self, seed: int, relay: int, port: int, over: threading.Event) -> None:
+        self.relay = relay
+        self.port = port
+        self.over = over
+        self.rng = Prng(seed)
+        self.requests: list[Request] = []
+        self.unexpected_bytes = 0
+        self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def _work(self) -> None:
+    def _run(self) -> None:
         client = None
-        while not self.over.wait(PACE * (0.5 + self.rng.fraction())):
+        while not self.over.wait(PAUSE * (0.5 + self.rng.fraction())):
             with contextlib.suppress(OSError):
                 client = client or PgClient(self.port)
-                self._ask(client)
+                self._send(client)
                 continue
             client = None
         if client:
             # Whatever comes now was asked by nobody.
-            client.sock.settimeout(0.3)
+            client.sock.settimeout(TRAILING_ANSWER_TIMEOUT)
             with contextlib.suppress(OSError):
-                self.unasked += len(client.stream.read(1) or b"")
+                self.unexpected_bytes += len(client.stream.read(1) or b"")
 
-    def _ask(self, client: PgClient) -> None:
+    def _send(self, client: PgClient) -> None:
         route = ("read", "read", "mark", "once")[self.rng.below(4)]
-        words = sql(route, WAIT_MS)
-        one = Asked(re.search(r"id=(\w+)", words)[1], self.relay, time.monotonic())
-        self.asked.append(one)
-        one.letters, one.code, _ = client.ask(words)
-        one.took = time.monotonic() - one.at
-        one.late = one.took > WAIT_MS / 1000 + ANSWERS_LATE
-
-
-def run(seed: int, seconds: float, broken: str, progress: Progress) -> Report:
-    began = time.monotonic()
-    bad, good = 2, 3
-    directory = DirectoryStand()
-
-    def make(build: int) -> UnitStand:
-        unit = UnitStand()
-        unit.mode = "failed" if build == bad else f"slow{WORK}"
-        return unit
-
-    fleet = Fleet(directory, UNITS, MACHINES, make, seed)
-    deployer = Rollout(CAPS, fleet.moved, bake=STAGE)
+        query = build_query(route, TIMEOUT_MS)
+        request = Request(re.search(r"id=(\w+)", query)[1], self.relay, time.monotonic())
+        self.requests.append(request)
+        request.answer, request.code, _ = client.ask(query)
+        request.took = time.monotonic() - request.at
+        request.late = request.took > TIMEOUT_MS / 1000 + LATE_ANSWER_SECONDS
+
+
+def make_unit(build: int) -> UnitStandIn:
+    """Starts a unit of a build."""
+    unit = UnitStandIn()
+    unit.mode = "failed" if build == BAD_BUILD else f"slow{WORK_SECONDS}"
+    return unit
+
+
+def _start_clients(seed: int, ports: list[int], over: threading.Event) -> list[RepeatingClient]:
+    return [
+        RepeatingClient(seed * CLIENTS + number, number % RELAYS, ports[number % RELAYS], over)
+        for number in range(CLIENTS)
+    ]
+
+
+def run(seed: int, seconds: float, removed_guard: str, progress: Progress) -> Report:
+    """Runs the lab."""
+    start = time.monotonic()
+    directory = DirectoryStandIn()
+    pool = MachinePool(directory, UNITS, MACHINE_SHARES, make_unit, seed)
+    deployer = RolloutDeployer(CAPS, pool.on_rollout, bake=STAGE_SECONDS)
     ports = [reserve_port() for _ in range(RELAYS)]
     over = threading.Event()
-    callers: list[Caller] = []
+    clients: list[RepeatingClient] = []
     with tempfile.TemporaryDirectory(prefix="laurelcourse-lab-") as folder:
         relays = [
             RelayProcess(
-                Path(folder) / str(me),
-                config(
-                    f"n{me}", f"{RELAY}:{port}", directory.at, deployer.at, directory.whole(), settings(me)
+                Path(folder) / str(number),
+                relay_config(
+                    f"n{number}",
+                    f"{RELAY_HOST}:{port}",
+                    directory.address,
+                    deployer.address,
+                    directory.full_list(),
+                    platform_settings(number),
                 ),
-                broken=broken,
+                removed_guard=removed_guard,
                 lab="relay",
             )
-            for me, port in enumerate(ports)
+            for number, port in enumerate(ports)
         ]
         try:
-            for one in relays:
-                one.start()
+            for relay in relays:
+                relay.start()
             progress.say(f"{RELAYS} relays serve {UNITS} units of build 1 to {CLIENTS} clients")
-            callers = [
-                Caller(seed * CLIENTS + place, place % RELAYS, ports[place % RELAYS], over)
-                for place in range(CLIENTS)
-            ]
-            time.sleep(2.5)
-            offer(deployer, bad, "it fails", began + (seconds - 3) / 2, progress)
-            offer(deployer, good, "it is sound", began + seconds - 2, progress)
+            clients = _start_clients(seed, ports, over)
+            time.sleep(WARM_UP_SECONDS)
+            offer_build(deployer, BAD_BUILD, "it fails", start + (seconds - 3) / 2, progress)
+            offer_build(deployer, GOOD_BUILD, "it is sound", start + seconds - 2, progress)
             time.sleep(0.5)
             over.set()
-            for caller in callers:
-                caller.thread.join(5)
-            counts = [one.counters() for one in relays]
+            for client in clients:
+                client.thread.join(CLIENT_JOIN_TIMEOUT)
+            counters = [relay.counters() for relay in relays]
         finally:
             over.set()
-            for one in relays:
-                one.kill()
-            fleet.close()
+            for relay in relays:
+                relay.kill()
+            pool.close()
             directory.close()
             deployer.close()
-    return judge(seed, time.monotonic() - began, callers, fleet, deployer, counts, (bad, good))
+    return make_report(seed, time.monotonic() - start, clients, pool, deployer, counters)
 
 
-def judge(
+def make_report(
     seed: int,
     seconds: float,
-    callers: list[Caller],
-    fleet: Fleet,
-    deployer: Rollout,
-    counts: list[dict[str, int]],
-    builds: tuple[int, int],
+    clients: list[RepeatingClient],
+    pool: MachinePool,
+    deployer: RolloutDeployer,
+    counters: list[dict[str, int]],
 ) -> Report:
-    bad, good = builds
-    asked = [one for caller in callers for one in caller.asked]
-    ends = [one for one in deployer.told if one[3] in ("Healthy", "Aborting")]
-    released = [build for _, build, _, phase, _ in ends if phase == "Healthy"]
-    back = next((at for at, build, _, phase, _ in deployer.told if (build, phase) == (bad, "Aborting")), 0.0)
-    offered = next((at for at, build, *_ in deployer.told if build == bad), 0.0)
+    """Returns the report of a run; `counters` are each relay's."""
+    requests = [request for client in clients for request in client.requests]
+    released = [build for _, build, _, phase, _ in deployer.history if phase == "Healthy"]
+    aborted_at = next(
+        (at for at, build, _, phase, _ in deployer.history if (build, phase) == (BAD_BUILD, "Aborting")), 0.0
+    )
+    offered_at = next((at for at, build, *_ in deployer.history if build == BAD_BUILD), 0.0)
+    bad_build_tries = sum(len(machine.stand_in.times) for machine in pool.all if machine.build == BAD_BUILD)
     figures = {
-        "reqs": len(asked),
-        "completed": sum(one.letters == "TDCZ" for one in asked),
-        "shed": sum(one.code == "53300" for one in asked),
-        "errored": sum(one.code == "58000" for one in asked),
-        "latency_p50_ms": round(part([one.took for one in asked], 0.5) * 1000, 1),
-        "latency_p99_ms": round(part([one.took for one in asked], 0.99) * 1000, 1),
-        "bad_build_back_after_s": round(back - offered, 1) if back else 0.0,
-        "tries_at_bad_build": sum(len(one.stand.times) for one in fleet.all if one.build == bad),
-        "module_faults": sum(count.get("module_faults", 0) for count in counts),
+        "reqs": len(requests),
+        "completed": sum(request.answer == "TDCZ" for request in requests),
+        "shed": sum(request.code == "53300" for request in requests),
+        "errored": sum(request.code == "58000" for request in requests),
+        "latency_p50_ms": round(quantile([request.took for request in requests], 0.5) * 1000, 1),
+        "latency_p99_ms": round(quantile([request.took for request in requests], 0.99) * 1000, 1),
+        "bad_build_back_after_s": round(aborted_at - offered_at, 1) if aborted_at else 0.0,
+        "tries_at_bad_build": bad_build_tries,
+        "module_faults": sum(count.get("module_faults", 0) for count in counters),
     }
+    wrong_outcomes = sum(not request.answered_once() for request in requests)
+    wrong_outcomes += sum(client.unexpected_bytes for client in clients)
     checks = [
         Check(
             "one_outcome_each",
-            sum(not one.once() for one in asked) + sum(caller.unasked for caller in callers),
+            wrong_outcomes,
             0,
             "reqs without exactly one final answer in time, and answers nobody asked for",
         ),
-        Check("bad_build_released", released.count(bad), 0, "releases of the build that fails"),
-        Check("good_build_released", released.count(good), 1, "releases of the sound build", at_least=True),
+        Check("bad_build_released", released.count(BAD_BUILD), 0, "releases of the build that fails"),
+        Check(
+            "good_build_released",
+            released.count(GOOD_BUILD),
+            1,
+            "releases of the sound build",
+            at_least=True,
+        ),
         Check(
             "exposure_over_cap",
-            over(asked, fleet, deployer),
+            count_exposure_over_cap(requests, pool, deployer),
             0,
             "tries at a build on trial beyond free + cap x reqs, by relay, in any 2 s",
         ),
@@ -192,13 +237,16 @@
     return Report("relay", seed, seconds, figures, checks)
 
 
-def over(asked: list[Asked], fleet: Fleet, deployer: Rollout) -> int:
-    relay_of = {one.name: one.relay for one in asked}
+def count_exposure_over_cap(requests: list[Request], pool: MachinePool, deployer: RolloutDeployer) -> int:
+    """Returns how many tries at builds on trial exceed what their relay may send."""
+    relay_of = {request.name: request.relay for request in requests}
     tries: dict[int, list[tuple[float, int]]] = {}
-    for one in fleet.all:
-        for at, query in zip(one.stand.times, one.stand.queries, strict=True):
-            if one.build > 1 and (named := re.search(r"id=(\w+)", query)):
-                tries.setdefault(one.build, []).append((at, relay_of.get(named[1], -1)))
-    taken = {relay: [one.at for one in asked if one.relay == relay] for relay in range(RELAYS)}
-    grace = OUTSIDE["obligations"]["stop_sending_within"] / 1000
-    return over_cap(tries, taken, deployer, FREE, WINDOW, grace, ANSWERS_LATE)
+    for machine in pool.all:
+        for at, query in zip(machine.stand_in.times, machine.stand_in.queries, strict=True):
+            if machine.build > 1 and (match := re.search(r"id=(\w+)", query)):
+                tries.setdefault(machine.build, []).append((at, relay_of.get(match[1], -1)))
+    request_times = {
+        relay: [request.at for request in requests if request.relay == relay] for relay in range(RELAYS)
+    }
+    grace = PLATFORM_SETTINGS["obligations"]["stop_sending_within"] / 1000
+    return count_over_cap(tries, request_times, deployer, FREE, WINDOW, grace, LATE_ANSWER_SECONDS)
--- a/laurelcourse/lab/transfers.py
+++ b/laurelcourse/lab/transfers.py
@@ -1,15 +1,16 @@
-"""`lab transfers`: firms' agendas move between three sites of real relays, under faults.
+"""`lab transfers`: tenants' data moves between three sites of relays, under faults.
 
-Bytes are counted by the ways between relays, copies by their files, reservations by a client of the books.
+Bytes are counted by the proxies between relays, copies by their files, reservations by a client of the books.
 """
 
 import tempfile
 import threading
 import time
 from pathlib import Path
+from typing import NamedTuple
 
 from laurelcourse.fleet import terms
-from laurelcourse.fleet.books.forms import Command, Fence, Free, Job, Open, Reserve, Stretch
+from laurelcourse.fleet.books.forms import Command, Done, Fence, Free, Job, Open, Reserve, Stretch
 from laurelcourse.fleet.books.state import SLICE_US
 from laurelcourse.fleet.calls.channel import limits
 from laurelcourse.fleet.calls.client import Client
@@ -18,29 +19,66 @@
 from laurelcourse.fleet.transfers import plan, solver, views
 from laurelcourse.fleet.wiring import clock, join_address
 from laurelcourse.lab import faults
-from laurelcourse.lab.host import Host
+from laurelcourse.lab.cluster import Cluster
+from laurelcourse.lab.operator_xml import element
 from laurelcourse.lab.report import Check, Progress, Report
-from laurelcourse.lab.transfers_reqs import Reqs, compared
-from laurelcourse.lab.workflows import leader
+from laurelcourse.lab.request_load import RequestLoad, compare_latencies
+from laurelcourse.lab.workflows import find_leader
 from laurelcourse.operator import reading
 from laurelcourse.prng import Prng
-from laurelcourse.standins.base import RELAY, until
-from laurelcourse.standins.directory import DirectoryStand
-from laurelcourse.standins.holds import HoldsStand, Ledger
+from laurelcourse.standins.base import RELAY_HOST, wait_until
+from laurelcourse.standins.directory import DirectoryStandIn
+from laurelcourse.standins.holds import HoldingUnit, Ledger
 from laurelcourse.standins.ports import reserve_port
 
+SITES = "abc"
+LINKS = tuple((origin, target) for origin in SITES for target in SITES if origin != target)
 KEEPERS = {"k1": "a", "k2": "b", "k3": "c"}
 MEMBERS = {"m1": "a", "m2": "a", "m3": "b", "m4": "b", "m5": "c", "m6": "c"}
-USABLE, KEPT, SLOTS = 256 << 10, 128 << 10, 2  # bytes a second of a link; slots of a site
-JOBS, WITHIN = 18, (8, 18)  # seconds until a deadline
-KINDS = (faults.KILL, faults.KILL_LEADER, faults.CUT)
-ENDS = 8.0  # seconds at the end without faults
-ASKED = "m1", "m3", "m5"  # a relay of each site has ordinary reqs, too
-UNITS, WARMS, CALM = 2, 0.5, 3.0  # units behind; seconds of reqs not counted, and of each side
-PROBED, TRIES = 4, 3  # slices ahead that are looked at; where answers are lost
-STARTED = 64 << 10  # bytes over a link by which a transfer is under way
-WINDOW, BURST, SPOKEN = 2.0, 0.75, 1.06  # seconds; seconds of the rate at once; what gRPC adds
-WHAT = {
+LOADED_RELAYS = ("m1", "m3", "m5")  # of each site, one that has ordinary requests too
+UNITS = 2
+
+# Capacities: bytes per second that transfers may use of a link, and that are kept free of them; slots of a
+# site.
+USABLE_RATE = 256 << 10
+KEPT_RATE = 128 << 10
+SLOTS = 2
+
+JOBS = 18
+JOB_INTERVAL = 0.4  # seconds
+MIN_JOB_SECONDS = 8  # until a deadline
+MAX_JOB_SECONDS = 18
+MIN_JOB_BYTES = 128 << 10
+MAX_JOB_BYTES = 896 << 10
+MAX_EARNINGS = 20
+CONTENT_BLOCK = 4096  # bytes, repeated in a job's file
+
+FAULT_KINDS = (faults.KILL, faults.KILL_LEADER, faults.CUT)
+FAULT_GAP_US = 4_000_000
+FAULT_LEASE_US = 1_500_000
+MIN_FAULT_SECONDS = 8.0
+QUIET_SECONDS = 8.0  # without faults, at the end
+WARM_UP_SECONDS = 0.5  # of requests that are not counted
+PERIOD_SECONDS = 3.0  # of requests without transfers, and beside them
+
+# Probes of whether the books let all of a link be reserved.
+PROBE_SLICES = 4
+PROBE_ATTEMPTS = 3  # where answers are lost
+
+STARTED_BYTES = 64 << 10  # over a link, by which a transfer is under way
+RATE_WINDOW = 2.0  # seconds
+RATE_BURST_SECONDS = 0.75  # of the rate, which may pass at once
+GRPC_OVERHEAD = 1.06  # bytes on a link for a byte of a file
+
+COUNT_INTERVAL = 0.1  # seconds
+LOOK_INTERVAL = 0.4  # seconds
+CALL_TIMEOUT = 6  # seconds
+LEADER_TIMEOUT = 12  # seconds
+START_TIMEOUT = 15  # seconds
+SOLVER_SECONDS = 2.0
+SECOND_US = 1_000_000
+
+DESCRIPTIONS = {
     "over_link": "windows of 2 s in which a link's direction carried more than may be reserved, and a burst",
     "over_compute": "looks at which transfers held more slots of a site than it has",
     "half_reserved": "jobs that were reserved with less than their bytes need",
@@ -50,272 +88,340 @@
 }
 
 
-def places(folder: Path, doors: dict[str, int], host: Host, me: str) -> str:
-    """The settings' sites and links as relay `me` sees them: others' doors are behind ways that count."""
-    found = ""
-    for site in "abc":
-        inside = ""
-        for name, at in MEMBERS.items():
-            if at == site:
-                host_, port = RELAY, doors[name]
-                if me in MEMBERS and MEMBERS[me] != at:
-                    host_, port = host.ways.open(me, name, (RELAY, doors[name]))
-                inside += f'<door relay="{name}" address="{host_}:{port}"/>'
-        found += f'<site name="{site}" slots="{SLOTS}" folder="{folder}/{site}">{inside}</site>'
-    return found + "".join(
-        f'<link origin="{one}" to="{to}" capacity="{USABLE + KEPT}B" kept="{KEPT}B"/>'
-        for one in "abc"
-        for to in "abc"
-        if one != to
+def sites_xml(folder: Path, transfer_ports: dict[str, int], cluster: Cluster, relay: str) -> str:
+    """Returns the sites and links of a relay's settings; it reaches relays of other sites through proxies."""
+    sites = ""
+    for site in SITES:
+        doors = ""
+        for name, member_site in MEMBERS.items():
+            if member_site == site:
+                host = RELAY_HOST
+                port = transfer_ports[name]
+                if relay in MEMBERS and MEMBERS[relay] != member_site:
+                    host, port = cluster.proxies.open(relay, name, (host, port))
+                doors += element("door", {"relay": name, "address": f"{host}:{port}"})
+        sites += element("site", {"name": site, "slots": str(SLOTS), "folder": f"{folder}/{site}"}, doors)
+    links = (
+        element(
+            "link",
+            {
+                "origin": origin,
+                "to": target,
+                "capacity": f"{USABLE_RATE + KEPT_RATE}B",
+                "kept": f"{KEPT_RATE}B",
+            },
+        )
+        for origin, target in LINKS
     )
+    return sites + "".join(links)
+
 
+class ByteSample(NamedTuple):
+    """How many bytes a link's direction had carried at a time (monotonic seconds)."""
 
-class Lab:
-    def __init__(self, host: Host, folder: Path) -> None:
-        self.host, self.folder, self.over = host, folder, threading.Event()
+    at: float
+    byte_count: int
+
+
+class TransferLab:
+    """One run: its jobs, and what was seen of them."""
+
+    def __init__(self, cluster: Cluster, folder: Path) -> None:
+        self.cluster = cluster
+        self.folder = folder
+        self.over = threading.Event()
         fleet = reading.read(str(folder / "m1" / "operator.xml")).fleet
-        told = terms.terms(fleet)
         self.client = Client(
             "lab",
             "lab",
-            {one.name: join_address(one.address) for one in fleet.keepers},
-            limits(told),
+            {keeper.name: join_address(keeper.address) for keeper in fleet.keepers},
+            limits(terms.terms(fleet)),
             clock,
             Prng(9),
         )
         self.jobs: dict[str, Job] = {}
-        self.counts = dict.fromkeys(WHAT, 0)
-        self.ended: dict[str, str] = {}
-        self.half: set[str] = set()
-        self.files: dict[str, set[tuple[int, int]]] = {}
-        self.samples: dict[tuple[str, str], list[tuple[float, int]]] = {}
-        self.moves = threading.Event()  # bytes are on their way
-        self.open: set[str] = set()  # jobs in the books at the last look
-
-    def ask(self, what: str, of: str = "", job: Job | None = None) -> tuple | None:
-        found: list = []
-        self.client.ask(Question(what, of, job), found.append)
+        self.counts = dict.fromkeys(DESCRIPTIONS, 0)
+        self.ended: dict[str, str] = {}  # by job: how
+        self.half_reserved: set[str] = set()  # jobs
+        self.copies_seen: dict[str, set[tuple[int, int]]] = {}  # by job: inode and time of change
+        self.samples: dict[tuple[str, str], list[ByteSample]] = {}  # by link
+        self.transfer_started = threading.Event()
+        self.open_jobs: set[str] = set()  # in the books at the last look
+
+    def ask(self, kind: str, of: str = "", job: Job | None = None) -> tuple | None:
+        """Returns the books' answer to a question; None if it is an error, or did not come in time."""
+        answers: list = []
+        self.client.ask(Question(kind, of, job), answers.append)
         try:
-            until(lambda: found, 6)
+            wait_until(lambda: answers, CALL_TIMEOUT)
         except AssertionError:
             return None
-        return found[0].value if hasattr(found[0], "value") and not found[0].code else None
+        answer = answers[0]
+        return answer.value if hasattr(answer, "value") and not answer.code else None
+
+    def submit(self, *commands: Command) -> tuple[Done, ...]:
+        """Returns the result of each command; none if they are not known in time."""
+        answers: list = []
+        self.client.submit(Submit(commands), answers.append)
+        try:
+            wait_until(lambda: answers, CALL_TIMEOUT)
+        except AssertionError:
+            return ()
+        answer = answers[0]
+        return answer if isinstance(answer, tuple) and not hasattr(answer, "code") else ()
 
-    def time(self) -> int:
-        """Of the books, once anybody leads."""
-        return views.from_plain(until(lambda: self.ask("move", "none"), 12)).time
+    def books_time(self) -> int:
+        """Returns the books' time in microseconds, once there is a leader."""
+        return views.from_plain(wait_until(lambda: self.ask("move", "none"), LEADER_TIMEOUT)).time
 
-    def copy(self, name: str) -> Path:
+    def copy_path(self, name: str) -> Path:
+        """Returns where a job's copy is put."""
         return self.folder / self.jobs[name].to / "in" / name
 
-    def lay(self, rng: Prng, number: int) -> None:
+    def add_job(self, rng: Prng, number: int) -> None:
+        """Writes a job's file and its order at a site."""
         name = f"job{number}"
-        origin = "abc"[rng.below(3)]
-        to = "abc".replace(origin, "")[rng.below(2)]
-        size, within = (128 << 10) + rng.below(768 << 10), WITHIN[0] + rng.below(WITHIN[1] - WITHIN[0])
-        earnings, now = 1 + rng.below(20), self.time()
-        self.jobs[name] = Job(name, "f", origin, to, size, now, now + within * SLICE_US, earnings, 1)
-        place = self.folder / origin
-        place.mkdir(exist_ok=True)
-        (place / name).write_bytes(bytes(rng.below(256) for _ in range(4096)) * (size // 4096 + 1))
-        with (place / name).open("r+b") as file:
+        origin = SITES[rng.below(3)]
+        target = SITES.replace(origin, "")[rng.below(2)]
+        size = MIN_JOB_BYTES + rng.below(MAX_JOB_BYTES - MIN_JOB_BYTES)
+        duration = (MIN_JOB_SECONDS + rng.below(MAX_JOB_SECONDS - MIN_JOB_SECONDS)) * SLICE_US
+        earnings = 1 + rng.below(MAX_EARNINGS)
+        now = self.books_time()
+        self.jobs[name] = Job(name, "f", origin, target, size, now, now + duration, earnings, 1)
+        site_folder = self.folder / origin
+        site_folder.mkdir(exist_ok=True)
+        block = bytes(rng.below(256) for _ in range(CONTENT_BLOCK))
+        (site_folder / name).write_bytes(block * (size // CONTENT_BLOCK + 1))
+        with (site_folder / name).open("r+b") as file:
             file.truncate(size)
-        (place / "new").write_text(
-            f'<job firm="f" to="{to}" within="{within * SLICE_US}" earnings="{earnings}" slots="1"/>'
+        (site_folder / "new").write_text(
+            f'<job firm="f" to="{target}" within="{duration}" earnings="{earnings}" slots="1"/>'
         )
-        (place / "new").rename(place / f"{name}.job")
+        (site_folder / "new").rename(site_folder / f"{name}.job")
 
-    def lay_all(self, rng: Prng) -> None:
+    def add_jobs(self, rng: Prng) -> None:
+        """Adds all jobs, one after another."""
         for number in range(JOBS):
-            self.lay(rng, number)
-            self.over.wait(0.4)
-
-    def count(self) -> None:
-        while not self.over.wait(0.1):
-            now, sums = time.monotonic(), {}
-            for one, to in self.host.ways.ways:
-                if to in MEMBERS:
-                    pair = MEMBERS[one], MEMBERS[to]
-                    sums[pair] = sums.get(pair, 0) + self.host.ways.counts(one, to).there
-            for pair, amount in sums.items():
-                self.samples.setdefault(pair, []).append((now, amount))
-                if amount > STARTED:
-                    self.moves.set()
+            self.add_job(rng, number)
+            self.over.wait(JOB_INTERVAL)
+
+    def watch_bytes(self) -> None:
+        """Samples the bytes on each link, and looks at the copies, until it is over."""
+        while not self.over.wait(COUNT_INTERVAL):
+            now = time.monotonic()
+            totals: dict[tuple[str, str], int] = {}
+            for origin, target in self.cluster.proxies.proxies:
+                if target in MEMBERS:
+                    link = MEMBERS[origin], MEMBERS[target]
+                    byte_count = self.cluster.proxies.counts(origin, target).bytes_to_server
+                    totals[link] = totals.get(link, 0) + byte_count
+            for link, byte_count in totals.items():
+                self.samples.setdefault(link, []).append(ByteSample(now, byte_count))
+                if byte_count > STARTED_BYTES:
+                    self.transfer_started.set()
             for name in list(self.jobs):
-                path = self.copy(name)
+                path = self.copy_path(name)
                 if path.exists():
                     stat = path.stat()
-                    self.files.setdefault(name, set()).add((stat.st_ino, stat.st_mtime_ns))
+                    self.copies_seen.setdefault(name, set()).add((stat.st_ino, stat.st_mtime_ns))
 
-    def look(self) -> None:
-        while not self.over.wait(0.4):
-            used: dict[str, int] = {}
+    def watch_books(self) -> None:
+        """Looks at the reservations in the books, until it is over."""
+        while not self.over.wait(LOOK_INTERVAL):
+            used_slots: dict[str, int] = {}
             if (value := self.ask("moves", "*")) is None:
                 continue
             seen = views.from_plain(value)
             for view in seen.views:
-                bytes_ = sum(one.rate * (one.until - one.first) for one in view.pieces)
-                if view.pieces and not view.proven and bytes_ < view.job.size:
-                    self.half.add(view.job.name)
-                if any(one.first <= seen.time // SLICE_US < one.until for one in view.pieces):
+                reserved = sum(piece.rate * (piece.until - piece.first) for piece in view.pieces)
+                if view.pieces and not view.proven and reserved < view.job.size:
+                    self.half_reserved.add(view.job.name)
+                if any(piece.first <= seen.time // SLICE_US < piece.until for piece in view.pieces):
                     for site in (view.job.origin, view.job.to):
-                        used[site] = used.get(site, 0) + view.job.slots
-            self.open = {view.job.name for view in seen.views}
-            for name in sorted(self.jobs.keys() - self.ended.keys() - self.open):
+                        used_slots[site] = used_slots.get(site, 0) + view.job.slots
+            self.open_jobs = {view.job.name for view in seen.views}
+            for name in sorted(self.jobs.keys() - self.ended.keys() - self.open_jobs):
                 if (value := self.ask("move", name)) and (ended := views.from_plain(value).ended):
                     self.ended[name] = ended
-            self.counts["over_compute"] += sum(amount > SLOTS for amount in used.values())
+            self.counts["over_compute"] += sum(slots > SLOTS for slots in used_slots.values())
 
-    def judge(self) -> None:
-        most = USABLE * (WINDOW + BURST) * SPOKEN
-        for found in self.samples.values():
+    def count_violations(self) -> None:
+        """Fills in each check's count, once it is over."""
+        max_bytes = USABLE_RATE * (RATE_WINDOW + RATE_BURST_SECONDS) * GRPC_OVERHEAD
+        for samples in self.samples.values():
             first = 0
-            for at, amount in found:
-                while found[first][0] < at - WINDOW:
+            for sample in samples:
+                while samples[first].at < sample.at - RATE_WINDOW:
                     first += 1
-                self.counts["over_link"] += amount - found[first][1] > most
-        self.counts["half_reserved"] = len(self.half)
-        self.counts["committed_twice"] = sum(len(one) > 1 for one in self.files.values())
+                self.counts["over_link"] += sample.byte_count - samples[first].byte_count > max_bytes
+        self.counts["half_reserved"] = len(self.half_reserved)
+        self.counts["committed_twice"] = sum(len(copies) > 1 for copies in self.copies_seen.values())
         for name, job in self.jobs.items():
-            source, path = self.folder / job.origin / name, self.copy(name)
+            source = self.folder / job.origin / name
+            path = self.copy_path(name)
             self.counts["wrong_bytes"] += path.exists() and path.read_bytes() != source.read_bytes()
-        # What a job had is past when it ends in time, and nobody would miss it: one ends early on each link.
-        self.counts["leaked_reservations"] = sum(
-            not self.free(one, to) for one in "abc" for to in "abc" if one != to
-        )
+        # What a job had reserved is past when it ends in time, and nobody would miss it: one ends early on
+        # each link.
+        self.counts["leaked_reservations"] = sum(not self.is_free(*link) for link in LINKS)
 
-    def free(self, one: str, to: str) -> bool:
-        """Whether the books let a job have all of a link and its sites for the next seconds, and another one
-        after it has been given up."""
-        for number in range(TRIES):
-            name = f"probe{one}{to}{number}"
-            opened = self.order(Command(None, 1, Open(name, one)))
+    def is_free(self, origin: str, target: str) -> bool:
+        """Whether the books let a job reserve all of a link and its sites, and another after it has ended."""
+        for attempt in range(PROBE_ATTEMPTS):
+            name = f"probe{origin}{target}{attempt}"
+            opened = self.submit(Command(None, 1, Open(name, origin)))
             if not opened or opened[0].code:
                 continue
-            first = self.time() // SLICE_US + 2
-            pieces = (Stretch(first, first + PROBED, USABLE, (one, to)),)
-            jobs = [
-                Job(name + end, "f", one, to, PROBED * USABLE, 0, (first + PROBED) * SLICE_US, 0, SLOTS)
-                for end in "xy"
-            ]
-            whats = [what for job in jobs for what in (Reserve(job, pieces), Free(job.name))]
-            done = self.order(
-                *(Command(Fence(*opened[0].value), mark, what) for mark, what in enumerate(whats, 1))
-            )
-            # The probe's session is not renewed: one that lapsed meanwhile says nothing of the room.
-            if done and not any(each.code == LapsedLeaseError.code for each in done):
-                return not any(each.code for each in done)
+            fence = Fence(*opened[0].value)
+            changes = self._probe_changes(name, origin, target)
+            results = self.submit(*(Command(fence, mark, change) for mark, change in enumerate(changes, 1)))
+            # The probe's session is not renewed: one that lapsed meanwhile says nothing of the capacity.
+            if results and not any(result.code == LapsedLeaseError.code for result in results):
+                return not any(result.code for result in results)
         return False
 
-    def order(self, *commands: Command) -> tuple:
-        """What came of each; nothing if that is not known in time."""
-        found: list = []
-        self.client.submit(Submit(commands), found.append)
-        try:
-            until(lambda: found, 6)
-        except AssertionError:
-            return ()
-        return found[0] if isinstance(found[0], tuple) and not hasattr(found[0], "code") else ()
+    def _probe_changes(self, name: str, origin: str, target: str) -> list[Reserve | Free]:
+        first = self.books_time() // SLICE_US + 2
+        until = first + PROBE_SLICES
+        pieces = (Stretch(first, until, USABLE_RATE, (origin, target)),)
+        size = PROBE_SLICES * USABLE_RATE
+        changes: list[Reserve | Free] = []
+        for suffix in "xy":
+            job = Job(name + suffix, "f", origin, target, size, 0, until * SLICE_US, 0, SLOTS)
+            changes += [Reserve(job, pieces), Free(job.name)]
+        return changes
 
-    def settled(self) -> bool:
-        """Whether each job has ended, or was never taken and is late."""
-        now = self.time() if len(self.jobs) == JOBS else 0
+    def is_settled(self) -> bool:
+        """Whether each job has ended, or was never accepted and is late."""
+        now = self.books_time() if len(self.jobs) == JOBS else 0
         return now > 0 and all(
-            name in self.ended or (name not in self.open and job.deadline < now)
+            name in self.ended or (name not in self.open_jobs and job.deadline < now)
             for name, job in self.jobs.items()
         )
 
-    def figures(self) -> dict[str, float]:
+    def measure(self) -> dict[str, float]:
+        """Returns the figures of a run, with those of plans that know all jobs beforehand."""
         start = min(job.earliest for job in self.jobs.values()) // SLICE_US
-        grains = max(job.deadline for job in self.jobs.values()) // SLICE_US - start
-        room = plan.Capacity(
+        slices = max(job.deadline for job in self.jobs.values()) // SLICE_US - start
+        capacity = plan.Capacity(
             start,
             1,
             SLICE_US,
-            {f"{one}>{to}": (USABLE,) * grains for one in "abc" for to in "abc" if one != to},
-            {site: (SLOTS,) * grains for site in "abc"},
+            {f"{origin}>{target}": (USABLE_RATE,) * slices for origin, target in LINKS},
+            {site: (SLOTS,) * slices for site in SITES},
         )
-        wants = tuple(plan.job_request(room, job) for job in self.jobs.values())
-        done = [job for name, job in self.jobs.items() if self.ended.get(name) == "committed"]
-        first, most = plan.first_come_plan(room, wants), yardstick(room, wants, 2.0)
-        earned = sum(job.earnings for job in done)
+        requests = tuple(plan.job_request(capacity, job) for job in self.jobs.values())
+        committed = [job for name, job in self.jobs.items() if self.ended.get(name) == "committed"]
+        first_come = plan.first_come_plan(capacity, requests)
+        best_earnings = max_earnings(capacity, requests, SOLVER_SECONDS)
+        earned = sum(job.earnings for job in committed)
         return {
             "jobs": len(self.jobs),
-            "committed": len(done),
+            "committed": len(committed),
             "still_open": len(self.jobs) - len(self.ended),
-            "of_best_plan": round(earned / max(1, most), 3),
-            "deadlines_kept": round(len(done) / len(self.jobs), 3),
-            "deadlines_kept_first_come": round(len(first) / len(self.jobs), 3),
+            "of_best_plan": round(earned / max(1, best_earnings), 3),
+            "deadlines_kept": round(len(committed) / len(self.jobs), 3),
+            "deadlines_kept_first_come": round(len(first_come) / len(self.jobs), 3),
         }
 
 
-def yardstick(room: plan.Capacity, wants: tuple[plan.JobRequest, ...], seconds: float) -> int:
-    """The most that a plan earns which knows all jobs beforehand. The solver alone found 79 of 174 in 2 s of
-    a busy machine where the greedy plan has all: it begins with that one, and the better of both counts."""
-    greedy = plan.make_plan(room, wants)
-    found = solver.solve(room, wants, seconds, hint=greedy)
-    return max(plan.total_earnings(wants, greedy), plan.total_earnings(wants, found.plan) if found else 0)
+def max_earnings(capacity: plan.Capacity, requests: tuple[plan.JobRequest, ...], seconds: float) -> int:
+    """Returns the most that a plan earns which knows all jobs beforehand.
+
+    The solver begins with the greedy plan, since it may not find as good a one in `seconds` of a busy
+    machine.
+    """
+    greedy = plan.make_plan(capacity, requests)
+    solved = solver.solve(capacity, requests, seconds, hint=greedy)
+    solved_earnings = plan.total_earnings(requests, solved.plan) if solved else 0
+    return max(plan.total_earnings(requests, greedy), solved_earnings)
+
+
+class RequestPeriods(NamedTuple):
+    """Two times from start to end (monotonic seconds): without transfers, and beside them."""
+
+    without: tuple[float, float]
+    beside: tuple[float, float]
+
+
+def _measure_requests(lab: TransferLab, job_thread: threading.Thread) -> RequestPeriods:
+    """Waits for a period without transfers, starts the jobs, and waits for a period beside them."""
+    lab.over.wait(WARM_UP_SECONDS)
+    start = time.monotonic()
+    lab.over.wait(PERIOD_SECONDS)
+    without = (start, time.monotonic())
+    job_thread.start()
+    lab.transfer_started.wait(PERIOD_SECONDS)
+    start = time.monotonic()
+    lab.over.wait(PERIOD_SECONDS)
+    return RequestPeriods(without, (start, time.monotonic() if lab.transfer_started.is_set() else start))
+
+
+def _play_script(
+    lab: TransferLab, seed: int, duration: float, progress: Progress
+) -> tuple[faults.Fault, ...]:
+    """Starts to inject faults, and returns them."""
+    members = tuple(MEMBERS.items())
+    fault_plan = faults.Plan(
+        tuple(KEEPERS.items()),
+        members,
+        duration=int(duration * SECOND_US),
+        kinds=FAULT_KINDS,
+        gap=FAULT_GAP_US,
+        lease=FAULT_LEASE_US,
+    )
+    script = faults.generate_script(seed, fault_plan)
+
+    def on_fault(fault: faults.Fault) -> None:
+        progress.say(faults.describe(fault))
+
+    arguments = (script, lab.over, on_fault)
+    threading.Thread(target=lab.cluster.play, args=arguments, daemon=True).start()
+    return script
 
 
-def run(seed: int, seconds: float, broken: str, progress: Progress) -> Report:
-    began, rng = time.monotonic(), Prng(seed)
-    with tempfile.TemporaryDirectory() as place:
-        folder, doors = Path(place), {name: reserve_port() for name in MEMBERS}
-        directory, ledger = DirectoryStand(), Ledger()
+def run(seed: int, seconds: float, removed_guard: str, progress: Progress) -> Report:
+    """Runs the lab."""
+    start = time.monotonic()
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        transfer_ports = {relay: reserve_port() for relay in MEMBERS}
+        directory = DirectoryStandIn()
+        ledger = Ledger()
         for number in range(UNITS):
-            directory.put(f"u-{number}", HoldsStand(ledger).at)
-        host = Host(
+            directory.put(f"u-{number}", HoldingUnit(ledger).address)
+        cluster = Cluster(
             folder,
             KEEPERS,
             MEMBERS,
-            broken=broken,
+            removed_guard=removed_guard,
             lab="transfers",
-            leader=lambda: leader(host),
-            known=directory.whole(),
-            directory=directory.at,
-            moves=lambda host, me: places(folder, doors, host, me),
+            find_leader=lambda: find_leader(cluster),
+            known=directory.full_list(),
+            directory=directory.address,
+            transfers_xml=lambda cluster, relay: sites_xml(folder, transfer_ports, cluster, relay),
         )
-        with host:
-            host.start()
-            lab = Lab(host, folder)
+        with cluster:
+            cluster.start()
+            lab = TransferLab(cluster, folder)
             try:
-                until(lambda: all(lab.ask("session", name) for name in MEMBERS), 15)
-                for work in (lab.count, lab.look):
-                    threading.Thread(target=work, daemon=True).start()
-                reqs = Reqs([host.ports[name] for name in ASKED], lab.over).start()
-                lab.over.wait(WARMS)
-                alone = time.monotonic()
-                lab.over.wait(CALM)
-                alone = alone, time.monotonic()
-                laying = threading.Thread(target=lab.lay_all, args=(rng,), daemon=True)
-                laying.start()
-                lab.moves.wait(CALM)
-                beside = time.monotonic()
-                lab.over.wait(CALM)
-                beside = beside, time.monotonic() if lab.moves.is_set() else beside
-                lasts = max(8.0, seconds - ENDS - (time.monotonic() - began))
-                script = faults.script(
-                    seed,
-                    faults.Plan(
-                        tuple(KEEPERS.items()),
-                        tuple(MEMBERS.items()),
-                        lasts=int(lasts * 1e6),
-                        kinds=KINDS,
-                        gap=4_000_000,
-                        lease=1_500_000,
-                    ),
-                )
-                threading.Thread(target=host.play, args=(script, lab.over, progress.say), daemon=True).start()
-                laying.join(JOBS)
-                until_ = began + seconds - 3.0
-                while time.monotonic() < until_ and not lab.settled():
+                wait_until(lambda: all(lab.ask("session", relay) for relay in MEMBERS), START_TIMEOUT)
+                for watch in (lab.watch_bytes, lab.watch_books):
+                    threading.Thread(target=watch, daemon=True).start()
+                load = RequestLoad([cluster.ports[relay] for relay in LOADED_RELAYS], lab.over).start()
+                job_thread = threading.Thread(target=lab.add_jobs, args=(Prng(seed),), daemon=True)
+                periods = _measure_requests(lab, job_thread)
+                duration = max(MIN_FAULT_SECONDS, seconds - QUIET_SECONDS - (time.monotonic() - start))
+                script = _play_script(lab, seed, duration, progress)
+                job_thread.join(JOBS)
+                end = start + seconds - 3.0
+                while time.monotonic() < end and not lab.is_settled():
                     lab.over.wait(0.2)
                 lab.over.wait(1.0)
                 lab.over.set()
-                lab.judge()
+                lab.count_violations()
             finally:
                 lab.over.set()
-                lab.client.close(1_000_000)
-    checks = [Check(name, lab.counts[name], 0, WHAT[name]) for name in WHAT]
-    figures = lab.figures() | compared(reqs.took, alone, beside) | {"faults": len(script)}
-    return Report("transfers", seed, time.monotonic() - began, figures, checks)
+                lab.client.close(SECOND_US)
+    checks = [Check(name, lab.counts[name], 0, description) for name, description in DESCRIPTIONS.items()]
+    figures = lab.measure() | compare_latencies(load.latencies, *periods) | {"faults": len(script)}
+    return Report("transfers", seed, time.monotonic() - start, figures, checks)
--- a/laurelcourse/lab/tuf.py
+++ b/laurelcourse/lab/tuf.py
@@ -1,8 +1,9 @@
-"""Kiosks fetch by TUF and Uptane through two relay processes from mirrors that fail by a script; a bad
-release of the mirrors' software is voted back, then a good one voted on; memory is read while 64 large files
-are under way at a relay of its own."""
+"""`lab tuf`: clients fetch by TUF and Uptane through two relay processes from mirrors that fail by a script.
+
+A bad release of the mirrors' software is voted back, then a good one is voted on. The memory of one more
+relay is read while 64 large files are under way there.
+"""
 
-import hashlib
 import http.client
 import json
 import re
@@ -12,415 +13,340 @@
 import threading
 import time
 from pathlib import Path
-from typing import Any
-
-from laurelcourse.lab import kiosks
-from laurelcourse.lab.fleet import Fleet, Machine, offer, over_cap
-from laurelcourse.lab.process import ROOT
-from laurelcourse.lab.report import Check, Progress, Report, part
-from laurelcourse.lab.rig import Rig
-from laurelcourse.prng import Prng
-from laurelcourse.standins.base import RELAY, until
-from laurelcourse.standins.deployer import Rollout
-from laurelcourse.standins.mirror import MirrorStand, Seen
+
+from laurelcourse.lab import tuf_clients
+from laurelcourse.lab.process import ROOT, RelayProcess
+from laurelcourse.lab.report import Check, Progress, Report, quantile
+from laurelcourse.lab.rollout import Machine, MachinePool, count_over_cap, offer_build
+from laurelcourse.lab.tuf_environment import BAD_BUILD, GOOD_BUILD, LARGE_FILE, SIZES, Environment
+from laurelcourse.lab.tuf_rig import FRONT, TufRig
+from laurelcourse.standins.base import RELAY_HOST, wait_until
+from laurelcourse.standins.deployer import RolloutDeployer
+from laurelcourse.standins.mirror import MirrorRequest, MirrorStandIn
 from laurelcourse.standins.repository import TufRepository
 
-RELAYS, MIRRORS, KIOSKS, WORKERS = 2, 7, 200, 4
-CAPS, FREE, WINDOW, GRACE = (0.1, 0.5, 1.0), 2, 2.0, 2.0
-STAGE = 1.25 * WINDOW  # a stage lasts so long at least: its exposure is counted over a window
-EDGE = 0.5  # a stand-in that is short of CPU may see a try so late
-MACHINES = (0.45, 0.6, 1.0)
-DRAIN = 3.0  # longer than the grace, so that who goes on asking is seen
-WHOLE = 40.0  # from so many seconds on the lab is played at its full size
-SIZES = {"small.bin": 3000, "app/medium.bin": 150_000, "large.bin": 2_000_000}
-HONEST = 2  # mirrors that no fault befalls, but while all are down
-FAULTS = (
-    ("metadata", "mixed"),
-    ("metadata", "forged"),
-    ("metadata", "flipped"),
-    ("metadata", "endless"),
-    ("metadata", "frozen"),
-    ("metadata", "frozen"),
-    ("metadata", "frozen"),
-    ("target", "flipped"),
-    ("target", "longer"),
-    ("target", "shorter"),
-    ("target", "stall"),
-    ("target", "drip"),
-    ("target", "torn"),
-    ("target", "unranged"),
-    ("target", "misranged"),
-    ("target", "elsewhere"),
-    ("", "failing"),
-    ("", "busy"),
-    ("", "slow"),
-    ("", "reset"),
-    ("manifest", "lost"),
-    ("manifest", "failing"),
+RELAYS = 2
+MIRRORS = 7
+CLIENTS = 200
+CLIENT_PROCESSES = 4
+CLIENT_PAUSE = 3.2  # seconds, a client's usual pause between sessions
+CLIENT_KINDS = (
+    [tuf_clients.TUF] * 11 + [tuf_clients.PLAIN] * 5 + [tuf_clients.MANIFEST] * 3 + [tuf_clients.LEAVE]
 )
-EVERY, PUBLISHED_EVERY, SYNCED_WITHIN = 0.9, 3.0, 0.8
-DOWN, DOWN_AT, LOST, LOST_AT = 1.2, 0.85, 2.0, 0.3  # seconds, and shares of the time
-FREEZE, FREEZE_AT = 7.0, 0.35
-TIMEOUTS = {"metadata": 3.0, "target": 20.0, "manifest": 2.0}
-NEAR, IDLE, SLOW = 0.85, 0.6, 0.5  # held back: so near the time's end, with nothing slow lately (s)
-HUGE, READERS = 32 << 20, 64
-BAD, GOOD = 2, 3
-
-
-class World:
-    """Repositories that go on publishing, and mirrors that follow and fail as the seed says."""
-
-    def __init__(self, seed: int, calm: bool, deduped: bool) -> None:
-        self.rng, self.calm, self.lasts = Prng(seed), calm, 0.0
-        self.repositories = {
-            "/image/": TufRepository(),
-            "/plain/": TufRepository(False),
-            "/fw/": TufRepository(),
-            "/director/": TufRepository(),
-        }
-        self.version = 0
-        self.hashes: set[str] = set()  # of all that was ever published
-        self.published: list[tuple[float, int]] = []  # when a timestamp of the plain repository came out
-        self.director = "deduped" if deduped else ""
-        self.counted: set = set()
-        self.manifests: list = []
-        self.down: list[tuple[float, float]] = []  # when no mirror gave metadata or files
-        self.lost: list[tuple[float, float]] = []  # when each director's answer was lost
-        self.over = threading.Event()
-        self.frozen: set[MirrorStand] = set()
-        for name in ("/image/", "/plain/"):
-            self.repositories[name].delegate("targets", "app", ["app/*"])
-        self.publish()
-
-    def publish(self) -> None:
-        self.version += 1
-        for prefix, one in self.repositories.items():
-            for path, size in SIZES.items():
-                delegated = path.startswith("app/") and prefix in ("/image/", "/plain/")
-                custom = {
-                    "/fw/": {"hardwareIds": ["ecu"]},
-                    "/director/": {"ecuIdentifiers": {"1": {"hardwareId": "ecu"}}},
-                }.get(prefix)
-                # Metadata is signed anew more often than files change, and the large one stays.
-                version = 1 if path == "large.bin" else 1 + self.version // 3
-                target = one.add(
-                    path, kiosks.content(path, version, size), "app" if delegated else "targets", custom
-                )
-                self.hashes.add(target.hashes["sha256"])
-            if self.version % 3 == 0:
-                one.rotate(("timestamp", "snapshot", "targets", "root")[self.version // 3 % 4])
-            one.publish()
-            self.hashes |= {hashlib.sha256(raw).hexdigest() for raw in one.newest.metadata.values()}
-        self.published.append((time.monotonic(), self.repositories["/plain/"].newest.version))
-
-    def mirror(self, build: int) -> MirrorStand:
-        one = MirrorStand(self.repositories, rate=6e6, director=self.director)
-        one.counted, one.manifests = self.counted, self.manifests  # one director behind all
-        one.modes = {"target": "flipped"} if build == BAD else {}
-        return one
-
-    def live(self, fleet: Fleet) -> None:
-        """Publishes, syncs each mirror a little later, and lets faults come and go until it is over."""
-        next_fault = time.monotonic()
-        next_publish, down_at = next_fault + PUBLISHED_EVERY, next_fault + self.lasts * DOWN_AT
-        lost_at, freeze_at = next_fault + self.lasts * LOST_AT, next_fault + self.lasts * FREEZE_AT
-        due: list[tuple[float, Any]] = []
-        while not self.over.wait(0.02):
-            now = time.monotonic()
-            for when, act in [one for one in due if one[0] <= now]:
-                due.remove((when, act))
-                act()
-            if now >= next_publish:
-                next_publish = now + PUBLISHED_EVERY
-                self.publish()
-                for one in fleet.ready:
-                    at = now + self.rng.fraction() * SYNCED_WITHIN
-                    due.append((at, lambda one=one: self._sync(one.stand)))
-            if not self.calm and now >= next_fault:
-                next_fault = now + EVERY
-                self._befall(fleet, due, now)
-            if not self.calm and down_at and now >= down_at:
-                down_at = 0.0
-                self._all(fleet, due, now, ("metadata", "target"), "failing", DOWN, self.down)
-            if not self.calm and freeze_at and now >= freeze_at:
-                freeze_at = 0.0
-                self._freeze(fleet, due, now)
-            if not self.calm and lost_at and now >= lost_at:
-                lost_at = 0.0
-                self._all(fleet, due, now, ("manifest",), "lost", LOST, self.lost)
-
-    def _freeze(self, fleet: Fleet, due: list, now: float) -> None:
-        """All but the honest ones stay at what they have, until long after the others have gone on."""
-        for one in [one.stand for one in fleet.ready[HONEST:]]:
-            self.frozen.add(one)
-            due.append((now + FREEZE, lambda one=one: self.frozen.discard(one)))
-
-    def _sync(self, mirror: MirrorStand) -> None:
-        if mirror not in self.frozen:
-            mirror.sync()
-
-    def _befall(self, fleet: Fleet, due: list, now: float) -> None:
-        """A fault at one of the mirrors beyond the honest ones, for some seconds."""
-        sound = [one for one in fleet.ready if one.build == fleet.released][HONEST:]
-        if not sound:
-            return
-        one = sound[self.rng.below(len(sound))].stand
-        route, mode = FAULTS[self.rng.below(len(FAULTS))]
-        lasts = 1.0 + 4.0 * self.rng.fraction()
-        if mode == "frozen":
-            self.frozen.add(one)
-            due.append((now + lasts, lambda: self.frozen.discard(one)))
-        elif route:
-            one.modes[route] = mode
-            due.append((now + lasts, lambda: one.modes.pop(route, None)))
-        elif one.mode == "ok":
-            one.mode = mode
-            due.append((now + lasts, lambda: setattr(one, "mode", "ok")))
-
-    def _all(
-        self,
-        fleet: Fleet,
-        due: list,
-        now: float,
-        routes: tuple[str, ...],
-        mode: str,
-        lasts: float,
-        times: list[tuple[float, float]],
-    ) -> None:
-        """A fault at all mirrors at once."""
-        times.append((now, now + lasts))
-        for one, route in [(one, route) for one in fleet.ready for route in routes]:
-            one.stand.modes[route] = mode
-            due.append((now + lasts, lambda one=one, route=route: one.stand.modes.pop(route, None)))
-
-
-def spec(world: World, rig: Rig, seed: int, seconds: float, whole: bool) -> list[dict]:
-    """What each worker's kiosks are to do."""
+
+# Exposure of a build on trial.
+CAPS = (0.1, 0.5, 1.0)  # by stage
+FREE = 2  # tries, in a window
+WINDOW = 2.0  # seconds
+GRACE = 2.0  # seconds
+STAGE_SECONDS = 1.25 * WINDOW  # at least: exposure is counted over a window
+LATE_NOTE_SECONDS = 0.5  # by which a stand-in that is short of CPU may see a try late
+MACHINE_SHARES = (0.45, 0.6, 1.0)  # of mirrors that run the build on trial, by stage
+DRAIN_SECONDS = 3.0  # longer than the grace, so that requests after it are seen
+
+FULL_SIZE_SECONDS = 40.0  # shorter runs have fewer clients, and leave the large files out
+TIMEOUTS = {"metadata": 3.0, "target": 20.0, "manifest": 2.0}  # seconds, by route
+MANIFEST_PATH = "/director/manifest"
+TIMESTAMP_PATH = "/plain/metadata/timestamp.json"
+
+# A refusal was held back if it came near the end of its time, and no mirror was slow shortly before.
+HELD_BACK_SHARE = 0.85  # of the time
+IDLE_SECONDS = 0.6
+SLOW_MIRROR_SECONDS = 0.5
+
+HUGE_FILE_BYTES = 32 << 20
+HUGE_FILE_READERS = 64
+HUGE_FILE_SECONDS = 12
+
+
+def make_tasks(
+    environment: Environment, rig: TufRig, seed: int, seconds: float, full_size: bool
+) -> list[dict]:
+    """Returns what each process of clients is to do (see `tuf_clients.py`)."""
     repositories = [
         {
             "name": prefix.strip("/"),
             "prefix": prefix,
-            "consistent": one.consistent,
-            "root": one.pinned.hex(),
+            "consistent": repository.consistent,
+            "root": repository.pinned.hex(),
             "paths": list(SIZES),
-            "large": "large.bin",
+            "large": LARGE_FILE,
         }
-        for prefix, one in world.repositories.items()
+        for prefix, repository in environment.repositories.items()
         if prefix != "/director/"
     ]
-    kinds = [kiosks.TUF] * 11 + [kiosks.PLAIN] * 5 + [kiosks.MANIFEST] * 3 + [kiosks.LEAVE]
-    told = [
+    clients = [
         (
             number,
             {
-                "kind": kinds[number % len(kinds)],
+                "kind": CLIENT_KINDS[number % len(CLIENT_KINDS)],
                 "relay": number % RELAYS,
                 "port": rig.ports[number % RELAYS],
             },
         )
-        for number in range(KIOSKS if whole else KIOSKS // 3)
+        for number in range(CLIENTS if full_size else CLIENTS // 3)
     ]
     common = {
         "seed": seed,
-        "host": RELAY,
+        "host": RELAY_HOST,
         "repositories": repositories,
-        "pace": 3.2,
-        "manifests": "/director/manifest",
+        "pace": CLIENT_PAUSE,
+        "manifests": MANIFEST_PATH,
         "timeouts": TIMEOUTS,
     }
-    workers = WORKERS if whole else WORKERS // 2
+    processes = CLIENT_PROCESSES if full_size else CLIENT_PROCESSES // 2
     return [
-        {"seconds": seconds, "common": common, "kiosks": told[place::workers]} for place in range(workers)
+        {"seconds": seconds, "common": common, "clients": clients[place::processes]}
+        for place in range(processes)
     ]
 
 
-def straight(rig: Rig, mirror: MirrorStand, count: int) -> dict[str, float]:
-    """One reader's requests through a relay and straight from a mirror, in turn: latency, and CPU."""
-    path, figures = "/plain/metadata/timestamp.json", {}
+def start_clients(task: dict) -> subprocess.Popen:
+    """Starts a process of clients; its standard output has the records of their sessions."""
+    process = subprocess.Popen(
+        [sys.executable, "-m", "laurelcourse.lab.tuf_clients"],
+        cwd=ROOT,
+        text=True,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+    )
+    process.stdin.write(json.dumps(task))
+    process.stdin.close()
+    return process
+
+
+def measure_overhead(rig: TufRig, mirror: MirrorStandIn, count: int) -> dict[str, float]:
+    """Measures one reader's requests through a relay and at a mirror, in turn: latency and CPU time."""
+    figures = {}
     relay = rig.relays[0]
-    lags: dict[str, list[float]] = {"relay": [], "mirror": []}
-    conns = {
-        "relay": http.client.HTTPConnection(RELAY, rig.ports[0]),
-        "mirror": http.client.HTTPConnection(*mirror.at.split(":")),
+    latencies: dict[str, list[float]] = {"relay": [], "mirror": []}
+    connections = {
+        "relay": http.client.HTTPConnection(RELAY_HOST, rig.ports[0]),
+        "mirror": http.client.HTTPConnection(*mirror.address.split(":")),
     }
     cpu = relay.cpu()
     for _ in range(count):
-        for name, conn in conns.items():
-            for asked in (path, "/plain/targets/small.bin"):
-                began = time.monotonic()
-                conn.request("GET", asked)
+        for name, conn in connections.items():
+            for path in (TIMESTAMP_PATH, "/plain/targets/small.bin"):
+                start = time.monotonic()
+                conn.request("GET", path)
                 conn.getresponse().read()
-                lags[name].append(time.monotonic() - began)
+                latencies[name].append(time.monotonic() - start)
     figures["cpu_ms_a_req_relay"] = round((relay.cpu() - cpu) * 1000 / (2 * count), 2)
-    began = time.process_time()
+    cpu_start = time.process_time()
     for _ in range(count):
-        conns["mirror"].request("GET", path)
-        conns["mirror"].getresponse().read()
-    # The stand-in and its reader are this process: what both use together is the most that it uses.
-    figures["cpu_ms_a_req_mirror_and_reader"] = round((time.process_time() - began) * 1000 / count, 2)
-    for name, found in lags.items():
-        figures[f"quiet_p50_ms_{name}"] = round(part(found, 0.5) * 1000, 2)
-        figures[f"quiet_p99_ms_{name}"] = round(part(found, 0.99) * 1000, 2)
-        conns[name].close()
+        connections["mirror"].request("GET", TIMESTAMP_PATH)
+        connections["mirror"].getresponse().read()
+    # The mirror and its reader are this process: what both use together is the most that the mirror uses.
+    figures["cpu_ms_a_req_mirror_and_reader"] = round((time.process_time() - cpu_start) * 1000 / count, 2)
+    for name, seconds in latencies.items():
+        figures[f"quiet_p50_ms_{name}"] = round(quantile(seconds, 0.5) * 1000, 2)
+        figures[f"quiet_p99_ms_{name}"] = round(quantile(seconds, 0.99) * 1000, 2)
+        connections[name].close()
     return figures
 
 
-def large_files(folder: Path, progress: Progress) -> dict[str, float]:
-    """Peak memory of a relay of its own with 64 files of 32 MB under way at once."""
-    one = TufRepository(False)
-    one.add("huge.bin", kiosks.content("huge.bin", 1, HUGE))
-    one.publish()
-    rig = Rig(folder, {"/huge/": one}, [MirrorStand({"/huge/": one}, rate=400_000) for _ in range(4)])
-    over, open_now = threading.Event(), [0]
+class HugeFileReaders:
+    """Readers of one large file at a relay, at the same time."""
+
+    def __init__(self, port: int) -> None:
+        self.port = port
+        self.over = threading.Event()
+        self.open_count = 0
+        self.threads = [threading.Thread(target=self._read, daemon=True) for _ in range(HUGE_FILE_READERS)]
+
+    def start(self) -> None:
+        """Starts all readers."""
+        for thread in self.threads:
+            thread.start()
+
+    def stop(self) -> None:
+        """Stops all readers, and waits for them."""
+        self.over.set()
+        for thread in self.threads:
+            thread.join(5)
 
-    def read() -> None:
-        while not over.is_set():
-            conn = http.client.HTTPConnection(RELAY, rig.ports[0], timeout=10)
+    def _read(self) -> None:
+        while not self.over.is_set():
+            conn = http.client.HTTPConnection(RELAY_HOST, self.port, timeout=10)
             try:
                 conn.request("GET", "/huge/targets/huge.bin")
-                found = conn.getresponse()
-                if found.status == 200:
-                    open_now[0] += 1
-                    while not over.is_set() and found.read(65536):
+                response = conn.getresponse()
+                if response.status == 200:
+                    self.open_count += 1
+                    while not self.over.is_set() and response.read(65536):
                         pass
-                    open_now[0] -= 1
+                    self.open_count -= 1
                     return
-                found.read()
+                response.read()
             except (OSError, http.client.HTTPException):
                 pass
             finally:
                 conn.close()
-            over.wait(0.3)
+            self.over.wait(0.3)
 
+
+def measure_memory(folder: Path, progress: Progress) -> dict[str, float]:
+    """Returns the peak memory of a relay of its own with many large files under way at once."""
+    repository = TufRepository(False)
+    repository.add("huge.bin", tuf_clients.file_content("huge.bin", 1, HUGE_FILE_BYTES))
+    repository.publish()
+    mirrors = [MirrorStandIn({"/huge/": repository}, rate=400_000) for _ in range(4)]
+    rig = TufRig(folder, {"/huge/": repository}, mirrors)
+    readers = HugeFileReaders(rig.ports[0])
     try:
         rig.start()
         idle = rig.relays[0].peak_mb()
-        threads = [threading.Thread(target=read, daemon=True) for _ in range(READERS)]
-        for thread in threads:
-            thread.start()
-        ended = time.monotonic() + 12
-        most = 0
-        while time.monotonic() < ended and most < READERS:
-            most = max(most, open_now[0])
+        readers.start()
+        deadline = time.monotonic() + HUGE_FILE_SECONDS
+        most_open = 0
+        while time.monotonic() < deadline and most_open < HUGE_FILE_READERS:
+            most_open = max(most_open, readers.open_count)
             time.sleep(0.05)
-        progress.say(f"{most} files of {HUGE >> 20} MB under way")
+        progress.say(f"{most_open} files of {HUGE_FILE_BYTES >> 20} MB under way")
         time.sleep(2.0)
         peak = rig.relays[0].peak_mb()
-        over.set()
-        for thread in threads:
-            thread.join(5)
+        readers.stop()
         return {
-            "large_files_under_way": most,
+            "large_files_under_way": most_open,
             "memory_peak_mb": round(peak, 1),
             "memory_idle_mb": round(idle, 1),
         }
     finally:
-        over.set()
+        readers.over.set()
         rig.close()
 
 
-def run(seed: int, seconds: float, broken: str, progress: Progress, calm: bool = False) -> Report:
-    began = time.monotonic()
-    whole = seconds >= WHOLE
-    # Where repeats are dropped nothing happens twice, whoever sends: that guard's lab does without.
-    world = World(seed, calm, bool(seed % 2) and broken != "manifests_twice")
+def _overrides(environment: Environment) -> dict[str, dict[str, str]]:
+    uptane = {"director": "director", "image": "fw", "manifests": MANIFEST_PATH}
+    if environment.director:
+        uptane["counter"] = "report_counter"
+    return {
+        "uptane": uptane,
+        "release": {
+            "caps": " ".join(map(str, CAPS)),
+            "shares": " ".join(map(str, MACHINE_SHARES)),
+            "free": str(FREE),
+            "window": f"{WINDOW:g}s",
+            "bake": "1s",
+        },
+        "state": {"folder": "state"},
+    }
+
+
+def _total_cpu(relays: list[RelayProcess]) -> float:
+    return sum(relay.cpu() for relay in relays)
+
+
+def run(seed: int, seconds: float, removed_guard: str, progress: Progress, calm: bool = False) -> Report:
+    """Runs the lab; without faults if `calm`. Below `FULL_SIZE_SECONDS` it is smaller."""
+    start = time.monotonic()
+    full_size = seconds >= FULL_SIZE_SECONDS
+    # Where the director drops repeats nothing happens twice, whoever sends: that guard's check does without.
+    environment = Environment(seed, calm, bool(seed % 2) and removed_guard != "manifests_twice")
     with tempfile.TemporaryDirectory(prefix="laurelcourse-lab-") as folder:
-        uptane = {"director": "director", "image": "fw", "manifests": "/director/manifest"}
-        changed = {
-            "uptane": uptane | ({"counter": "report_counter"} if world.director else {}),
-            "release": {
-                "caps": " ".join(map(str, CAPS)),
-                "shares": " ".join(map(str, MACHINES)),
-                "free": str(FREE),
-                "window": f"{WINDOW:g}s",
-                "bake": "1s",
-            },
-            "state": {"folder": "state"},
-        }
-        fleets: list[Fleet] = []
-        deployer = Rollout(CAPS, lambda *news: fleets[0].moved(*news) if fleets else None, STAGE)
-        rig = Rig(Path(folder) / "main", world.repositories, [], RELAYS, changed, broken, deployer)
-        fleet = Fleet(rig.directory, MIRRORS, MACHINES, world.mirror, seed, DRAIN)
-        fleets.append(fleet)
-        workers: list[subprocess.Popen] = []
+        pools: list[MachinePool] = []
+        deployer = RolloutDeployer(
+            CAPS, lambda *news: pools[0].on_rollout(*news) if pools else None, STAGE_SECONDS
+        )
+        rig = TufRig(
+            Path(folder) / "main",
+            environment.repositories,
+            [],
+            RELAYS,
+            _overrides(environment),
+            removed_guard,
+            deployer,
+        )
+        pool = MachinePool(
+            rig.directory, MIRRORS, MACHINE_SHARES, environment.make_mirror, seed, DRAIN_SECONDS
+        )
+        pools.append(pool)
+        processes: list[subprocess.Popen] = []
         try:
             rig.start()
-            until(lambda: rig.ask("/plain/metadata/timestamp.json")[0] == 200, 10)
-            figures = straight(rig, fleet.ready[0].stand, 150 if whole else 20)
+            wait_until(lambda: rig.request(TIMESTAMP_PATH)[0] == 200, 10)
+            figures = measure_overhead(rig, pool.active[0].stand_in, 150 if full_size else 20)
             progress.say(f"{RELAYS} relays, {MIRRORS} mirrors")
-            world.lasts = lasts = seconds - (22 if whole else 4) - (time.monotonic() - began)
-            cpu = sum(one.cpu() for one in rig.relays)
-            for told in spec(world, rig, seed, lasts, whole):
-                worker = subprocess.Popen(
-                    [sys.executable, "-m", "laurelcourse.lab.kiosks"],
-                    cwd=ROOT,
-                    text=True,
-                    stdin=subprocess.PIPE,
-                    stdout=subprocess.PIPE,
-                )
-                worker.stdin.write(json.dumps(told))
-                worker.stdin.close()
-                workers.append(worker)
-            threading.Thread(target=world.live, args=(fleet,), daemon=True).start()
-            main = time.monotonic()
-            time.sleep(4.0 if whole else 2.0)
-            offer(deployer, BAD, "it spoils files", main + lasts * 0.5, progress)
-            offer(deployer, GOOD, "it is sound", main + lasts, progress)
-            results = [json.loads(worker.stdout.read()) for worker in workers]
-            for worker in workers:
-                worker.wait()
-            used = sum(one.cpu() for one in rig.relays) - cpu
-            counts = [one.counters() for one in rig.relays]
-            faults = sum(len(re.findall("Traceback", one.log.read_text())) for one in rig.relays)
+            duration = seconds - (22 if full_size else 4) - (time.monotonic() - start)
+            environment.duration = duration
+            cpu_start = _total_cpu(rig.relays)
+            for task in make_tasks(environment, rig, seed, duration, full_size):
+                processes.append(start_clients(task))
+            threading.Thread(target=environment.run, args=(pool,), daemon=True).start()
+            clients_start = time.monotonic()
+            time.sleep(4.0 if full_size else 2.0)
+            offer_build(deployer, BAD_BUILD, "it spoils files", clients_start + duration * 0.5, progress)
+            offer_build(deployer, GOOD_BUILD, "it is sound", clients_start + duration, progress)
+            results = [json.loads(process.stdout.read()) for process in processes]
+            for process in processes:
+                process.wait()
+            cpu = _total_cpu(rig.relays) - cpu_start
+            counters = [relay.counters() for relay in rig.relays]
+            tracebacks = sum(len(re.findall("Traceback", relay.log.read_text())) for relay in rig.relays)
         finally:
-            world.over.set()
-            for worker in workers:
-                worker.kill()
+            environment.over.set()
+            for process in processes:
+                process.kill()
             rig.close()
-            fleet.close()
-        if whole and not broken:
-            figures |= large_files(Path(folder) / "large", progress)
-    sessions = [one for result in results for one in result["sessions"]]
+            pool.close()
+        if full_size and not removed_guard:
+            figures |= measure_memory(Path(folder) / "large", progress)
+    sessions = [session for result in results for session in result["sessions"]]
     stuck = sum(result["stuck"] for result in results)
-    figures |= measured(world, sessions, counts, used) | {"relay_faults": faults}
-    checks = judged(world, fleet, deployer, sessions, stuck)
-    return Report("tuf", seed, time.monotonic() - began, figures, checks)
+    figures |= measure(environment, sessions, counters, cpu) | {"relay_faults": tracebacks}
+    checks = make_checks(environment, pool, deployer, sessions, stuck)
+    return Report("tuf", seed, time.monotonic() - start, figures, checks)
+
+
+def _without_outage(environment: Environment, session: dict) -> bool:
+    """Whether the session met no time in which all mirrors failed."""
+    is_manifest = session["kind"] == tuf_clients.MANIFEST
+    outages = environment.lost_periods if is_manifest else environment.down_periods
+    return not any(session["at"] < end and session["at"] + session["took"] > start for start, end in outages)
+
+
+def _completed_times(sessions: list[dict], route: str) -> list[float]:
+    return [
+        session["took"]
+        for session in sessions
+        if session.get("route") == route and session["end"] == tuf_clients.COMPLETED
+    ]
 
 
-def measured(
-    world: World, sessions: list[dict], counts: list[dict[str, int]], cpu: float
+def measure(
+    environment: Environment, sessions: list[dict], counters: list[dict[str, int]], cpu: float
 ) -> dict[str, float]:
+    """Returns the figures of a run. `counters` are each relay's, `cpu` is their seconds of CPU time."""
+
     def total(name: str) -> int:
-        return sum(count.get(f"updates.{name}", 0) for count in counts)
-
-    ends = [one["end"] for one in sessions if one["end"] != "left"]
-    up = [
-        one
-        for one in sessions
-        if one["end"] != "left"
-        and not any(
-            one["at"] < end and one["at"] + one["took"] > start
-            for start, end in (world.lost if one["kind"] == kiosks.MANIFEST else world.down)
-        )
-    ]
-    took = [one["took"] for one in sessions if one.get("route") == "metadata" and one["end"] == "completed"]
-    files = [one["took"] for one in sessions if one.get("route") == "target" and one["end"] == "completed"]
-    asked = [one for one in sessions if one.get("name") == "timestamp.json" or one["kind"] == "tuf"]
+        return sum(count.get(f"{FRONT}.{name}", 0) for count in counters)
+
+    finished = [session for session in sessions if session["end"] != tuf_clients.LEFT]
+    ends = [session["end"] for session in finished]
+    counted = [session for session in finished if _without_outage(environment, session)]
+    completed = sum(session["end"] == tuf_clients.COMPLETED for session in counted)
+    metadata_times = _completed_times(sessions, "metadata")
+    target_times = _completed_times(sessions, "target")
+    timestamps_asked = sum(
+        session.get("name") == "timestamp.json" or session["kind"] == tuf_clients.TUF for session in sessions
+    )
     delivered = total("bytes_delivered")
+    timestamp_tries = total("asked.timestamp")
     return {
         "sessions": len(ends),
         **{end: ends.count(end) for end in ("completed", "shed", "errored", "cut")},
-        "completed_share_honest_up": round(sum(one["end"] == "completed" for one in up) / max(len(up), 1), 4),
+        "completed_share_honest_up": round(completed / max(len(counted), 1), 4),
         "bytes_delivered_mb": round(delivered / 1e6, 1),
         "bytes_fetched_over_delivered": round(total("bytes_fetched") / max(delivered, 1), 3),
-        "timestamp_tries_per_1000_asked": round(total("asked.timestamp") * 1000 / max(len(asked), 1), 1),
-        "metadata_p50_ms": round(part(took, 0.5) * 1000, 1),
-        "metadata_p99_ms": round(part(took, 0.99) * 1000, 1),
-        "target_p50_ms": round(part(files, 0.5) * 1000, 1),
-        "target_p99_ms": round(part(files, 0.99) * 1000, 1),
+        "timestamp_tries_per_1000_asked": round(timestamp_tries * 1000 / max(timestamps_asked, 1), 1),
+        "metadata_p50_ms": round(quantile(metadata_times, 0.5) * 1000, 1),
+        "metadata_p99_ms": round(quantile(metadata_times, 0.99) * 1000, 1),
+        "target_p50_ms": round(quantile(target_times, 0.5) * 1000, 1),
+        "target_p99_ms": round(quantile(target_times, 0.99) * 1000, 1),
         "cpu_ms_a_req": round(cpu * 1000 / max(total("asked"), 1), 2),
         "http_reqs": total("asked"),
-        "superseded_p99_s": round(part(superseded(world, sessions), 0.99), 1),
+        "superseded_p99_s": round(quantile(superseded_ages(environment, sessions), 0.99), 1),
         "mirrors_wrong": total("mirrors_wrong"),
         "mirrors_behind": total("mirrors_behind"),
         "mirrors_stalled": total("mirrors_stalled"),
@@ -428,11 +354,18 @@
     }
 
 
-def judged(world: World, fleet: Fleet, deployer: Rollout, sessions: list[dict], stuck: int) -> list[Check]:
-    seen = [(machine, one) for machine in fleet.all for one in machine.stand.seen]
-    late = sum(one["end"] == kiosks.NONE or one.get("late", 0) for one in sessions)
-    extra = sum(bool(one.get("extra", 0)) for one in sessions)
-    twice = len(world.manifests) - len(set(world.manifests))
+def make_checks(
+    environment: Environment,
+    pool: MachinePool,
+    deployer: RolloutDeployer,
+    sessions: list[dict],
+    stuck: int,
+) -> list[Check]:
+    """Returns the checks of a run; `stuck` is how many clients did not end in time."""
+    mirror_requests = [(machine, request) for machine in pool.all for request in machine.stand_in.requests]
+    late = sum(session["end"] == tuf_clients.NONE or session.get("late", 0) for session in sessions)
+    extra = sum(bool(session.get("extra", 0)) for session in sessions)
+    repeated = len(environment.manifests) - len(set(environment.manifests))
     return [
         Check(
             "one_outcome_each",
@@ -442,106 +375,129 @@
         ),
         Check(
             "wrong_bytes_accepted",
-            sum(wrong(world, one) for one in sessions),
+            sum(has_wrong_bytes(environment, session) for session in sessions),
             0,
             "complete files that are no published version of their path",
         ),
         Check(
-            "stale_metadata_passed", stale(sessions), 0, "metadata older than given before, expired, or mixed"
+            "stale_metadata_passed",
+            count_stale(sessions),
+            0,
+            "metadata older than given before, expired, or mixed",
         ),
         Check(
             "to_draining_after_grace",
-            draining(seen),
+            count_after_drain(mirror_requests),
             0,
             "requests and bytes of a mirror 2 s after it was told to drain",
         ),
         Check(
             "exposure_over_cap",
-            exposure(seen, sessions, deployer),
+            count_exposure_over_cap(mirror_requests, sessions, deployer),
             0,
             "tries at a release on trial beyond free + cap x reqs, by relay, in any 2 s",
         ),
-        Check("manifests_twice", twice, 0, "manifests that had their effect at the director twice"),
+        Check("manifests_twice", repeated, 0, "manifests that had their effect at the director twice"),
         Check(
             "answers_held_back",
-            sum(held_back(one, seen) for one in sessions),
+            sum(is_held_back(session, mirror_requests) for session in sessions),
             0,
             "refusals near the time's end with nothing under way",
         ),
     ]
 
 
-def wrong(world: World, session: dict) -> bool:
-    """Complete bytes that were never published. A file of another version than a python-tuf client's metadata
-    names is none."""
-    if found := re.search(r"Observed hash (\w+)", str(session.get("what", ""))):
-        return found[1] not in world.hashes
+def has_wrong_bytes(environment: Environment, session: dict) -> bool:
+    """Whether the client accepted complete bytes that were never published.
+
+    A file of another version than a python-tuf client's metadata names is none of these.
+    """
+    if match := re.search(r"Observed hash (\w+)", str(session.get("what", ""))):
+        return match[1] not in environment.hashes
     return bool(session.get("wrong", 0))
 
 
-def stale(sessions: list[dict]) -> int:
-    """What kiosks found stale themselves, expired or mixed; timestamps behind one that the same relay gave
-    before."""
-    found = sum(one.get("stale", 0) for one in sessions)
-    given = sorted(
-        (one for one in sessions if one.get("name") == "timestamp.json" and "version" in one),
-        key=lambda one: one["at"],
+def count_stale(sessions: list[dict]) -> int:
+    """Returns how much stale metadata was passed on.
+
+    That is what clients found expired or mixed, and timestamps older than one that the same relay gave
+    before.
+    """
+    count = sum(session.get("stale", 0) for session in sessions)
+    timestamps = sorted(
+        (session for session in sessions if session.get("name") == "timestamp.json" and "version" in session),
+        key=lambda session: session["at"],
     )
-    for place, one in enumerate(given):
-        before = [
+    for place, session in enumerate(timestamps):
+        versions_before = [
             other["version"]
-            for other in given[:place]
-            if other["relay"] == one["relay"] and other["at"] + other["took"] < one["at"]
+            for other in timestamps[:place]
+            if other["relay"] == session["relay"] and other["at"] + other["took"] < session["at"]
         ]
-        found += one["version"] < max(before, default=0)
-    return found
+        count += session["version"] < max(versions_before, default=0)
+    return count
 
 
-def superseded(world: World, sessions: list[dict]) -> list[float]:
-    """How long ago, in seconds, the next timestamp had come out when one was given."""
+def superseded_ages(environment: Environment, sessions: list[dict]) -> list[float]:
+    """Returns, for each timestamp given, how many seconds ago the next one had come out."""
     ages = []
-    for one in sessions:
-        if one.get("name") == "timestamp.json" and "version" in one:
-            newer = [at for at, version in world.published if version > one["version"]]
-            ages.append(max(one["at"] + one["took"] - newer[0], 0.0) if newer else 0.0)
+    for session in sessions:
+        if session.get("name") == "timestamp.json" and "version" in session:
+            newer = [at for at, version in environment.published if version > session["version"]]
+            ages.append(max(session["at"] + session["took"] - newer[0], 0.0) if newer else 0.0)
     return ages
 
 
-def draining(seen: list[tuple[Machine, Seen]]) -> int:
-    return sum(max(one.at, one.last) > machine.drained + GRACE for machine, one in seen)
+def count_after_drain(mirror_requests: list[tuple[Machine, MirrorRequest]]) -> int:
+    """Returns how many requests a mirror served after it had drained, and the grace was over."""
+    return sum(
+        max(request.at, request.last) > machine.drained_at + GRACE for machine, request in mirror_requests
+    )
 
 
-def exposure(seen: list[tuple[Machine, Seen]], sessions: list[dict], deployer: Rollout) -> int:
-    """Reqs are counted as the mirrors saw them; those that no mirror saw were shed, as the kiosks saw."""
+def count_exposure_over_cap(
+    mirror_requests: list[tuple[Machine, MirrorRequest]], sessions: list[dict], deployer: RolloutDeployer
+) -> int:
+    """Returns how many tries at builds on trial exceed what their relay may send.
+
+    Requests are counted as the mirrors saw them; those that no mirror saw were shed, as the clients saw.
+    """
     relays = {f"n{number}": number for number in range(RELAYS)}
     tries: dict[int, list[tuple[float, int]]] = {}
-    taken = {
+    request_times = {
         number: [
-            one["at"] + one["took"] for one in sessions if one["relay"] == number and one["end"] == "shed"
+            session["at"] + session["took"]
+            for session in sessions
+            if session["relay"] == number and session["end"] == tuf_clients.SHED
         ]
         for number in relays.values()
     }
-    for machine, one in seen:
-        if one.relay:
-            taken[relays[one.relay]].append(one.at)
+    for machine, request in mirror_requests:
+        if request.relay:
+            relay = relays[request.relay]
+            request_times[relay].append(request.at)
             if machine.build > 1:
-                tries.setdefault(machine.build, []).append((one.at, relays[one.relay]))
-    return over_cap(tries, taken, deployer, FREE, WINDOW, GRACE, EDGE)
+                tries.setdefault(machine.build, []).append((request.at, relay))
+    return count_over_cap(tries, request_times, deployer, FREE, WINDOW, GRACE, LATE_NOTE_SECONDS)
 
 
-def held_back(session: dict, seen: list[tuple[Machine, Seen]]) -> bool:
-    if session.get("status", 0) < 500 or session["took"] < NEAR * TIMEOUTS[session["route"]]:
+def is_held_back(session: dict, mirror_requests: list[tuple[Machine, MirrorRequest]]) -> bool:
+    """Whether a session was refused near the end of its time though no mirror was slow shortly before."""
+    if session.get("status", 0) < 500:
+        return False
+    if session["took"] < HELD_BACK_SHARE * TIMEOUTS[session["route"]]:
         return False
-    ended = session["at"] + session["took"]
-    relay, place = f"n{session['relay']}", session["path"]
+    end = session["at"] + session["took"]
+    relay = f"n{session['relay']}"
+    path = session["path"]
     if session["route"] == "metadata":
-        place = place.rpartition("/")[0]
+        path = path.rpartition("/")[0]
     # A mirror that took its time excuses a late answer; one that failed at once does not.
     return not any(
-        one.relay == relay
-        and one.path.startswith(place)
-        and session["at"] < one.at < ended
-        and one.done > ended - IDLE
-        and one.done - one.at > SLOW
-        for _, one in seen
+        request.relay == relay
+        and request.path.startswith(path)
+        and session["at"] < request.at < end
+        and request.done > end - IDLE_SECONDS
+        and request.done - request.at > SLOW_MIRROR_SECONDS
+        for _, request in mirror_requests
     )
--- a/laurelcourse/standins/holds.py
+++ b/laurelcourse/standins/holds.py
@@ -1,5 +1,7 @@
-"""Units that remember which holds were taken and let go, by the keys of the statements: what took effect is
-told by them alone, never by relays."""
+"""Units that record which holds were taken and released, by the keys of the statements.
+
+What took effect is known from them alone, never from relays.
+"""
 
 import re
 import socket
@@ -8,73 +10,81 @@
 import time
 from typing import BinaryIO, NamedTuple
 
-from laurelcourse.standins.base import Stand, exactly, reset
-from laurelcourse.standins.postgres import IDLE, UNIT_ANSWERS, message, pg
+from laurelcourse.standins.base import StandIn, read_exactly, reset_on_close
+from laurelcourse.standins.postgres import READY, UNIT_ANSWERS, pack_message, read_message
 
 STATEMENT = re.compile(r"handle = '(hold|free|notice)\.([^']*)' /\* ([^*]*) \*/")
 
 
 class Effect(NamedTuple):
+    """One statement, or its effect."""
+
     at: float  # monotonic seconds
-    what: str  # hold, free, notice
+    kind: str  # hold, free or notice
     thing: str
     key: str
     req: str
 
 
 class Ledger:
-    """What all units together have done; a key that was carried out once is not carried out again, but where
-    nothing is deduplicated: notices."""
+    """What all units together have done.
+
+    A key that was carried out once is not carried out again, except for notices, which are not deduplicated.
+    """
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.effects: list[Effect] = []
-        self.came: list[Effect] = []  # every statement, whatever became of it
-        self.answers: dict[str, str] = {}  # by `what.thing`: an answer of `UNIT_ANSWERS`, or "reset"
-        self.delays: dict[str, float] = {}  # by `what.thing`: seconds between the effect and its answer
-
-    def take(self, text: str) -> tuple[str, float]:
-        """The answer, and how long it waits."""
-        found = STATEMENT.search(text)
-        if not found:
+        self.received: list[Effect] = []  # every statement, whatever became of it
+        self.answers: dict[str, str] = {}  # by `kind.thing`: an answer of `UNIT_ANSWERS`, or "reset"
+        self.delays: dict[str, float] = {}  # by `kind.thing`: seconds between the effect and its answer
+
+    def apply(self, text: str) -> tuple[str, float]:
+        """Applies a statement; returns the answer, and its delay in seconds."""
+        match = STATEMENT.search(text)
+        if not match:
             return "ok", 0.0
-        fields = dict(one.split("=", 1) for one in found.group(3).split(","))
-        one = Effect(time.monotonic(), found.group(1), found.group(2), fields.get("k", ""), fields["id"])
-        name = f"{one.what}.{one.thing}"
+        fields = dict(field.split("=", 1) for field in match.group(3).split(","))
+        effect = Effect(time.monotonic(), match.group(1), match.group(2), fields.get("k", ""), fields["id"])
+        name = f"{effect.kind}.{effect.thing}"
         with self.lock:
-            self.came.append(one)
+            self.received.append(effect)
             answer = self.answers.get(name, "ok")
             if answer in ("ok", "reset") and (
-                one.what == "notice" or all(other.key != one.key for other in self.effects)
+                effect.kind == "notice" or all(other.key != effect.key for other in self.effects)
             ):
-                self.effects.append(one)
+                self.effects.append(effect)
             return answer, self.delays.get(name, 0.0)
 
-    def of(self, thing: str) -> list[str]:
-        """What was done to it, in order."""
+    def effects_on(self, thing: str) -> list[str]:
+        """Returns the kinds of effects on a thing, in order."""
         with self.lock:
-            return [one.what for one in self.effects if one.thing == thing]
+            return [effect.kind for effect in self.effects if effect.thing == thing]
 
-    def statements(self, name: str) -> int:
+    def count_received(self, name: str) -> int:
+        """Returns how many statements `kind.thing` were received."""
         with self.lock:
-            return sum(f"{one.what}.{one.thing}" == name for one in self.came)
+            return sum(f"{effect.kind}.{effect.thing}" == name for effect in self.received)
+
 
+class HoldingUnit(StandIn):
+    """A unit that applies statements to a ledger."""
 
-class HoldsStand(Stand):
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
         super().__init__()
 
     def serve(self, conn: socket.socket, stream: BinaryIO) -> None:
-        exactly(stream, struct.unpack("!I", exactly(stream, 4))[0] - 4)
-        conn.sendall(pg(b"R", bytes(4)) + IDLE)
+        """Serves one connection."""
+        read_exactly(stream, struct.unpack("!I", read_exactly(stream, 4))[0] - 4)
+        conn.sendall(pack_message(b"R", bytes(4)) + READY)
         while True:
-            kind, body = message(stream)
+            kind, body = read_message(stream)
             if kind != b"Q":
                 return
-            answer, delay = self.ledger.take(body[:-1].decode())
+            answer, delay = self.ledger.apply(body[:-1].decode())
             time.sleep(delay)
             if answer == "reset":
-                reset(conn)
+                reset_on_close(conn)
                 return
             conn.sendall(UNIT_ANSWERS[answer])
--- a/laurelcourse/standins/ports.py
+++ b/laurelcourse/standins/ports.py
@@ -9,7 +9,7 @@
 import socket
 from collections.abc import Iterator
 
-from laurelcourse.standins.base import RELAY
+from laurelcourse.standins.base import RELAY_HOST
 
 # Nobody connects to or from this address: a socket bound there only marks a block of ports as taken.
 RESERVATION_HOST = "127.0.0.250"
@@ -67,6 +67,6 @@
 _RESERVER = PortReserver()
 
 
-def reserve_port(kind: int = socket.SOCK_STREAM, host: str = RELAY) -> int:
+def reserve_port(kind: int = socket.SOCK_STREAM, host: str = RELAY_HOST) -> int:
     """Returns a port at `host` that no other process using this function, and no connection, takes."""
     return _RESERVER.reserve(kind, host)
--- a/laurelcourse/standins/repository.py
+++ b/laurelcourse/standins/repository.py
@@ -1,4 +1,4 @@
-"""A TUF repository that publishes revisions, signed by python-tuf, each kept for mirrors that lag."""
+"""A TUF repository that publishes signed revisions and keeps former ones for outdated mirrors."""
 
 import copy
 from collections.abc import Callable
@@ -17,54 +17,66 @@
     Timestamp,
 )
 
-TOP = ("root", "timestamp", "snapshot", "targets")
+TOP_LEVEL_ROLES = ("root", "timestamp", "snapshot", "targets")
+ROOT_LIFETIME = 86400 * 365  # seconds
 
 
 def wall_clock() -> datetime:
+    """Returns the current time."""
     return datetime.now(UTC)
 
 
-class Published:
-    """All files of one revision by their names, metadata and targets apart."""
+class Revision:
+    """All files of one revision, by name."""
 
     def __init__(self, metadata: dict[str, bytes], targets: dict[str, bytes], version: int) -> None:
-        self.metadata, self.targets, self.version = metadata, targets, version
+        self.metadata = metadata
+        self.targets = targets
+        self.version = version  # of its timestamp
 
 
 class TufRepository:
+    """A repository with its keys."""
+
     def __init__(
         self,
         consistent: bool = True,
-        lasts: float = 3600.0,
+        lifetime: float = 3600.0,
         threshold: int = 1,
         clock: Callable[[], datetime] = wall_clock,
     ) -> None:
-        """`lasts`: seconds by `clock` until what is published expires."""
-        self.consistent, self.lasts, self.clock = consistent, lasts, clock
-        self.signers = {role: [CryptoSigner.generate_ed25519() for _ in range(threshold)] for role in TOP}
-        self.root = Metadata(Root(expires=self._later(86400 * 365), consistent_snapshot=consistent))
-        self.targets = Metadata(Targets(expires=self._later(lasts)))
+        """`consistent`: with consistent snapshots; `lifetime`: seconds until a revision expires."""
+        self.consistent = consistent
+        self.lifetime = lifetime
+        self.clock = clock
+        self.signers = {
+            role: [CryptoSigner.generate_ed25519() for _ in range(threshold)] for role in TOP_LEVEL_ROLES
+        }
+        self.root = Metadata(Root(expires=self._after(ROOT_LIFETIME), consistent_snapshot=consistent))
+        self.targets = Metadata(Targets(expires=self._after(lifetime)))
         self.delegated: dict[str, Metadata] = {}
         self.data: dict[str, bytes] = {}
-        self.snapshot = Metadata(Snapshot(expires=self._later(lasts)))
-        self.timestamp = Metadata(Timestamp(expires=self._later(lasts)))
-        for role in TOP:
+        self.snapshot = Metadata(Snapshot(expires=self._after(lifetime)))
+        self.timestamp = Metadata(Timestamp(expires=self._after(lifetime)))
+        for role in TOP_LEVEL_ROLES:
             for signer in self.signers[role]:
                 self.root.signed.add_key(signer.public_key, role)
             self.root.signed.roles[role].threshold = threshold
         self.roots: list[bytes] = []
-        self.revisions: list[Published] = []
+        self.revisions: list[Revision] = []
         self._sign_root(())
 
-    def _later(self, seconds: float) -> datetime:
+    def _after(self, seconds: float) -> datetime:
         return (self.clock() + timedelta(seconds=seconds)).replace(microsecond=0)
 
     @property
     def pinned(self) -> bytes:
+        """The first root."""
         return self.roots[0]
 
     @property
-    def newest(self) -> Published:
+    def newest(self) -> Revision:
+        """The newest revision."""
         return self.revisions[-1]
 
     def _sign(self, metadata: Metadata, signers: list) -> None:
@@ -77,7 +89,7 @@
         self.roots.append(self.root.to_bytes())
 
     def rotate(self, role: str) -> None:
-        """A root that gives the role another key in place of its first; the old one is revoked."""
+        """Adds a root that replaces a role's first key; the old one is revoked."""
         old = self.signers[role][0]
         self.signers[role][0] = new = CryptoSigner.generate_ed25519()
         self.root.signed.revoke_key(old.public_key.keyid, role)
@@ -86,6 +98,7 @@
         self._sign_root((old,) if role == "root" else ())
 
     def add(self, path: str, data: bytes, role: str = "targets", custom: dict | None = None) -> TargetFile:
+        """Adds or replaces a target, for the next revision."""
         target = TargetFile.from_data(path, data, ["sha256"])
         if custom:
             target.unrecognized_fields["custom"] = custom
@@ -95,57 +108,59 @@
         return target
 
     def delegate(self, parent: str, child: str, paths: list[str], terminating: bool = False) -> None:
+        """Adds a delegation, for the next revision."""
         signer = self.signers.setdefault(child, [CryptoSigner.generate_ed25519()])[0]
         signed = (self.targets if parent == "targets" else self.delegated[parent]).signed
         if signed.delegations is None:
             signed.delegations = Delegations(keys={}, roles={})
         signed.delegations.roles[child] = DelegatedRole(child, [], 1, terminating, paths=paths)
         signed.add_key(signer.public_key, child)
-        self.delegated.setdefault(child, Metadata(Targets(expires=self._later(self.lasts))))
+        self.delegated.setdefault(child, Metadata(Targets(expires=self._after(self.lifetime))))
 
-    def publish(self, ahead: int = 1, expires: float | None = None) -> Published:
-        """Signs all anew, versions going up by `ahead`."""
-        lasts = self.lasts if expires is None else expires
+    def publish(self, ahead: int = 1, expires: float | None = None) -> Revision:
+        """Signs a new revision; versions increase by `ahead`. `expires`: seconds, if not the lifetime."""
+        lifetime = self.lifetime if expires is None else expires
         files: dict[str, bytes] = {}
         meta: dict[str, MetaFile] = {}
-        for role, one in {"targets": self.targets, **self.delegated}.items():
-            one.signed.version += ahead if self.revisions else 0
-            one.signed.expires = self._later(lasts)
-            self._sign(one, self.signers[role])
-            raw = one.to_bytes()
-            meta[f"{role}.json"] = MetaFile.from_data(one.signed.version, raw, ["sha256"])
-            files[self._name(role, one.signed.version)] = raw
+        for role, metadata in {"targets": self.targets, **self.delegated}.items():
+            raw = self._publish_file(role, metadata, ahead, lifetime)
+            meta[f"{role}.json"] = MetaFile.from_data(metadata.signed.version, raw, ["sha256"])
+            files[self._file_name(role, metadata.signed.version)] = raw
         self.snapshot.signed.meta = meta
-        for one, role in ((self.snapshot, "snapshot"), (self.timestamp, "timestamp")):
-            one.signed.version += ahead if self.revisions else 0
-            one.signed.expires = self._later(lasts)
-            self._sign(one, self.signers[role])
-            raw = one.to_bytes()
-            if role == "snapshot":
-                self.timestamp.signed.snapshot_meta = MetaFile.from_data(one.signed.version, raw, ["sha256"])
-            files[self._name(role, one.signed.version)] = raw
-        files |= {f"{place + 1}.root.json": raw for place, raw in enumerate(self.roots)}
-        targets = {self._target(path): data for path, data in self.data.items()}
-        self.revisions.append(Published(files, targets, self.timestamp.signed.version))
+        raw = self._publish_file("snapshot", self.snapshot, ahead, lifetime)
+        snapshot_version = self.snapshot.signed.version
+        self.timestamp.signed.snapshot_meta = MetaFile.from_data(snapshot_version, raw, ["sha256"])
+        files[self._file_name("snapshot", snapshot_version)] = raw
+        raw = self._publish_file("timestamp", self.timestamp, ahead, lifetime)
+        files[self._file_name("timestamp", self.timestamp.signed.version)] = raw
+        files |= {f"{index + 1}.root.json": root for index, root in enumerate(self.roots)}
+        targets = {self._target_name(path): data for path, data in self.data.items()}
+        self.revisions.append(Revision(files, targets, self.timestamp.signed.version))
         return self.revisions[-1]
 
-    def _name(self, role: str, version: int) -> str:
+    def _publish_file(self, role: str, metadata: Metadata, ahead: int, lifetime: float) -> bytes:
+        metadata.signed.version += ahead if self.revisions else 0
+        metadata.signed.expires = self._after(lifetime)
+        self._sign(metadata, self.signers[role])
+        return metadata.to_bytes()
+
+    def _file_name(self, role: str, version: int) -> str:
         return f"{version}.{role}.json" if self.consistent and role != "timestamp" else f"{role}.json"
 
-    def _target(self, path: str) -> str:
+    def _target_name(self, path: str) -> str:
         if not self.consistent:
             return path
-        folder, stroke, name = path.rpartition("/")
-        found = next(
-            one.signed.targets[path]
-            for one in (self.targets, *self.delegated.values())
-            if path in one.signed.targets
+        folder, slash, name = path.rpartition("/")
+        target = next(
+            metadata.signed.targets[path]
+            for metadata in (self.targets, *self.delegated.values())
+            if path in metadata.signed.targets
         )
-        return f"{folder}{stroke}{found.hashes['sha256']}.{name}"
+        return f"{folder}{slash}{target.hashes['sha256']}.{name}"
 
     def forged(self) -> dict[str, bytes]:
-        """The newest revision's timestamp, a version ahead, signed by a key of nobody's."""
-        one = copy.deepcopy(self.timestamp)
-        one.signed.version += 1
-        self._sign(one, [CryptoSigner.generate_ed25519()])
-        return {"timestamp.json": one.to_bytes()}
+        """Returns the newest timestamp, one version ahead, signed by an unknown key."""
+        timestamp = copy.deepcopy(self.timestamp)
+        timestamp.signed.version += 1
+        self._sign(timestamp, [CryptoSigner.generate_ed25519()])
+        return {"timestamp.json": timestamp.to_bytes()}
--- a/laurelcourse/standins/settings.py
+++ b/laurelcourse/standins/settings.py
@@ -1,9 +1,10 @@
-"""Settings as a platform hands them over, for relays that are started among stand-ins."""
+"""Settings as the platform gives them, for relays that are started among stand-ins."""
 
 from hashlib import blake2b
 
 
-def outside(name: str, effect: str) -> dict:
+def route_settings(name: str, effect: str) -> dict:
+    """Returns the settings of one route, as they are named outside."""
     return {
         "name": name,
         "aim": 1000.0,
@@ -17,7 +18,7 @@
     }
 
 
-OUTSIDE = {
+PLATFORM_SETTINGS = {
     "me": 0,
     "balancers": 2,
     "locality": "a",
@@ -25,9 +26,9 @@
     "discovery": "push",
     "areas": ["a"],
     "classes": [
-        outside("read", "idempotent"),
-        outside("mark", "deduplicated"),
-        outside("once", "at_most_once"),
+        route_settings("read", "idempotent"),
+        route_settings("mark", "deduplicated"),
+        route_settings("once", "at_most_once"),
     ],
     "limits": {
         "max_attempts": 3,
@@ -70,13 +71,15 @@
 
 
 def seed_of(name: str) -> str:
-    """Returns the seed of a relay, in hexadecimal. The platform gives each relay one of its own: with equal
-    ones, keepers would draw equal election timeouts, and split the votes of every term.
+    """Returns a relay's seed, in hexadecimal.
+
+    As by the platform, each relay has its own: with equal seeds, keepers would draw equal election timeouts
+    and split the votes of every term.
     """
     return blake2b(name.encode(), digest_size=8).hexdigest()
 
 
-def config(
+def relay_config(
     name: str,
     listen: str,
     directory: str,
@@ -87,7 +90,7 @@
     memory_mb: int = 192,
     sockets: int = 1024,
 ) -> dict:
-    """A relay's configuration, whose peers are itself alone."""
+    """Returns a relay's configuration; it has no peers but itself."""
     news = news or {"build": "1", "stage": "0", "phase": "Healthy", "cap": "1", "age_ms": "9000"}
     return {
         "name": name,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,12 +18,12 @@
 from laurelcourse import interface as face
 from laurelcourse.rules import Balancer
 from laurelcourse.settings import DEDUPED, NON_RETRIABLE, RETRIABLE, Route, Settings
-from laurelcourse.standins.base import RELAY, STAND_IN, until
-from laurelcourse.standins.deployer import DeployerStand
-from laurelcourse.standins.directory import DirectoryStand
+from laurelcourse.standins.base import RELAY_HOST, STAND_IN_HOST, wait_until
+from laurelcourse.standins.deployer import DeployerStandIn
+from laurelcourse.standins.directory import DirectoryStandIn
 from laurelcourse.standins.ports import reserve_port
-from laurelcourse.standins.postgres import PgClient, UnitStand
-from laurelcourse.standins.settings import OUTSIDE
+from laurelcourse.standins.postgres import PgClient, UnitStandIn
+from laurelcourse.standins.settings import PLATFORM_SETTINGS
 
 SECOND = 1_000_000
 ROOT = Path(__file__).parent.parent
@@ -143,30 +143,30 @@
         watched: str = "",
     ) -> None:
         """`watched`: a program that runs the module in the place of `-m`, with an eye on it."""
-        self.units = [UnitStand() for _ in range(units)]
-        self.directory, self.deployer = DirectoryStand(), DeployerStand()
+        self.units = [UnitStandIn() for _ in range(units)]
+        self.directory, self.deployer = DirectoryStandIn(), DeployerStandIn()
         for place, unit in enumerate(self.units):
             unit.mode = modes
-            self.directory.put(f"s-{place}", unit.at, build=(builds or (1,) * units)[place])
+            self.directory.put(f"s-{place}", unit.address, build=(builds or (1,) * units)[place])
         self.deployer.news = news or self.deployer.news
         self.peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.peer.bind((STAND_IN, 0))
+        self.peer.bind((STAND_IN_HOST, 0))
         self.peer.settimeout(5)
         self.port, self.udp = reserve_port(), reserve_port(socket.SOCK_DGRAM)
         other = "{}:{}".format(*self.peer.getsockname())
         state = dict(parse_qsl(self.deployer.news))
         self.config = {
             "name": "n0",
-            "listen": f"{RELAY}:{self.port}",
-            "discovery": self.directory.at,
+            "listen": f"{RELAY_HOST}:{self.port}",
+            "discovery": self.directory.address,
             "seed": "8c1f",
             "limits": {"cores": 1.0, "memory_mb": memory, "sockets": sockets},
             "peers_all": other,
-            "peer_listen": f"{RELAY}:{self.udp}",
-            "peers": [f"{RELAY}:{self.udp}", other],
-            "pipeline": {"address": self.deployer.at, "news": state},
-            "known": self.directory.whole(),
-            "settings": OUTSIDE,
+            "peer_listen": f"{RELAY_HOST}:{self.udp}",
+            "peers": [f"{RELAY_HOST}:{self.udp}", other],
+            "pipeline": {"address": self.deployer.address, "news": state},
+            "known": self.directory.full_list(),
+            "settings": PLATFORM_SETTINGS,
         }
         if down:
             self.directory.close()
@@ -184,7 +184,7 @@
             env=os.environ | {"EDGE_CONFIG": str(self.path)},
             stderr=self.log.open("wb"),
         )
-        until(lambda: "msg=serving" in self.log.read_text() or self.process.poll() is not None)
+        wait_until(lambda: "msg=serving" in self.log.read_text() or self.process.poll() is not None)
 
     def client(self, first: bytes = b"") -> PgClient:
         return PgClient(self.port, first)
@@ -202,7 +202,7 @@
 
         printed = len(lines())
         self.process.send_signal(signal.SIGUSR1)
-        until(lambda: len(lines()) > printed)
+        wait_until(lambda: len(lines()) > printed)
         line = lines()[-1].rstrip("\n")
         return int(dict(part.split("=", 1) for part in line.split(" ")).get(name, 0))
 
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -13,10 +13,10 @@
 import pytest
 from conftest import Served
 
-from laurelcourse.lab.rig import Rig
-from laurelcourse.standins.base import RELAY, reset, until
-from laurelcourse.standins.mirror import MirrorStand
-from laurelcourse.standins.postgres import PgClient, pg, sql
+from laurelcourse.lab.tuf_rig import TufRig
+from laurelcourse.standins.base import RELAY_HOST, reset_on_close, wait_until
+from laurelcourse.standins.mirror import MirrorStandIn
+from laurelcourse.standins.postgres import PgClient, build_query, pack_message
 from laurelcourse.standins.repository import TufRepository
 
 COMPLETED = ("TDCZ", "")
@@ -25,12 +25,12 @@
 
 
 def asked(words: str) -> bytes:
-    return pg(b"Q", words.encode() + b"\0")
+    return pack_message(b"Q", words.encode() + b"\0")
 
 
 def large(route: str = "mark") -> bytes:
     """A statement that fills more than a buffer's usual size."""
-    return asked(sql(route).replace("9f03", "9f" * 4096))
+    return asked(build_query(route).replace("9f03", "9f" * 4096))
 
 
 def leave(client: PgClient, how: str) -> float:
@@ -41,7 +41,7 @@
 
 def hang_up(sock: socket.socket, how: str) -> float:
     if how == "rst":
-        reset(sock)
+        reset_on_close(sock)
     if how == "half":
         sock.shutdown(socket.SHUT_WR)
     else:
@@ -53,7 +53,7 @@
     """The process stands still, so that what comes meanwhile comes between two of its lines."""
     os.kill(process.pid, signal.SIGSTOP)
     path = Path(f"/proc/{process.pid}/stat")
-    until(lambda: path.read_text().rsplit(") ", 1)[1][0] == "T")
+    wait_until(lambda: path.read_text().rsplit(") ", 1)[1][0] == "T")
 
 
 def goes_on(process: subprocess.Popen) -> None:
@@ -69,11 +69,11 @@
 ) -> None:
     served = serve(modes="slow0.6")
     client = served.client()
-    client.sock.sendall(asked(sql("once")) + large() * 2)
-    until(served.queries)
+    client.sock.sendall(asked(build_query("once")) + large() * 2)
+    wait_until(served.queries)
     leave(client, how)
-    until(lambda: served.count("reqs.once.withdrawn"))  # at its try's end: the close was heard of before
-    assert served.client().ask(sql())[:2] == COMPLETED
+    wait_until(lambda: served.count("reqs.once.withdrawn"))  # at its try's end: the close was heard of before
+    assert served.client().ask(build_query())[:2] == COMPLETED
     assert not any("c=mark" in query for query in served.queries()) and served.count("module_faults") == 0
 
 
@@ -84,13 +84,13 @@
 ) -> None:
     served = serve()
     client, other = served.client(), served.client()
-    assert client.ask(sql())[:2] == other.ask(sql())[:2] == COMPLETED
+    assert client.ask(build_query())[:2] == other.ask(build_query())[:2] == COMPLETED
     stopped(served.process)
-    client.sock.sendall(b"".join(asked(sql("once")) for _ in range(behind)))
+    client.sock.sendall(b"".join(asked(build_query("once")) for _ in range(behind)))
     leave(client, how)
     time.sleep(2 * LATE)
     goes_on(served.process)
-    assert other.ask(sql("mark"))[:2] == COMPLETED
+    assert other.ask(build_query("mark"))[:2] == COMPLETED
     assert not any("c=once" in query for query in served.queries())
 
 
@@ -100,11 +100,11 @@
 ) -> None:
     served = serve()
     client = served.client()
-    client.sock.sendall(pg(b"Q", b"HELLO\0") * 2 + asked(sql("once")))
+    client.sock.sendall(pack_message(b"Q", b"HELLO\0") * 2 + asked(build_query("once")))
     assert client.answer()[0] == "EZ"
     leave(client, how)
-    until(lambda: served.count("clients_faults.42601") == 2)
-    assert served.client().ask(sql("mark"))[:2] == COMPLETED
+    wait_until(lambda: served.count("clients_faults.42601") == 2)
+    assert served.client().ask(build_query("mark"))[:2] == COMPLETED
     assert not any("c=once" in query for query in served.queries())
     assert served.count("reqs.once.withdrawn") == (how != "rst")  # by then the word of the fault finds nobody
 
@@ -113,11 +113,11 @@
 def test_of_what_was_asked_ahead_the_first_alone_is_sent_on(serve: Callable[..., Served], how: str) -> None:
     served = serve(modes="slow0.4")
     client = served.client()
-    client.sock.sendall(b"".join(asked(sql("once")) for _ in range(5)))
-    until(served.queries)
+    client.sock.sendall(b"".join(asked(build_query("once")) for _ in range(5)))
+    wait_until(served.queries)
     leave(client, how)
-    until(lambda: served.count("reqs.once.withdrawn") == 1)
-    assert len(served.queries()) == 1 and served.client().ask(sql())[:2] == COMPLETED
+    wait_until(lambda: served.count("reqs.once.withdrawn") == 1)
+    assert len(served.queries()) == 1 and served.client().ask(build_query())[:2] == COMPLETED
 
 
 @WAYS
@@ -126,11 +126,11 @@
     served, left = serve(), []
     for turn in range(12):
         client = served.client()
-        client.sock.sendall(b"".join(asked(sql("once", more=f",novel={turn}")) for _ in range(30)))
+        client.sock.sendall(b"".join(asked(build_query("once", more=f",novel={turn}")) for _ in range(30)))
         for _ in range(turn):
             assert client.answer()[:2] == COMPLETED
         left.append(leave(client, how))
-    assert served.client().ask(sql())[:2] == COMPLETED
+    assert served.client().ask(build_query())[:2] == COMPLETED
     for unit in served.units:
         for query, when in zip(unit.queries, unit.times, strict=True):
             if "novel=" in query:
@@ -144,7 +144,7 @@
 
 
 @pytest.fixture
-def kiosks(tmp_path: Path) -> Iterator[Rig]:
+def kiosks(tmp_path: Path) -> Iterator[TufRig]:
     """A relay for kiosks: files of two repositories, and a director that drops repeated manifests."""
     image, director = TufRepository(consistent=False), TufRepository()
     for one in (image, director):
@@ -152,7 +152,7 @@
         one.add("next.bin", b"next" * 100)
         one.publish()
     both = {"/image/": image, "/director/": director}
-    mirrors = [MirrorStand(both, director="deduped") for _ in range(3)]
+    mirrors = [MirrorStandIn(both, director="deduped") for _ in range(3)]
     changed = {
         "limits": {"floor-over": "300ms"},
         "uptane": {
@@ -162,12 +162,12 @@
             "counter": "report_counter",
         },
     }
-    with contextlib.closing(Rig(tmp_path, both, mirrors, changed=changed)) as rig:
+    with contextlib.closing(TufRig(tmp_path, both, mirrors, overrides=changed)) as rig:
         yield rig.start()
 
 
-def kiosk(rig: Rig) -> socket.socket:
-    sock = socket.create_connection((RELAY, rig.ports[0]))
+def kiosk(rig: TufRig) -> socket.socket:
+    sock = socket.create_connection((RELAY_HOST, rig.ports[0]))
     sock.settimeout(5)
     return sock
 
@@ -185,11 +185,11 @@
     return f"POST {MANIFESTS} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-def asked_since(rig: Rig, words: str, since: float) -> list[float]:
+def asked_since(rig: TufRig, words: str, since: float) -> list[float]:
     return [
         round(one.at - since, 2)
         for mirror in rig.mirrors
-        for one in mirror.seen
+        for one in mirror.requests
         if words in one.path and one.at > since + LATE
     ]
 
@@ -201,15 +201,15 @@
     ids=["file", "manifest"],
 )
 def test_a_kiosks_close_is_seen_behind_more_than_a_buffer_of_what_it_asked_ahead(
-    kiosks: Rig, how: str, first: bytes, path: str, route: str
+    kiosks: TufRig, how: str, first: bytes, path: str, route: str
 ) -> None:
     """Its file or manifest is with a mirror that says nothing: no other is asked, nor for what is behind."""
-    assert kiosks.ask(FILES + "next.bin")[0] == 200
+    assert kiosks.request(FILES + "next.bin")[0] == 200
     for mirror in kiosks.mirrors:
         mirror.modes[route] = "silent"
     sock = kiosk(kiosks)
     sock.sendall(first + wanted("next.bin", 3000) * 3)
-    until(lambda: kiosks.asked(path))
+    wait_until(lambda: kiosks.asked(path))
     left = hang_up(sock, how)
     time.sleep(2.5)  # enough for its try to be given up and made elsewhere, or for its answer
     assert [asked_since(kiosks, words, left) for words in (path, "next.bin")] == [[], []]
@@ -220,32 +220,32 @@
 @WAYS
 @pytest.mark.parametrize("behind", [1, 5])
 def test_no_file_is_asked_for_a_kiosk_whose_close_came_with_its_asking(
-    kiosks: Rig, how: str, behind: int
+    kiosks: TufRig, how: str, behind: int
 ) -> None:
     sock, process = kiosk(kiosks), kiosks.relays[0].process
-    assert kiosks.ask(FILES + "first.bin")[0] == 200
+    assert kiosks.request(FILES + "first.bin")[0] == 200
     stopped(process)
     sock.sendall(wanted("next.bin") * behind)
     left = hang_up(sock, how)
     time.sleep(2 * LATE)
     goes_on(process)
-    assert kiosks.ask(FILES + "first.bin")[0] == 200
+    assert kiosks.request(FILES + "first.bin")[0] == 200
     time.sleep(LATE)
     assert asked_since(kiosks, "next.bin", left) == []
 
 
 @WAYS
-def test_no_manifest_is_sent_on_for_a_kiosk_whose_close_came_with_it(kiosks: Rig, how: str) -> None:
+def test_no_manifest_is_sent_on_for_a_kiosk_whose_close_came_with_it(kiosks: TufRig, how: str) -> None:
     """It is not held to be under way, or taken, either: its next asking goes on."""
     sock, process = kiosk(kiosks), kiosks.relays[0].process
-    assert kiosks.ask(MANIFESTS, "POST", report(1))[0] == 200
+    assert kiosks.request(MANIFESTS, "POST", report(1))[0] == 200
     stopped(process)
     sock.sendall(posted(2))
     left = hang_up(sock, how)
     time.sleep(2 * LATE)
     goes_on(process)
-    assert kiosks.ask(MANIFESTS, "POST", report(1))[0] == 200  # the answer that was kept
+    assert kiosks.request(MANIFESTS, "POST", report(1))[0] == 200  # the answer that was kept
     time.sleep(LATE)
     assert asked_since(kiosks, MANIFESTS, left) == []
-    assert kiosks.ask(MANIFESTS, "POST", report(2))[0] == 200
+    assert kiosks.request(MANIFESTS, "POST", report(2))[0] == 200
     assert [key for mirror in kiosks.mirrors for key in mirror.manifests].count(("v", 2)) == 1
--- a/tests/test_crossing_floods.py
+++ b/tests/test_crossing_floods.py
@@ -13,8 +13,8 @@
 import pytest
 from conftest import Served
 
-from laurelcourse.standins.base import RELAY, reset, until
-from laurelcourse.standins.postgres import HELLO, PgClient, pg, sql
+from laurelcourse.standins.base import RELAY_HOST, reset_on_close, wait_until
+from laurelcourse.standins.postgres import STARTUP, PgClient, build_query, pack_message
 
 COMPLETED, SHED = ("TDCZ", ""), ("E", "53300")
 SSL, GSS = (struct.pack("!II", 8, code) for code in (80877103, 80877104))
@@ -22,7 +22,7 @@
 
 
 def asked(words: str) -> bytes:
-    return pg(b"Q", words.encode() + b"\0")
+    return pack_message(b"Q", words.encode() + b"\0")
 
 
 class Good:
@@ -35,7 +35,7 @@
         self.longest = 0.0
 
     def ask(self) -> None:
-        began, words, end, used = time.monotonic(), sql("once"), ("", ""), self.client is not None
+        began, words, end, used = time.monotonic(), build_query("once"), ("", ""), self.client is not None
         if used:
             with contextlib.suppress(OSError):
                 end = self.client.ask(words)[:2]
@@ -58,7 +58,7 @@
 def bad(served: Served, first: bytes, over: threading.Event, how: str) -> None:
     """One that comes, sends, and stays, drips, or goes and comes again."""
     while not over.is_set():
-        with contextlib.suppress(OSError), socket.create_connection((RELAY, served.port)) as raw:
+        with contextlib.suppress(OSError), socket.create_connection((RELAY_HOST, served.port)) as raw:
             raw.settimeout(1)
             if how == "drips":
                 for byte in first:
@@ -68,7 +68,7 @@
                 continue
             raw.sendall(first)
             if how == "resets":
-                reset(raw)
+                reset_on_close(raw)
             if how in ("resets", "goes"):
                 over.wait(0.2)
                 continue
@@ -80,14 +80,14 @@
     [
         (b"", "stays"),
         (b"", "resets"),
-        (HELLO[:10], "stays"),
-        (HELLO, "drips"),
-        (HELLO, "goes"),
-        (HELLO, "stays"),
-        (HELLO + asked(sql())[:-9], "stays"),
-        (HELLO + pg(b"~"), "stays"),
-        (HELLO + asked(sql()) * 3, "stays"),
-        (HELLO + asked(sql()), "goes"),
+        (STARTUP[:10], "stays"),
+        (STARTUP, "drips"),
+        (STARTUP, "goes"),
+        (STARTUP, "stays"),
+        (STARTUP + asked(build_query())[:-9], "stays"),
+        (STARTUP + pack_message(b"~"), "stays"),
+        (STARTUP + asked(build_query()) * 3, "stays"),
+        (STARTUP + asked(build_query()), "goes"),
     ],
     ids=["mute", "resets", "half", "drips", "goes", "hello", "partial", "faulty", "same-id", "asks-goes"],
 )
@@ -122,7 +122,7 @@
 def test_encryption_is_asked_for_once_each_way(serve: Callable[..., Served]) -> None:
     """Thousands in a row, answered one by one, held up whoever else had sent something."""
     served = serve()
-    with socket.create_connection((RELAY, served.port)) as raw:
+    with socket.create_connection((RELAY_HOST, served.port)) as raw:
         raw.settimeout(5)
         raw.sendall(SSL + GSS + SSL * 500)
         heard = b""
@@ -133,16 +133,16 @@
 
 
 def test_an_id_that_another_has_open_harms_its_sender_alone(serve: Callable[..., Served]) -> None:
-    served, words = serve(modes="slow0.5"), sql("once")
+    served, words = serve(modes="slow0.5"), build_query("once")
     good, other = served.client(), served.client()
     good.send(words)
-    until(served.queries)
+    wait_until(served.queries)
     for _ in range(2):
         other.send(words)
         assert other.answer()[:2] == ("EZ", "22023")
     other.sock.close()
     assert good.answer()[:2] == COMPLETED and len(served.queries()) == 1
-    assert good.ask(sql("once"))[:2] == COMPLETED
+    assert good.ask(build_query("once"))[:2] == COMPLETED
 
 
 def test_room_is_not_made_of_one_whose_req_is_in_the_machine(serve: Callable[..., Served]) -> None:
@@ -151,14 +151,14 @@
     ready = [PgClient(served.port) for _ in range(6)]
     idle = [served.client() for _ in range(4)]
     for one in idle:
-        assert one.ask(sql())[:2] == COMPLETED
+        assert one.ask(build_query())[:2] == COMPLETED
     time.sleep(0.3)  # silent, or between reqs, for longer than is asked for
     os.kill(served.process.pid, signal.SIGSTOP)
-    crowd = [socket.create_connection((RELAY, served.port)) for _ in range(40)]
+    crowd = [socket.create_connection((RELAY_HOST, served.port)) for _ in range(40)]
     for one in (*ready, *idle):
-        one.send(sql("once"))
+        one.send(build_query("once"))
     for one in crowd:
-        one.sendall(HELLO + b"Q")
+        one.sendall(STARTUP + b"Q")
     os.kill(served.process.pid, signal.SIGCONT)
     assert [one.answer()[:2] for one in (*ready, *idle)] == [COMPLETED] * 10
     for one in crowd:
--- a/tests/test_crossing_lists.py
+++ b/tests/test_crossing_lists.py
@@ -24,11 +24,11 @@
 from laurelcourse.net.membership import MembershipFilter
 from laurelcourse.net.scheduler import Clock, Scheduler
 from laurelcourse.settings import SettingsTree
-from laurelcourse.standins.base import STAND_IN, until
-from laurelcourse.standins.deployer import DeployerStand
-from laurelcourse.standins.directory import DirectoryStand
-from laurelcourse.standins.postgres import UnitStand, sql
-from laurelcourse.standins.settings import OUTSIDE
+from laurelcourse.standins.base import STAND_IN_HOST, wait_until
+from laurelcourse.standins.deployer import DeployerStandIn
+from laurelcourse.standins.directory import DirectoryStandIn
+from laurelcourse.standins.postgres import UnitStandIn, build_query
+from laurelcourse.standins.settings import PLATFORM_SETTINGS
 from laurelcourse.state import ExposureCap
 
 LEAST_GRACE = 0.5  # seconds that some customers give a relay to leave a drained unit
@@ -37,7 +37,7 @@
 CUT = {"mute": b"", "half a head": HEAD[:20], "no body": HEAD, "half a body": HEAD + b'{"revision": 9, "mem'}
 
 
-class Agent(DirectoryStand):
+class Agent(DirectoryStandIn):
     """A directory that answers each call by its script, and as usual once that is through."""
 
     def __init__(self, port: int = 0) -> None:
@@ -86,7 +86,7 @@
         with contextlib.suppress(OSError, EOFError, AssertionError):
             client = self.served.client()
             while not self.over.wait(0.01):
-                client.ask(sql("read", 900))
+                client.ask(build_query("read", 900))
 
     def close(self) -> None:
         self.over.set()
@@ -100,15 +100,15 @@
     with contextlib.ExitStack() as stack:
 
         def start(discovery: str = "push", units: int = 1, **kinds: object) -> Served:
-            obligations = OUTSIDE["obligations"] | {"stop_sending_within": 1000 * LEAST_GRACE}
+            obligations = PLATFORM_SETTINGS["obligations"] | {"stop_sending_within": 1000 * LEAST_GRACE}
             monkeypatch.setattr(
                 conftest,
-                "OUTSIDE",
-                OUTSIDE
+                "PLATFORM_SETTINGS",
+                PLATFORM_SETTINGS
                 | {
                     "obligations": obligations,
                     "discovery": discovery,
-                    "domain": OUTSIDE["domain"] | {"api_timeout": 4000.0},
+                    "domain": PLATFORM_SETTINGS["domain"] | {"api_timeout": 4000.0},
                 },
             )
             where = tmp_path / str(len(list(tmp_path.iterdir())))
@@ -118,22 +118,22 @@
         yield start
 
 
-def last_at(unit: UnitStand) -> float:
+def last_at(unit: UnitStandIn) -> float:
     return unit.times[-1] if unit.times else 0.0
 
 
-def drain(agent: Agent, served: Served) -> UnitStand:
+def drain(agent: Agent, served: Served) -> UnitStandIn:
     """Lists the relay's one unit as leaving, and another in its place: reqs go there once that is heeded."""
-    late = UnitStand()
-    agent.put("s-1", late.at)
-    agent.put("s-0", served.units[0].at, phase="leaving")
+    late = UnitStandIn()
+    agent.put("s-1", late.address)
+    agent.put("s-0", served.units[0].address, phase="leaving")
     return late
 
 
-def left_at(served: Served, late: UnitStand, seconds: float) -> float:
+def left_at(served: Served, late: UnitStandIn, seconds: float) -> float:
     """When the drained unit got its last req, seen once the other got some behind that."""
     drained = served.units[0]
-    until(lambda: len([at for at in late.times if at > last_at(drained)]) > 9, seconds)
+    wait_until(lambda: len([at for at in late.times if at > last_at(drained)]) > 9, seconds)
     return last_at(drained)
 
 
@@ -159,10 +159,10 @@
 def silent_watch(started: Callable[..., Served], discovery: str, script: list[str]) -> Callable[[], None]:
     """Begins a watch that falls silent at once, as what it misses changes; the check of what comes of it."""
     served = started(discovery=discovery)
-    until(lambda: served.directory.log)
+    wait_until(lambda: served.directory.log)
     served.directory.script = list(script)
-    served.directory.put("s-9", served.units[0].at, phase="left")  # ends the watch that waits
-    until(lambda: len(served.directory.log) > 1)
+    served.directory.put("s-9", served.units[0].address, phase="left")  # ends the watch that waits
+    wait_until(lambda: len(served.directory.log) > 1)
     began, late, asker = served.directory.log[1][0], drain(served.directory, served), Asker(served)
     # A second silence has no clock of its own in the page's words: here the usual grace bounds both.
     grace = LEAST_GRACE if len(script) == 1 else 2.0
@@ -180,11 +180,11 @@
 def test_what_the_agent_has_at_its_return_is_heard_within_the_grace(started: Callable[..., Served]) -> None:
     """It counts at once, watch or none: a relay that has met many failures asks as soon."""
     served = started()
-    until(lambda: served.directory.log)
+    wait_until(lambda: served.directory.log)
     served.directory.script = ["error"] * 8
-    served.directory.put("s-9", served.units[0].at, phase="left")
+    served.directory.put("s-9", served.units[0].address, phase="left")
     with contextlib.closing(Asker(served)):
-        until(lambda: len(served.directory.log) == 9, 15)
+        wait_until(lambda: len(served.directory.log) == 9, 15)
         back = time.monotonic()
         late = drain(served.directory, served)
         assert left_at(served, late, 5) - back < LEAST_GRACE
@@ -194,11 +194,11 @@
     """What the new agent has counts 4 s after SIGHUP, though its first call fell silent."""
     served, agent = started(), Agent()
     with contextlib.closing(agent), contextlib.closing(Asker(served)):
-        until(lambda: served.directory.log)
+        wait_until(lambda: served.directory.log)
         agent.script = ["mute"]
         late = drain(agent, served)
         moved = time.monotonic()
-        move(served, directory=agent.at)
+        move(served, directory=agent.address)
         assert left_at(served, late, 8) - moved < 4 + LEAST_GRACE
         assert agent.log[0][1:] == ("mute", "/catalog/members")
 
@@ -208,10 +208,10 @@
 ) -> None:
     for how in ("whole at once", "empty at once", "news at once"):
         served = started()
-        until(lambda served=served: served.directory.log)
+        wait_until(lambda served=served: served.directory.log)
         served.directory.script = [how]
-        served.directory.put("s-9", served.units[0].at, phase="left")
-        until(lambda served=served: len(served.directory.log) > 1)
+        served.directory.put("s-9", served.units[0].address, phase="left")
+        wait_until(lambda served=served: len(served.directory.log) > 1)
         began = len(served.directory.log)
         time.sleep(0.5)
         assert 2 <= len(served.directory.log) - began <= 12, how
@@ -222,10 +222,10 @@
     """The next call comes within 200 ms, else the watch is a new one."""
     for how in ("closed", "ended"):
         served = started()
-        until(lambda served=served: served.directory.log)
+        wait_until(lambda served=served: served.directory.log)
         served.directory.script = [how] * 6
-        served.directory.put("s-9", served.units[0].at, phase="left")
-        until(lambda served=served: len(served.directory.log) > 7)
+        served.directory.put("s-9", served.units[0].address, phase="left")
+        wait_until(lambda served=served: len(served.directory.log) > 7)
         after = [at for at, _, _ in served.directory.log[2:]]
         assert max(next_at - at for at, next_at in zip(served.directory.answered, after, strict=False)) < 0.2
         assert served.count("directory_failed") == 0
@@ -249,22 +249,22 @@
     served, agent, jam = started(discovery=discovery), Agent(), Jam()
     old = served.directory
     with contextlib.closing(agent), contextlib.closing(jam), contextlib.closing(Asker(served)):
-        until(lambda: old.log)
+        wait_until(lambda: old.log)
         old.script = {"reading": ["half a body"], "failing": ["error"] * 99}.get(step, [])
         if step == "connecting":
             move(served, directory=jam.at)
-            until(lambda: "configuration taken" in served.log.read_text())
+            wait_until(lambda: "configuration taken" in served.log.read_text())
         else:
-            old.put("s-9", served.units[0].at, phase="left")
-            until(lambda: len(old.log) > (4 if step == "failing" else 1), 20)
+            old.put("s-9", served.units[0].address, phase="left")
+            wait_until(lambda: len(old.log) > (4 if step == "failing" else 1), 20)
         late, moved = drain(agent, served), time.monotonic()
-        move(served, directory=agent.at)
+        move(served, directory=agent.address)
         last = left_at(served, late, 10)
         assert last - moved < 4 + LEAST_GRACE
         calls, old.script = len(old.log), []
-        old.put("s-0", served.units[0].at, build=3)
+        old.put("s-0", served.units[0].address, build=3)
         jam.open()
-        until(lambda: len(agent.log) > 1 and len(late.times) > 50)
+        wait_until(lambda: len(agent.log) > 1 and len(late.times) > 50)
         assert last_at(served.units[0]) == last and len(old.log) == calls and not jam.heard
         assert served.count("tasks_died") == 0
 
@@ -274,7 +274,7 @@
 
     def __init__(self) -> None:
         self.sock = socket.socket()
-        self.sock.bind((STAND_IN, 0))
+        self.sock.bind((STAND_IN_HOST, 0))
         self.sock.listen(0)
         self.at = "{}:{}".format(*self.sock.getsockname())
         self.own, self.conns, self.heard, self.ended = [], [], [], []
@@ -307,7 +307,7 @@
             one.close()
 
 
-class Platform(DeployerStand):
+class Platform(DeployerStandIn):
     """A deployer whose streams begin by a script, and whose votes' answers wait until they are let go."""
 
     def __init__(self, port: int = 0) -> None:
@@ -342,13 +342,13 @@
             )
             self.streams += [conn] if how == "life" else []
             while how == "life":
-                with self.telling:
+                with self.stream_lock:
                     conn.sendall(b"3\r\n:\n\n\r\n")
                 time.sleep(0.5)
 
     def lower(self) -> None:
         self.news = BACK
-        self.tell(f"event: progress\ndata: {BACK}\n\n")
+        self.send_notices(f"event: progress\ndata: {BACK}\n\n")
 
 
 TRIAL = "build=2&stage=0&phase=Progressing&cap=1&age_ms=9000"
@@ -365,7 +365,7 @@
 def stays_away(served: Served, since: float) -> None:
     """Nothing goes to the later build from then on, though many reqs come."""
     earlier, later = served.units
-    until(lambda: len([at for at in earlier.times if at > since]) > 20)
+    wait_until(lambda: len([at for at in earlier.times if at > since]) > 20)
     assert not [at - since for at in later.times if at > since], served.deployer.opened
 
 
@@ -376,12 +376,12 @@
     """Begins a stream that falls silent, or is held while another is; the check of what comes of it."""
     served = rolling()
     deployer, later = served.deployer, served.units[1]
-    until(lambda: deployer.streams)
+    wait_until(lambda: deployer.streams)
     # One at the start has spoken; the script is for those behind it, or goes on from it.
     deployer.script = script[1:] if script[0] == "ok" else list(script)
     if script[0] != "ok":
         deployer.streams[-1].shutdown(socket.SHUT_RDWR)
-        until(lambda: len(deployer.opened) > 1)
+        wait_until(lambda: len(deployer.opened) > 1)
         deployer.news = TRIAL if script == ["life"] else BACK
     began, asker = time.monotonic(), Asker(served)
 
@@ -390,14 +390,14 @@
             if script == ["life"]:
                 deployer.lower()
             elif script[0] == "ok":
-                until(lambda: len(deployer.opened) > 1)
+                wait_until(lambda: len(deployer.opened) > 1)
                 assert 2.5 < deployer.opened[1][0] - began < 3.5 and deployer.opened[1][1] == "mute"
                 deployer.lower()  # on the stream that is held, while the one that is tried says nothing
             else:
-                until(lambda: len(deployer.opened) > 2)
+                wait_until(lambda: len(deployer.opened) > 2)
                 assert deployer.opened[2][0] - deployer.opened[1][0] < 3.5, script
             told = time.monotonic()
-            until(lambda: last_at(served.units[0]) > told + 0.2)
+            wait_until(lambda: last_at(served.units[0]) > told + 0.2)
             assert not [at - told for at in later.times if at > told + LEAST_GRACE], script
             stays_away(served, time.monotonic())
 
@@ -426,11 +426,11 @@
     rolling: Callable[..., Served], first: str
 ) -> None:
     served = rolling()
-    until(lambda: served.deployer.streams)
+    wait_until(lambda: served.deployer.streams)
     with contextlib.closing(Asker(served)):
-        until(lambda: served.units[1].times)
+        wait_until(lambda: served.units[1].times)
         served.deployer.news = BACK
-        served.deployer.tell(first + f"event: progress\ndata: {BACK}\n\n")
+        served.deployer.send_notices(first + f"event: progress\ndata: {BACK}\n\n")
         stays_away(served, time.monotonic() + LEAST_GRACE)
     assert served.count("tasks_died") == 0 == served.count("module_faults")
 
@@ -439,17 +439,17 @@
     """The old address answers late: what it says then must not count, for nobody looks after that stream."""
     served, jam, new = rolling(), Jam(), Platform()
     with contextlib.closing(jam), contextlib.closing(new):
-        until(lambda: served.deployer.streams)
-        for place, at in enumerate((jam.at, new.at)):
+        wait_until(lambda: served.deployer.streams)
+        for place, at in enumerate((jam.at, new.address)):
             move(served, deployer=at)
-            until(lambda place=place: served.log.read_text().count("configuration taken") > place)
-        until(lambda: new.streams)
+            wait_until(lambda place=place: served.log.read_text().count("configuration taken") > place)
+        wait_until(lambda: new.streams)
         jam.open()
-        until(lambda: jam.heard or jam.ended)
+        wait_until(lambda: jam.heard or jam.ended)
         assert not jam.heard and served.count("notices_opened") == 3
 
 
-class Breaking(DeployerStand):
+class Breaking(DeployerStandIn):
     """Each stream tells its state and breaks, so many seconds of signs of life behind it."""
 
     def __init__(self, lasts: list[float]) -> None:
@@ -470,12 +470,14 @@
 def test_a_stream_that_breaks_behind_each_state_is_opened_ever_more_slowly() -> None:
     """One break costs a first pause alone, also behind a stream that has stood for a while."""
     stand, scheduler, told = Breaking([0.0] * 6 + [0.6, 0.0]), Scheduler(Clock(), lambda: None), []
-    found = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))._replace(
-        silence=400_000, backoff_first=20_000, backoff_max=SECOND
-    )
+    found = limits(
+        SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS})
+    )._replace(silence=400_000, backoff_first=20_000, backoff_max=SECOND)
     deployer = Deployer(
         scheduler,
-        SimpleNamespace(limits=found, settings=conftest.SETTINGS, seed=7, deployer=(STAND_IN, stand.port)),
+        SimpleNamespace(
+            limits=found, settings=conftest.SETTINGS, seed=7, deployer=(STAND_IN_HOST, stand.port)
+        ),
         SimpleNamespace(stage=told.append),
         Counters(),
     )
@@ -499,16 +501,16 @@
     """The answer's state is from before the build was called back: the cap told since is the one to keep."""
     served = rolling()
     served.deployer.older = TRIAL
-    until(lambda: served.deployer.streams)
+    wait_until(lambda: served.deployer.streams)
     with contextlib.closing(Asker(served)):
         served.units[1].mode = "failed"
-        until(lambda: served.deployer.votes, 10)
+        wait_until(lambda: served.deployer.votes, 10)
         before = served.count("notices")
         served.deployer.lower()
-        until(lambda: served.count("notices") > before)
+        wait_until(lambda: served.count("notices") > before)
         served.units[1].mode = "ok"
         served.deployer.go.set()
-        until(lambda: served.count("votes.counted"))
+        wait_until(lambda: served.count("votes.counted"))
         stays_away(served, time.monotonic())
 
 
@@ -522,7 +524,7 @@
     deployer, (_, later) = served.deployer, served.units
 
     def alive() -> bool:
-        deployer.tell(": a sign of life\n\n")
+        deployer.send_notices(": a sign of life\n\n")
         return True
 
     def voted() -> bool:
@@ -530,21 +532,21 @@
         cast = [vote["verdict"] for vote in deployer.votes]
         return len(cast) > earlier and cast[-1] == "blank" and served.count("votes.counted") == len(cast)
 
-    until(lambda: served.count("notices") > 1)
+    wait_until(lambda: served.count("notices") > 1)
     with contextlib.closing(Asker(served)):
         deployer.news = BACK  # for votes alone: the stream has not told it
         earlier = len(deployer.votes)
         later.mode = "failed"
-        until(lambda: alive() and voted(), 10)
+        wait_until(lambda: alive() and voted(), 10)
         later.mode, deployer.news, deployer.mode = "ok", news, "limit"  # no later vote is told anything
         before, opened = served.count("notices"), served.count("notices_opened")
-        deployer.tell(f"event: progress\ndata: {TRIAL}\n\n")
+        deployer.send_notices(f"event: progress\ndata: {TRIAL}\n\n")
         told = time.monotonic()
-        until(lambda: served.count("notices") > before)
+        wait_until(lambda: served.count("notices") > before)
         if news == BACK:
             stays_away(served, told + LEAST_GRACE)
         else:
-            until(lambda: alive() and last_at(later) > told + LEAST_GRACE)
+            wait_until(lambda: alive() and last_at(later) > told + LEAST_GRACE)
     # The state that opens a stream goes to all that stand: the one that was held may read it first.
     assert 1 <= served.count("notices_overtaken") <= (1 if news == BACK else 2)
     assert 1 <= served.count("notices_opened") - opened <= 2
@@ -588,20 +590,20 @@
     served = started(units=4)
     agent, first, bare, gone, later = served.directory, *served.units
     with contextlib.closing(Asker(served)):
-        until(lambda: first.times and gone.times)
+        wait_until(lambda: first.times and gone.times)
         agent.entries["s-0"] |= {"phase": "leaving"}
         agent.entries["s-1"] = {name: agent.entries["s-1"][name] for name in ("id", "host_port", "phase")}
         agent.entries["s-2"] = {"id": "s-2", "phase": "left"}
         del agent.entries["s-3"]["locality"]
         agent.revision += 1
         told = time.monotonic()
-        until(lambda: len([at for at in later.times if at > told + LEAST_GRACE]) > 50)
+        wait_until(lambda: len([at for at in later.times if at > told + LEAST_GRACE]) > 50)
         assert max(map(last_at, (first, bare, gone))) < told + LEAST_GRACE
-        until(lambda: f"from={agent.revision}&" in agent.log[-1][2])
+        wait_until(lambda: f"from={agent.revision}&" in agent.log[-1][2])
         agent.revision += 1  # told once more: counted again, logged no more
-        until(lambda: f"from={agent.revision}&" in agent.log[-1][2])
-        agent.put("s-1", bare.at, build=1)
-        until(lambda: last_at(bare) > told + LEAST_GRACE)
+        wait_until(lambda: f"from={agent.revision}&" in agent.log[-1][2])
+        agent.put("s-1", bare.address, build=1)
+        wait_until(lambda: last_at(bare) > told + LEAST_GRACE)
     assert served.count("directory_failed") == 0 and served.count("directory_held_back") == 2
     assert served.log.read_text().count("an entry without build or address") == 1
 
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -20,8 +20,8 @@
 from laurelcourse.net.membership import MembershipFilter
 from laurelcourse.net.scheduler import Clock, Scheduler
 from laurelcourse.settings import SettingsTree
-from laurelcourse.standins.base import until
-from laurelcourse.standins.settings import OUTSIDE
+from laurelcourse.standins.base import wait_until
+from laurelcourse.standins.settings import PLATFORM_SETTINGS
 
 WAIT, GRACE = 5.0, 0.5  # a watch waits so long; a drained unit is to be left within this
 
@@ -32,9 +32,11 @@
     with contextlib.ExitStack() as stack:
 
         def start(discovery: str, grace: float = GRACE) -> Served:
-            obligations = OUTSIDE["obligations"] | {"stop_sending_within": 1000 * grace}
+            obligations = PLATFORM_SETTINGS["obligations"] | {"stop_sending_within": 1000 * grace}
             monkeypatch.setattr(
-                conftest, "OUTSIDE", OUTSIDE | {"obligations": obligations, "discovery": discovery}
+                conftest,
+                "PLATFORM_SETTINGS",
+                PLATFORM_SETTINGS | {"obligations": obligations, "discovery": discovery},
             )
             where = tmp_path / str(len(list(tmp_path.iterdir())))
             where.mkdir()
@@ -46,11 +48,11 @@
 def silenced(served: Served, script: list[str]) -> float:
     """Calls fall silent by the script from now on; when the first of them came."""
     agent = served.directory
-    until(lambda: agent.log and "hold_ms=5000" in agent.log[-1][2])
+    wait_until(lambda: agent.log and "hold_ms=5000" in agent.log[-1][2])
     before = len(agent.log)
     agent.script = list(script)
-    agent.put("s-9", served.units[0].at, phase="left")  # ends the watch that waits
-    until(lambda: len(agent.log) > before)
+    agent.put("s-9", served.units[0].address, phase="left")  # ends the watch that waits
+    wait_until(lambda: len(agent.log) > before)
     return agent.log[before][0]
 
 
@@ -74,7 +76,7 @@
     agent = served.directory
     silenced(served, ["mute"] * 4)
     with contextlib.closing(Asker(served)):
-        until(lambda: len(agent.log) > 3, 12)
+        wait_until(lambda: len(agent.log) > 3, 12)
         late, back = drain(agent, served), time.monotonic()
         agent.script = []
         assert left_at(served, late, 8) - back < GRACE, [round(at - back, 2) for at, _, _ in agent.log]
@@ -94,9 +96,9 @@
     """'From the first moment of a new process': its first call need not be waited out."""
     monkeypatch.setattr(conftest, "DirectoryStand", Silent)
     served = started("push")
-    until(lambda: served.directory.log)
+    wait_until(lambda: served.directory.log)
     with contextlib.closing(Asker(served)):
-        until(lambda: served.units[0].times)
+        wait_until(lambda: served.units[0].times)
         late, back = drain(served.directory, served), time.monotonic()
         assert left_at(served, late, 8) - back < GRACE
 
--- a/tests/test_crossing_restarts.py
+++ b/tests/test_crossing_restarts.py
@@ -17,9 +17,16 @@
 
 from laurelcourse import interface as face
 from laurelcourse.net.scheduler import Mailbox
-from laurelcourse.standins.base import exactly, until
-from laurelcourse.standins.postgres import IDLE, UnitStand, failure, message, pg, sql
-from laurelcourse.standins.settings import OUTSIDE
+from laurelcourse.standins.base import read_exactly, wait_until
+from laurelcourse.standins.postgres import (
+    READY,
+    UnitStandIn,
+    build_query,
+    pack_error,
+    pack_message,
+    read_message,
+)
+from laurelcourse.standins.settings import PLATFORM_SETTINGS
 
 SECOND = 1_000_000
 COMPLETED = ("TDCZ", "")
@@ -27,7 +34,7 @@
 
 
 def largest() -> bytes:
-    return asked(sql("once").replace("9f03", "9f" * LARGEST))
+    return asked(build_query("once").replace("9f03", "9f" * LARGEST))
 
 
 def test_large_reqs_that_came_together_are_all_answered(serve: Callable[..., Served]) -> None:
@@ -35,7 +42,7 @@
     served = serve(memory=16)
     clients = [served.client() for _ in range(16)]
     for one in clients:
-        assert one.ask(sql())[:2] == COMPLETED
+        assert one.ask(build_query())[:2] == COMPLETED
         one.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * LARGEST)
     stopped(served.process)
     for one in clients:
@@ -46,7 +53,7 @@
     assert served.count("clients_over_memory") == 0
 
 
-class HeldUnit(UnitStand):
+class HeldUnit(UnitStandIn):
     """Connections come up at once, but nobody is greeted until the test says so."""
 
     def __init__(self) -> None:
@@ -62,15 +69,15 @@
 def test_a_close_and_the_connection_of_its_try_come_while_the_process_stands_still(
     serve: Callable[..., Served], monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    settings = copy.deepcopy(OUTSIDE)
+    settings = copy.deepcopy(PLATFORM_SETTINGS)
     settings["limits"]["connect_timeout"] = 3000.0
-    monkeypatch.setattr(conftest, "OUTSIDE", settings)
+    monkeypatch.setattr(conftest, "PLATFORM_SETTINGS", settings)
     monkeypatch.setattr(conftest, "UnitStand", HeldUnit)
     served = serve(units=1)
     clients, unit = [served.client() for _ in range(4)], served.units[0]
     for one in clients:
-        one.send(sql("once"))
-    until(lambda: len(unit.conns) == 4)
+        one.send(build_query("once"))
+    wait_until(lambda: len(unit.conns) == 4)
     served.count("notices")
     stopped(served.process)
     for one in clients:
@@ -79,7 +86,7 @@
     unit.go.set()
     time.sleep(0.2)  # the greetings are in the relay's machine
     goes_on(served.process)
-    until(lambda: served.count("reqs.once.withdrawn") == 4)
+    wait_until(lambda: served.count("reqs.once.withdrawn") == 4)
     assert served.queries() == [] and served.count("tries.unsent") >= 4
     assert served.count("module_faults") == served.count("tasks_died") == 0
 
@@ -89,27 +96,27 @@
 ) -> None:
     """Waiting for a connection, unread, in halves, asked ahead, answered in part: all of it while
     the process stands still, so that the signal, the reqs and the answers come between two of its lines."""
-    settings = copy.deepcopy(OUTSIDE)
+    settings = copy.deepcopy(PLATFORM_SETTINGS)
     settings["limits"]["connect_timeout"] = 3000.0
-    monkeypatch.setattr(conftest, "OUTSIDE", settings)
+    monkeypatch.setattr(conftest, "PLATFORM_SETTINGS", settings)
     monkeypatch.setattr(conftest, "UnitStand", HeldUnit)
     served = serve(units=1, modes="drip")
     unit, clients = served.units[0], [served.client() for _ in range(6)]
     waits, unread, halves, ahead, gone, idle = clients
     for one in (waits, gone):
-        one.send(sql("once"))
-    until(lambda: len(unit.conns) == 2)
-    halves.sock.sendall(asked(sql("once"))[:40])
+        one.send(build_query("once"))
+    wait_until(lambda: len(unit.conns) == 2)
+    halves.sock.sendall(asked(build_query("once"))[:40])
     served.count("notices")
     stopped(served.process)
     served.process.send_signal(signal.SIGTERM)
-    unread.send(sql("once"))
-    ahead.sock.sendall(asked(sql("once")) + asked(sql()))
+    unread.send(build_query("once"))
+    ahead.sock.sendall(asked(build_query("once")) + asked(build_query()))
     leave(gone, "fin")
     unit.go.set()
     goes_on(served.process)
-    until(lambda: "msg=stopping" in served.log.read_text())
-    rest = asked(sql("once"))
+    wait_until(lambda: "msg=stopping" in served.log.read_text())
+    rest = asked(build_query("once"))
     halves.sock.sendall(rest[40:])
     found = [one.answer()[:2] for one in (waits, unread, halves, ahead, ahead, idle)]
     assert found == [COMPLETED] * 5 + [("", "")]
@@ -118,7 +125,7 @@
 
 
 def test_a_resting_connection_keeps_no_buffer_of_a_large_answer() -> None:
-    unit = UnitStand()
+    unit = UnitStandIn()
     unit.mode, rig = "large", Rig(unit)
 
     def ask() -> None:
@@ -132,7 +139,7 @@
 
 def test_an_answer_that_came_in_time_is_none_out_of_time() -> None:
     """The relay has other things to do from before the answer until past its try's time."""
-    unit, found = UnitStand(), []
+    unit, found = UnitStandIn(), []
     unit.mode, rig = "slow0.1", Rig(unit)
 
     def ask() -> None:
@@ -154,15 +161,15 @@
     served, most = serve(sockets=40, modes="silent"), (40 - 40 // 8 - 16) * 9 // 20
     for taken in range(most):
         one = served.client()
-        one.send(sql("once", 3000))
-        until(lambda count=taken + 1: len(served.queries()) == count)
+        one.send(build_query("once", 3000))
+        wait_until(lambda count=taken + 1: len(served.queries()) == count)
         leave(one, "fin")
-    told = served.client().ask(sql())[:2]
+    told = served.client().ask(build_query())[:2]
     assert told == ("EZ", "53300") and served.count("units_no_descriptor") > 0
     assert served.count("tries.unreached") == 0 and len(served.queries()) == most
 
 
-class FailsLate(UnitStand):
+class FailsLate(UnitStandIn):
     """Each query fails once the test says so."""
 
     def __init__(self) -> None:
@@ -170,12 +177,12 @@
         super().__init__()
 
     def serve(self, conn: socket.socket, stream: BinaryIO) -> None:
-        exactly(stream, struct.unpack("!I", exactly(stream, 4))[0] - 4)
-        conn.sendall(pg(b"R", bytes(4)) + IDLE)
+        read_exactly(stream, struct.unpack("!I", read_exactly(stream, 4))[0] - 4)
+        conn.sendall(pack_message(b"R", bytes(4)) + READY)
         while True:
-            self.queries.append(message(stream)[1].decode())
+            self.queries.append(read_message(stream)[1].decode())
             self.go.wait(10)
-            conn.sendall(failure("XX000") + IDLE)
+            conn.sendall(pack_error("XX000") + READY)
 
 
 @WAYS
@@ -187,8 +194,8 @@
     served = serve(units=2)
     clients = [served.client() for _ in range(4)]
     for one in clients:
-        one.send(sql())
-    until(lambda: len(served.queries()) == 4)
+        one.send(build_query())
+    wait_until(lambda: len(served.queries()) == 4)
     stopped(served.process)
     for one in clients:
         leave(one, how)
@@ -196,5 +203,5 @@
         unit.go.set()
     time.sleep(0.2)  # the answers are in the relay's machine, and the closes over 0.1 s old
     goes_on(served.process)
-    until(lambda: served.count("reqs.read.withdrawn") == 4)
+    wait_until(lambda: served.count("reqs.read.withdrawn") == 4)
     assert len(served.queries()) == 4
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -21,10 +21,10 @@
 from laurelcourse.prng import Prng
 from laurelcourse.rules import Balancer
 from laurelcourse.settings import DEDUPED, NON_RETRIABLE, RETRIABLE, Route, Settings, SettingsTree
-from laurelcourse.standins.base import RELAY, STAND_IN
-from laurelcourse.standins.postgres import LARGER, sql
-from laurelcourse.standins.settings import OUTSIDE, outside
-from laurelcourse.standins.settings import config as written
+from laurelcourse.standins.base import RELAY_HOST, STAND_IN_HOST
+from laurelcourse.standins.postgres import LARGER_BLOB, build_query
+from laurelcourse.standins.settings import PLATFORM_SETTINGS, route_settings
+from laurelcourse.standins.settings import relay_config as written
 
 if TYPE_CHECKING:
     from conftest import Served
@@ -472,10 +472,16 @@
 
 # a configuration's fields, each as another customer may have it
 
-AT = f"{RELAY}:6543"
-MEMBER = {"id": "s-0", "host_port": f"{STAND_IN}:6543", "locality": "a", "phase": "active", "revision_no": 1}
+AT = f"{RELAY_HOST}:6543"
+MEMBER = {
+    "id": "s-0",
+    "host_port": f"{STAND_IN_HOST}:6543",
+    "locality": "a",
+    "phase": "active",
+    "revision_no": 1,
+}
 LONG_NAME = "nightly-reconciliation-of-partner-ledger"
-TWENTY = [outside(f"r{place}", "idempotent") for place in range(20)]
+TWENTY = [route_settings(f"r{place}", "idempotent") for place in range(20)]
 GONE = object()
 
 
@@ -485,10 +491,10 @@
         written(
             "n0",
             AT,
-            f"{STAND_IN}:1",
-            f"{STAND_IN}:2",
+            f"{STAND_IN_HOST}:1",
+            f"{STAND_IN_HOST}:2",
             {"revision": 1, "complete": True, "members": [MEMBER]},
-            OUTSIDE,
+            PLATFORM_SETTINGS,
         )
     )
     for path, value in changes:
@@ -506,7 +512,7 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        [("settings.classes", [outside("q", "idempotent")])],
+        [("settings.classes", [route_settings("q", "idempotent")])],
         [("settings.classes", TWENTY)],
         [("settings.classes.0.name", LONG_NAME)],
         [("settings.classes.0.aim_stretch", 3.0)],
@@ -627,7 +633,7 @@
         ("listen", "a..b:1", "listen"),
         ("listen", "a\0b:1", "listen"),
         ("listen", "a" * 70 + ":1", "listen"),
-        ("listen", f"{RELAY}:0", "listen"),
+        ("listen", f"{RELAY_HOST}:0", "listen"),
         ("seed", 7, "seed"),
         ("limits", None, "limits"),
         ("limits.sockets", "many", "sockets"),
@@ -653,7 +659,7 @@
 
 @pytest.mark.parametrize("name", ["q", LONG_NAME, "r\u00e4ttning", "prix/\u00e9t\u00e9", "a.b:c"])
 def test_a_routes_name_is_found_in_a_statement(name: str) -> None:
-    words = sql("read").replace("c=read", f"c={name}").encode()
+    words = build_query("read").replace("c=read", f"c={name}").encode()
     found = wire.parse_statement(words)
     assert (found.route, found.left_ms) == (name, 2000)
     assert found.with_wait(7)[5:-1] == words.replace(b"2000", b"7")
@@ -1038,7 +1044,7 @@
 
 
 def settings_of(change: dict) -> dict:
-    found = copy.deepcopy(OUTSIDE)
+    found = copy.deepcopy(PLATFORM_SETTINGS)
     for path, value in change.items():
         branch = found
         *steps, last = path.split(".")
@@ -1051,7 +1057,7 @@
 @pytest.fixture
 def customer(serve: Callable[..., "Served"], monkeypatch: pytest.MonkeyPatch) -> Callable[..., "Served"]:
     def start(change: dict, **kinds: object) -> "Served":
-        monkeypatch.setattr(sys.modules[serve.__module__], "OUTSIDE", settings_of(change))
+        monkeypatch.setattr(sys.modules[serve.__module__], "PLATFORM_SETTINGS", settings_of(change))
         return serve(**kinds)
 
     return start
@@ -1080,14 +1086,18 @@
         ),
         (
             {
-                "classes": [outside(LONG_NAME, "idempotent")],
+                "classes": [route_settings(LONG_NAME, "idempotent")],
                 "domain.rings": [1.0],
                 "domain.most_shares": [1.0],
             },
             {},
             LONG_NAME,
         ),
-        ({"classes": [*TWENTY, outside("q", "idempotent")], "customers": "", "balancers": 40}, {}, "q"),
+        (
+            {"classes": [*TWENTY, route_settings("q", "idempotent")], "customers": "", "balancers": 40},
+            {},
+            "q",
+        ),
         ({"discovery": "ask", "obligations.must_ask_in": 0, "limits.peer_messages": False}, {}, "once"),
         (
             {"obligations.stop_sending_within": 0, "domain.ballot_ttl": 300.0},
@@ -1102,16 +1112,16 @@
     served = customer(change, **kinds)
     wait = 190 if "tick" in change and change["tick"] == 1.0 else 2000
     for _ in range(3):
-        assert served.client().ask(sql("read", wait).replace("c=read", f"c={route},k=1"))[0] == "TDCZ"
+        assert served.client().ask(build_query("read", wait).replace("c=read", f"c={route},k=1"))[0] == "TDCZ"
     assert served.count("module_faults") == served.count("tasks_died") == 0
     assert "Traceback" not in served.log.read_text()
 
 
 ALL_ZERO = {f"classes.{place}.worth": 0.0 for place in range(3)}
 EFFECTS = [
-    outside("pay", "at_most_once"),
-    outside("book", "deduplicated") | {"group": "cell"},
-    outside("move", "deduplicated") | {"group": "zone", "memory_span": 100.0},
+    route_settings("pay", "at_most_once"),
+    route_settings("book", "deduplicated") | {"group": "cell"},
+    route_settings("move", "deduplicated") | {"group": "zone", "memory_span": 100.0},
 ]
 
 
@@ -1158,7 +1168,7 @@
     served = customer({path: value for path, value in change.items() if path == "classes"} | change)
     for route in settings_of(change)["classes"]:
         for number in range(3):
-            words = sql("read", 400).replace("c=read", f"c={route['name']},k={number}")
+            words = build_query("read", 400).replace("c=read", f"c={route['name']},k={number}")
             assert served.client().ask(words)[0] == "TDCZ"
     assert served.count("module_faults") == served.count("tasks_died") == 0
 
@@ -1170,8 +1180,8 @@
     served = customer(timed(8000.0, 12_000.0), modes="larger")
     client, asked = served.client(), 30
     for _ in range(asked):
-        client.send(sql("read", 12_000))
+        client.send(build_query("read", 12_000))
     time.sleep(6)  # longer than the patience with a route's 3 s
     for _ in range(asked):
         letters, _, row = client.answer()
-        assert letters == "TDCZ" and row.endswith(LARGER)
+        assert letters == "TDCZ" and row.endswith(LARGER_BLOB)
--- a/tests/test_crossing_signals.py
+++ b/tests/test_crossing_signals.py
@@ -15,10 +15,10 @@
 import pytest
 from conftest import ROOT, Served
 
-from laurelcourse.standins.base import RELAY, until
-from laurelcourse.standins.directory import DirectoryStand
+from laurelcourse.standins.base import RELAY_HOST, wait_until
+from laurelcourse.standins.directory import DirectoryStandIn
 from laurelcourse.standins.ports import reserve_port
-from laurelcourse.standins.postgres import PgClient, pg, sql
+from laurelcourse.standins.postgres import PgClient, build_query, pack_message
 
 COMPLETED = ("TDCZ", "")
 HUP, TERM, INT, USR1 = signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1
@@ -36,7 +36,10 @@
 
     def __init__(self, shared: Served, where: Path, ignored: tuple = (), **changed: object) -> None:
         self.path, self.log, self.port = where / "config.json", where / "log", reserve_port()
-        own = {"listen": f"{RELAY}:{self.port}", "peer_listen": f"{RELAY}:{reserve_port(socket.SOCK_DGRAM)}"}
+        own = {
+            "listen": f"{RELAY_HOST}:{self.port}",
+            "peer_listen": f"{RELAY_HOST}:{reserve_port(socket.SOCK_DGRAM)}",
+        }
         self.config = json.loads(json.dumps(shared.config)) | own | changed
         self.ignored = ignored
 
@@ -63,7 +66,7 @@
             with contextlib.suppress(OSError):  # nobody reads yet
                 return os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
 
-        return until(writer)
+        return wait_until(writer)
 
     def go_on(self, writer: int) -> None:
         """The configuration as it was at the start, for who is held; the path may lead to another by now."""
@@ -77,7 +80,7 @@
         return self.said("msg=serving") > 0 or self.process.poll() is not None
 
     def ready(self) -> None:
-        until(self.serving)
+        wait_until(self.serving)
         assert self.process.poll() is None, self.log.read_text()
 
     def caught(self, number: int) -> bool:
@@ -115,19 +118,19 @@
 def test_a_move_told_while_the_configuration_is_read_is_not_lost(
     further: Callable[..., Started], times: int
 ) -> None:
-    one, directory = further(), DirectoryStand()
+    one, directory = further(), DirectoryStandIn()
     directory.entries = {entry["id"]: entry for entry in one.config["known"]["members"]}
     writer = one.hold()
     later = one.path.with_name("later")
-    later.write_text(json.dumps(one.config | {"discovery": directory.at}))
+    later.write_text(json.dumps(one.config | {"discovery": directory.address}))
     later.replace(one.path)
     for _ in range(times):
         one.process.send_signal(HUP)
     one.go_on(writer)
     one.ready()
-    until(lambda: directory.calls)
+    wait_until(lambda: directory.calls)
     assert one.said("configuration taken") >= 1
-    assert PgClient(one.port).ask(sql())[:2] == COMPLETED
+    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
     directory.close()
 
 
@@ -152,8 +155,8 @@
     one.process.send_signal(USR1)
     one.go_on(writer)
     one.ready()
-    until(lambda: one.said("msg=counters") == 1)
-    assert PgClient(one.port).ask(sql())[:2] == COMPLETED
+    wait_until(lambda: one.said("msg=counters") == 1)
+    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
 
 
 @pytest.mark.parametrize("ignored", [(), (HUP, USR1)], ids=["", "ignored"])
@@ -164,7 +167,7 @@
         one = further(ignored=ignored)
         one.path.write_text(json.dumps(one.config))
         one.start()
-        until(lambda one=one: ignored or one.caught(HUP) or one.process.poll() is not None)
+        wait_until(lambda one=one: ignored or one.caught(HUP) or one.process.poll() is not None)
         began, sent = time.monotonic(), 0
         while not one.serving() and time.monotonic() < began + 5:
             one.process.send_signal(HUP)
@@ -177,8 +180,8 @@
     assert sent > 5
     taken = one.said("configuration taken")
     one.process.send_signal(HUP)
-    until(lambda: one.said("configuration taken") > taken)
-    assert PgClient(one.port).ask(sql())[:2] == COMPLETED
+    wait_until(lambda: one.said("configuration taken") > taken)
+    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
     one.process.send_signal(TERM)
     assert one.process.wait(5) == 0
 
@@ -198,7 +201,7 @@
             one.process.send_signal(HUP)
         time.sleep(0.002)
     assert one.process.poll() is None
-    assert PgClient(one.port).ask(sql())[:2] == COMPLETED
+    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
 
 
 @pytest.mark.parametrize(
@@ -207,47 +210,47 @@
 def test_a_file_whole_a_moment_later_needs_no_second_signal(
     further: Callable[..., Started], torn: str | None
 ) -> None:
-    one, directory = further(), DirectoryStand()
+    one, directory = further(), DirectoryStandIn()
     directory.entries = {entry["id"]: entry for entry in one.config["known"]["members"]}
     one.path.write_text(json.dumps(one.config))
     one.start()
     one.ready()
-    whole = json.dumps(one.config | {"discovery": directory.at})
+    whole = json.dumps(one.config | {"discovery": directory.address})
     if torn is None:
         one.path.unlink()
     else:
         one.path.write_text(whole[: len(whole) // 2] if torn == "half" else torn)
     one.process.send_signal(HUP)
-    until(lambda: one.said("configuration not taken"))
+    wait_until(lambda: one.said("configuration not taken"))
     one.path.write_text(whole)
-    until(lambda: directory.calls, 2)
+    wait_until(lambda: directory.calls, 2)
     assert one.said("configuration not taken") == 1 == one.said("configuration taken")
-    assert PgClient(one.port).ask(sql())[:2] == COMPLETED
+    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
     directory.close()
 
 
 def test_a_file_that_stays_wrong_is_let_be_and_a_later_signal_goes_first(
     further: Callable[..., Started],
 ) -> None:
-    one, first, second = further(), DirectoryStand(), DirectoryStand()
+    one, first, second = further(), DirectoryStandIn(), DirectoryStandIn()
     one.path.write_text(json.dumps(one.config))
     one.start()
     one.ready()
     one.path.write_text("{")
     one.process.send_signal(HUP)
-    until(lambda: one.said("configuration not taken") == 1)
-    one.path.write_text(json.dumps(one.config | {"discovery": first.at}))
+    wait_until(lambda: one.said("configuration not taken") == 1)
+    one.path.write_text(json.dumps(one.config | {"discovery": first.address}))
     one.process.send_signal(HUP)
-    until(lambda: first.calls)
+    wait_until(lambda: first.calls)
     # Read after the last signal, a file is not read again until the next one.
-    one.path.write_text(json.dumps(one.config | {"discovery": second.at}))
+    one.path.write_text(json.dumps(one.config | {"discovery": second.address}))
     time.sleep(2)
     assert not second.calls and one.said("configuration taken") == 1
     one.path.write_text("{")
     one.process.send_signal(HUP)
-    until(lambda: one.said("configuration not taken") == 2)
+    wait_until(lambda: one.said("configuration not taken") == 2)
     time.sleep(2)  # longer than it is read again
-    one.path.write_text(json.dumps(one.config | {"discovery": second.at}))
+    one.path.write_text(json.dumps(one.config | {"discovery": second.address}))
     time.sleep(0.5)
     assert not second.calls and one.said("configuration not taken") == 2
     for stand in (first, second):
@@ -255,17 +258,17 @@
 
 
 def test_signals_all_through_a_stop_change_nothing(serve: Callable[..., Served]) -> None:
-    served, directory = serve(modes="slow1"), DirectoryStand()
+    served, directory = serve(modes="slow1"), DirectoryStandIn()
     directory.entries = {entry["id"]: entry for entry in served.config["known"]["members"]}
     busy = served.client()
-    busy.send(sql("once"))
-    until(served.queries)
+    busy.send(build_query("once"))
+    wait_until(served.queries)
     served.process.send_signal(TERM)
-    until(lambda: "msg=stopping" in served.log.read_text())
-    served.path.write_text(json.dumps(served.config | {"discovery": directory.at}))
+    wait_until(lambda: "msg=stopping" in served.log.read_text())
+    served.path.write_text(json.dumps(served.config | {"discovery": directory.address}))
     for number in (HUP, TERM, USR1, INT, HUP, TERM):
         served.process.send_signal(number)
-    until(lambda: directory.calls)
+    wait_until(lambda: directory.calls)
     while served.process.poll() is None:
         for number in (USR1, HUP, TERM):
             with contextlib.suppress(OSError):
@@ -301,7 +304,7 @@
         with contextlib.suppress(OSError):
             return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
 
-    held = until(writer)
+    held = wait_until(writer)
     served.process.send_signal(number)
     os.close(held)
     assert served.process.wait(5) == 0 and "Traceback" not in served.log.read_text()
@@ -309,7 +312,7 @@
 
 def test_a_stop_before_the_first_list_ends_at_once(further: Callable[..., Started]) -> None:
     with socket.socket() as nobody:
-        nobody.bind((RELAY, 0))  # and does not listen
+        nobody.bind((RELAY_HOST, 0))  # and does not listen
         at = "{}:{}".format(*nobody.getsockname())
         one = further(discovery=at, known={"revision": 0, "complete": True, "members": []})
         one.path.write_text(json.dumps(one.config))
@@ -318,7 +321,7 @@
         client = PgClient(one.port)
         assert client.ask("")[1] == "57P03"
         one.process.send_signal(TERM)
-        until(lambda: one.said("msg=stopping"))
-        late = PgClient(one.port, pg(b"Q", sql(wait=900).encode() + b"\0"))
+        wait_until(lambda: one.said("msg=stopping"))
+        late = PgClient(one.port, pack_message(b"Q", build_query(timeout_ms=900).encode() + b"\0"))
         assert late.answer()[:2] in (("EZ", "53300"), ("EZ", "58000"))
         assert client.answer()[0] == "" and one.process.wait(3) == 0
--- a/tests/test_crossing_stop.py
+++ b/tests/test_crossing_stop.py
@@ -12,8 +12,8 @@
 from conftest import Served
 
 from laurelcourse.net.shutdown import DRAINING, LEAVING, Shutdown
-from laurelcourse.standins.base import RELAY, until
-from laurelcourse.standins.postgres import HELLO, LARGER, PgClient, pg, sql
+from laurelcourse.standins.base import RELAY_HOST, wait_until
+from laurelcourse.standins.postgres import LARGER_BLOB, STARTUP, PgClient, build_query, pack_message
 
 COMPLETED, ERRORED, SHED = ("TDCZ", ""), ("EZ", "58000"), ("EZ", "53300")
 FINAL = ("TDCZ", "EZ", "E")  # a completed req, one shed or errored, one told that there is no room
@@ -21,18 +21,18 @@
 
 
 def asked(route: str = "once", wait: int = 2000) -> bytes:
-    return pg(b"Q", sql(route, wait).encode() + b"\0")
+    return pack_message(b"Q", build_query(route, wait).encode() + b"\0")
 
 
 class Client(PgClient):
     """One that writes when it is told to, and reads nothing before."""
 
-    def __init__(self, port: int, first: bytes = HELLO, small: bool = False) -> None:
+    def __init__(self, port: int, first: bytes = STARTUP, small: bool = False) -> None:
         self.sock = socket.socket()
         if small:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.sock.settimeout(8)
-        self.sock.connect((RELAY, port))
+        self.sock.connect((RELAY_HOST, port))
         self.stream = self.sock.makefile("rb")
         self.sock.sendall(first)
 
@@ -50,14 +50,14 @@
     """Says SIGTERM; when."""
     served.process.send_signal(signal.SIGTERM)
     began = time.monotonic()
-    until(lambda: "msg=stopping" in served.log.read_text())
+    wait_until(lambda: "msg=stopping" in served.log.read_text())
     return began
 
 
 def refused(served: Served) -> bool:
     """Whether the listener has closed; a connection that comes up as it closes is reset."""
     try:
-        socket.create_connection((RELAY, served.port)).close()
+        socket.create_connection((RELAY_HOST, served.port)).close()
     except (ConnectionRefusedError, ConnectionResetError):
         return True
     return False
@@ -77,14 +77,14 @@
     room = 60 - 60 // 8 - 16
     for _ in range(5):  # one that this test saw too late, its door nearly closed, is made anew
         served = serve(sockets=60, modes="silent")
-        busy = [Client(served.port, HELLO + asked()) for _ in range(room * 9 // 20)]
-        until(lambda served=served, busy=busy: len(served.queries()) == len(busy))
+        busy = [Client(served.port, STARTUP + asked()) for _ in range(room * 9 // 20)]
+        wait_until(lambda served=served, busy=busy: len(served.queries()) == len(busy))
         began = told(served)
         while time.monotonic() < began + 0.2:
             time.sleep(0.01)
         # Told that there is no room, and open for half a second more: none is accepted beside them.
         full = [Client(served.port) for _ in range(room // 10)]
-        until(
+        wait_until(
             lambda served=served, began=began, came=(*busy, *full): time.monotonic() > began + 0.4
             or served.count("clients_accepted") == len(came)
         )
@@ -93,7 +93,7 @@
             break
         served.process.kill()
     # A queue holds one more than it was asked to.
-    crowd = [Client(served.port, HELLO + asked()) for _ in range(61)]
+    crowd = [Client(served.port, STARTUP + asked()) for _ in range(61)]
     while time.monotonic() < began + 0.65:  # the longest that the relay waits for its door
         time.sleep(0.01)
     served.process.send_signal(signal.SIGCONT)
@@ -103,8 +103,8 @@
 
 def test_out_of_descriptors_a_stop_takes_what_waits_as_others_leave(serve: Callable[..., Served]) -> None:
     served = serve(files=24, modes="silent")
-    crowd = [Client(served.port, HELLO + asked("once", 900)) for _ in range(40)]
-    until(lambda: served.count("clients_no_descriptor"))
+    crowd = [Client(served.port, STARTUP + asked("once", 900)) for _ in range(40)]
+    wait_until(lambda: served.count("clients_no_descriptor"))
     began = told(served)
     # None of them closes its connection: the relay does.
     assert [one.last()[0] in FINAL for one in crowd] == [True] * 40
@@ -113,12 +113,12 @@
 
 # What a client has written before the close, and what it writes after, at each blank when welcomed.
 ROUND = {
-    "welcomed": (HELLO, [b"", asked()]),
-    "startup in halves": (HELLO[:20], [HELLO[20:], asked()]),
-    "startup and req in halves": (HELLO[:3], [HELLO[3:] + asked()]),
-    "silent": (b"", [HELLO, asked()]),
-    "req in halves": (HELLO + asked()[:50], [asked()[50:]]),
-    "letter": (HELLO + b"Q", [asked()[1:]]),
+    "welcomed": (STARTUP, [b"", asked()]),
+    "startup in halves": (STARTUP[:20], [STARTUP[20:], asked()]),
+    "startup and req in halves": (STARTUP[:3], [STARTUP[3:] + asked()]),
+    "silent": (b"", [STARTUP, asked()]),
+    "req in halves": (STARTUP + asked()[:50], [asked()[50:]]),
+    "letter": (STARTUP + b"Q", [asked()[1:]]),
 }
 
 
@@ -128,8 +128,8 @@
     served, ends = serve(), {}
     began = told(served)
     clients = {name: Client(served.port, first) for name, (first, _) in ROUND.items()}
-    until(lambda: served.count("clients_accepted") == len(ROUND))
-    until(lambda: refused(served))
+    wait_until(lambda: served.count("clients_accepted") == len(ROUND))
+    wait_until(lambda: refused(served))
     for name, one in clients.items():
         *before, last = ROUND[name][1]
         for part in before:
@@ -150,10 +150,10 @@
     cuts = (1, 5, 40, len(words[0]) - 1)
     clients = [served.client() for _ in cuts]
     for one, cut, word in zip(clients, cuts, words, strict=True):
-        assert one.ask(sql())[:2] == COMPLETED
+        assert one.ask(build_query())[:2] == COMPLETED
         one.sock.sendall(word[:cut])
     began = told(served)
-    until(lambda: refused(served))
+    wait_until(lambda: refused(served))
     for one, cut, word in zip(clients, cuts, words, strict=True):
         one.sock.sendall(word[cut:])
     assert [one.answer()[:2] for one in clients] == [COMPLETED] * 4
@@ -165,7 +165,7 @@
     served = serve(modes="slow0.25")
     one = served.client()
     one.sock.sendall(b"".join(asked() for _ in range(6)) + asked()[:-9])
-    until(served.queries)
+    wait_until(served.queries)
     began = told(served)
     assert [one.answer()[:2] for _ in range(7)] == [COMPLETED] * 6 + [("", "")]
     assert over(served, began) < STOPPED and len(served.queries()) == 6
@@ -174,7 +174,7 @@
 def test_a_message_that_drips_in_does_not_hold_a_stop(serve: Callable[..., Served]) -> None:
     served, words = serve(), asked()
     one, ended = served.client(), threading.Event()
-    assert one.ask(sql())[:2] == COMPLETED
+    assert one.ask(build_query())[:2] == COMPLETED
 
     def drip() -> None:
         with contextlib.suppress(OSError):
@@ -197,11 +197,11 @@
     """Its client learns that it was not taken, and sends it again elsewhere."""
     served = serve()
     one = served.client()
-    assert one.ask(sql())[:2] == COMPLETED
+    assert one.ask(build_query())[:2] == COMPLETED
     began = told(served)
     assert one.stream.read() == b""  # the relay has closed its side
     one.sock.sendall(asked())
-    found = until(lambda: one.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 2)
+    found = wait_until(lambda: one.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 2)
     assert found in (errno.ECONNRESET, errno.EPIPE) and len(served.queries()) == 1
     assert over(served, began) < STOPPED
 
@@ -211,7 +211,7 @@
 ) -> None:
     served = serve()
     one = served.client()
-    assert one.ask(sql())[:2] == COMPLETED
+    assert one.ask(build_query())[:2] == COMPLETED
     began = told(served)
     assert one.stream.read() == b""
     closed = time.monotonic()
@@ -224,14 +224,14 @@
 
 def test_an_answer_half_read_as_the_connection_closes_is_whole(serve: Callable[..., Served]) -> None:
     served = serve(modes="larger")
-    late = Client(served.port, HELLO + asked(), small=True)
-    until(served.queries)
+    late = Client(served.port, STARTUP + asked(), small=True)
+    wait_until(served.queries)
     began = told(served)
     while time.monotonic() < began + 1:  # longer than the door and what it waits for a client to close
         time.sleep(0.02)
     letters, code = late.answer()[:2]
     letters, code, row = late.answer()
-    assert (letters, code) == COMPLETED and row.endswith(LARGER)
+    assert (letters, code) == COMPLETED and row.endswith(LARGER_BLOB)
     assert over(served, began) < STOPPED
 
 
@@ -240,7 +240,7 @@
     served = serve(modes="silent")
     one, began = served.client(), time.monotonic()
     one.sock.sendall(asked("once", 3000))
-    until(served.queries)
+    wait_until(served.queries)
     stopped = told(served)
     assert one.answer()[:2] == ERRORED and time.monotonic() - began < 3.05
     assert over(served, stopped) < 3.7
@@ -251,7 +251,7 @@
     gone, stays = served.client(), served.client()
     for one in (gone, stays):
         one.sock.sendall(asked())
-    until(lambda: len(served.queries()) == 2)
+    wait_until(lambda: len(served.queries()) == 2)
     began = told(served)
     gone.stream.close()
     gone.sock.close()
@@ -273,7 +273,7 @@
     began = told(served)
     while time.monotonic() < began + 0.36:
         time.sleep(0.005)
-    assert served.client().ask(sql("once"))[:2] == COMPLETED
+    assert served.client().ask(build_query("once"))[:2] == COMPLETED
     assert over(served, began) < STOPPED
 
 
@@ -282,7 +282,7 @@
     served = serve(modes="slow1.2")
     one = served.client()
     one.sock.sendall(asked())
-    until(served.queries)
+    wait_until(served.queries)
     began = told(served)
     while time.monotonic() < began + 0.8:
         time.sleep(0.01)
