--- a/tests/test_crossing_tries.py
+++ b/tests/test_crossing_tries.py
@@ -21,17 +21,17 @@
 from laurelcourse.net.scheduler import Clock, Mailbox, Scheduler
 from laurelcourse.net.tries import OUTCOME, TryRunner
 from laurelcourse.settings import SettingsTree
-from laurelcourse.standins.base import STAND_IN, exactly, until
-from laurelcourse.standins.postgres import IDLE, PgClient, UnitStand, pg, sql
-from laurelcourse.standins.settings import OUTSIDE
+from laurelcourse.standins.base import STAND_IN_HOST, read_exactly, wait_until
+from laurelcourse.standins.postgres import READY, PgClient, UnitStandIn, build_query, pack_message
+from laurelcourse.standins.settings import PLATFORM_SETTINGS
 
 SECOND = 1_000_000
 COMPLETED, SHED, ERRORED = ("TDCZ", ""), ("EZ", "53300"), ("EZ", "58000")
 WARM = ((1, "a", 5, 90), (2, "a", 5, 90), (3, "b", 5, 90), (4, "b", 5, 90))
-REQ = SimpleNamespace(req="r", with_wait=lambda left: pg(b"Q", sql().encode() + b"\0"))
+REQ = SimpleNamespace(req="r", with_wait=lambda left: pack_message(b"Q", build_query().encode() + b"\0"))
 
 
-class HeldUnit(UnitStand):
+class HeldUnit(UnitStandIn):
     """Connections come up at once, but nobody is greeted until the test says so."""
 
     def __init__(self) -> None:
@@ -56,25 +56,25 @@
         """A req whose try is decided on, and waits for its connection to the late unit."""
         before = len(self.late.conns)
         (client or self.client).send(words)
-        until(lambda: len(self.late.conns) > before)
+        wait_until(lambda: len(self.late.conns) > before)
 
-    def list(self, change: Callable[[dict], None], *others: UnitStand) -> None:
+    def list(self, change: Callable[[dict], None], *others: UnitStandIn) -> None:
         """A list in which the late unit is changed, and which names others; it was heard on return."""
         directory = self.served.directory
         calls, entries = directory.calls, copy.deepcopy(directory.entries)
         for place, other in enumerate(others):
-            entries[f"s-{place + 1}"] = entries["s-0"] | {"id": f"s-{place + 1}", "host_port": other.at}
+            entries[f"s-{place + 1}"] = entries["s-0"] | {"id": f"s-{place + 1}", "host_port": other.address}
         change(entries)
         directory.entries = entries
         directory.revision += 1
-        until(lambda: directory.calls > calls)
+        wait_until(lambda: directory.calls > calls)
         self.served.count("directory_calls")
 
     def news(self, words: str) -> None:
         before = self.served.count("notices")
         self.served.deployer.news = words
-        self.served.deployer.tell(f"event: progress\ndata: {words}\n\n")
-        until(lambda: self.served.count("notices") > before)
+        self.served.deployer.send_notices(f"event: progress\ndata: {words}\n\n")
+        wait_until(lambda: self.served.count("notices") > before)
 
 
 @pytest.fixture
@@ -82,7 +82,7 @@
     """`changed`: settings by path. The late unit alone is listed at first; a connection may take 3 s."""
 
     def start(units: int = 2, changed: dict[str, object] | None = None, **kinds: object) -> Crossing:
-        settings = copy.deepcopy(OUTSIDE)
+        settings = copy.deepcopy(PLATFORM_SETTINGS)
         for path, value in (
             {"limits.connect_timeout": 3000.0, "limits.max_attempts": 1} | (changed or {})
         ).items():
@@ -91,7 +91,7 @@
             for step in way:
                 branch = branch[int(step) if step.isdigit() else step]
             branch[last] = value
-        monkeypatch.setattr(conftest, "OUTSIDE", settings)
+        monkeypatch.setattr(conftest, "PLATFORM_SETTINGS", settings)
         monkeypatch.setattr(conftest, "UnitStand", HeldUnit)
         put = conftest.DirectoryStand.put
         monkeypatch.setattr(
@@ -116,7 +116,7 @@
         lambda entries: entries.pop("s-0"),
         change(revision_no=2),
         change(up_since_ms=1),
-        change(host_port=f"{STAND_IN}:1"),
+        change(host_port=f"{STAND_IN_HOST}:1"),
     ],
     ids=["leaving", "left", "unlisted", "build", "restart", "address"],
 )
@@ -125,7 +125,7 @@
 ) -> None:
     """One try is all that the settings allow, and the req may not be repeated: it goes elsewhere unhurt."""
     one = cross(changed={"obligations.stop_sending_within": 50.0, "domain.shielded": 1})
-    one.send(sql("once"))
+    one.send(build_query("once"))
     one.list(changed, *one.others)
     told = time.monotonic()
     time.sleep(0.1)  # the grace
@@ -157,7 +157,7 @@
         builds=(2,) * 2,
         news="build=2&stage=1&phase=Progressing&cap=1&age_ms=9000",
     )
-    one.send(sql("once"))
+    one.send(build_query("once"))
     one.list(lambda entries: entries["s-1"].update(revision_no=1), *one.others)
     one.news(words)
     time.sleep(0.1)  # a lower cap binds after the grace
@@ -181,10 +181,10 @@
     )
     clients = [one.served.client() for _ in range(6)]
     for client in clients[:3]:
-        one.send(sql(), client)
+        one.send(build_query(), client)
     time.sleep(0.6)
     for client in clients[3:]:
-        one.send(sql(), client)
+        one.send(build_query(), client)
     one.late.go.set()
     ends = [client.answer()[:2] for client in clients]
     assert len(one.late.queries) == 3 and ends.count(COMPLETED) == ends.count(SHED) == 3
@@ -198,11 +198,11 @@
     first, late = one.others[0], one.late
     one.list(change(phase="leaving"), first)
     first.mode = "slow0.8"
-    one.client.send(sql("mark", 2900))
-    until(lambda: first.queries)
+    one.client.send(build_query("mark", 2900))
+    wait_until(lambda: first.queries)
     one.list(change(phase="active"))
     first.mode = "failed"
-    until(lambda: late.conns)
+    wait_until(lambda: late.conns)
     if not queries:
         time.sleep(max(first.times[0] + memory + 0.02 - time.monotonic(), 0.0))
     late.go.set()
@@ -211,15 +211,15 @@
 
 def test_nothing_is_written_for_a_client_that_has_left(cross: Callable[..., Crossing]) -> None:
     one = cross(1)
-    one.send(sql("once"))
+    one.send(build_query("once"))
     one.client.sock.close()
     one.client.stream.close()
     time.sleep(0.3)
     one.late.go.set()
-    until(lambda: one.served.count("reqs.once.withdrawn"))
+    wait_until(lambda: one.served.count("reqs.once.withdrawn"))
     assert one.late.queries == [] and one.served.count("tries.unsent") == 1
     time.sleep(0.06)  # its connection has rested
-    assert one.served.client().ask(sql("once"))[:2] == COMPLETED and len(one.late.conns) == 1
+    assert one.served.client().ask(build_query("once"))[:2] == COMPLETED and len(one.late.conns) == 1
 
 
 @pytest.fixture
@@ -230,8 +230,10 @@
 class Pooled:
     """Tries at one unit, in this process: at which crossing which guard answers what is up to the test."""
 
-    def __init__(self, scheduler: Scheduler, unit: UnitStand, guard: Callable[[str, int], bool]) -> None:
-        found = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))
+    def __init__(self, scheduler: Scheduler, unit: UnitStandIn, guard: Callable[[str, int], bool]) -> None:
+        found = limits(
+            SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS})
+        )
         self.scheduler, self.unit, self.counters = scheduler, unit, Counters()
         exchange = Exchange(scheduler, found, True, self.counters)
         self.pool = Pool(scheduler, found, exchange.greet, self.counters)
@@ -242,7 +244,7 @@
         )
 
     def list(self, **changed: object) -> None:
-        self.pool.update_units([(self.listed._replace(**changed), (STAND_IN, self.unit.port))], True)
+        self.pool.update_units([(self.listed._replace(**changed), (STAND_IN_HOST, self.unit.port))], True)
 
     def run(self, work: Callable[[], None]) -> None:
         task = self.scheduler.spawn(work)
@@ -265,7 +267,7 @@
 ) -> None:
     """The looks before it: as its connection is begun, and before its first byte."""
     asked, found = iter(answers), []
-    one = Pooled(scheduler, UnitStand(), lambda req, number: next(asked))
+    one = Pooled(scheduler, UnitStandIn(), lambda req, number: next(asked))
     one.pool.idle_limit.is_wary = True
     one.pool.limits = one.tries.limits = one.tries.limits._replace(last_byte_delay=100_000)
 
@@ -282,7 +284,7 @@
     assert cancelled or list(asked) == []
 
 
-class SlowReader(UnitStand):
+class SlowReader(UnitStandIn):
     """Reads nothing after its greeting until the test says so; then it counts."""
 
     def __init__(self) -> None:
@@ -290,8 +292,8 @@
         super().__init__()
 
     def serve(self, conn: socket.socket, stream: BinaryIO) -> None:
-        exactly(stream, int.from_bytes(exactly(stream, 4)) - 4)
-        conn.sendall(pg(b"R", bytes(4)) + IDLE)
+        read_exactly(stream, int.from_bytes(read_exactly(stream, 4)) - 4)
+        conn.sendall(pack_message(b"R", bytes(4)) + READY)
         self.go.wait(10)
         with contextlib.suppress(OSError):
             while part := conn.recv(1 << 20):
@@ -337,7 +339,7 @@
     """A listener whose queue is full: a connection to it does not come up."""
 
     def __init__(self) -> None:
-        self.sock = socket.create_server((STAND_IN, 0), backlog=0)
+        self.sock = socket.create_server((STAND_IN_HOST, 0), backlog=0)
         self.port, self.conns, self.queries = self.sock.getsockname()[1], [], []
         self.own = [socket.socket() for _ in range(8)]
         for one in self.own:
@@ -397,7 +399,7 @@
 def test_no_connection_is_begun_to_a_unit_that_went_while_a_budget_was_waited_for(
     scheduler: Scheduler, changed: dict, may: bool
 ) -> None:
-    stand, found, allowed = UnitStand(), [], [True]
+    stand, found, allowed = UnitStandIn(), [], [True]
     one = Pooled(scheduler, stand, lambda req, number: allowed[0])
     one.pool.budgets = shares = Awaited()
 
@@ -414,7 +416,7 @@
 
     one.run(work)
     sent = may and not changed
-    assert (found, len(stand.conns)) == ([face.OK if sent else face.UNSENT], int(sent))
+    assert (found, len(stand.connections)) == ([face.OK if sent else face.UNSENT], int(sent))
 
 
 @pytest.mark.parametrize(
@@ -424,7 +426,7 @@
     scheduler: Scheduler, changed: dict
 ) -> None:
     """The list comes before the try's task runs: the guard, which the list has told, bars it."""
-    stand, found = UnitStand(), []
+    stand, found = UnitStandIn(), []
     one = Pooled(scheduler, stand, lambda req, number: False)
 
     def work() -> None:
@@ -435,7 +437,7 @@
         scheduler.sleep(50_000)
 
     one.run(work)
-    assert found == [face.UNSENT] and not stand.conns
+    assert found == [face.UNSENT] and not stand.connections
 
 
 def test_what_a_fault_of_the_guard_leaves_open_is_not_sent(scheduler: Scheduler) -> None:
--- a/tests/test_crossing_units.py
+++ b/tests/test_crossing_units.py
@@ -25,20 +25,28 @@
 from laurelcourse.net.scheduler import Clock, Mailbox, Scheduler
 from laurelcourse.net.tries import TryRunner
 from laurelcourse.settings import SettingsTree
-from laurelcourse.standins.base import STAND_IN, Stand, exactly, reset, until
+from laurelcourse.standins.base import STAND_IN_HOST, StandIn, read_exactly, reset_on_close, wait_until
 from laurelcourse.standins.ports import reserve_port
-from laurelcourse.standins.postgres import IDLE, ROW, TOLD, failure, message, pg, sql
-from laurelcourse.standins.settings import OUTSIDE
+from laurelcourse.standins.postgres import (
+    READY,
+    ROW,
+    ROW_DESCRIPTION,
+    build_query,
+    pack_error,
+    pack_message,
+    read_message,
+)
+from laurelcourse.standins.settings import PLATFORM_SETTINGS
 
 COMPLETED, SHED, ERRORED = ("TDCZ", ""), ("EZ", "53300"), ("EZ", "58000")
-GREETING = pg(b"R", bytes(4)) + IDLE
+GREETING = pack_message(b"R", bytes(4)) + READY
 OTHER = ROW.replace(b"\x9f\x03", b"\x66\x66")  # what no unit made for the req at hand
-FATAL = pg(b"E", b"SFATAL\0C53300\0Mgoing\0\0")
-BEFORE = pg(b"N", b"SNOTICE\0\0") + pg(b"S", b"gauges\0avg_ms=3\0")
+FATAL = pack_message(b"E", b"SFATAL\0C53300\0Mgoing\0\0")
+BEFORE = pack_message(b"N", b"SNOTICE\0\0") + pack_message(b"S", b"gauges\0avg_ms=3\0")
 WAIT = 1_000_000
 
 
-class Scripted(Stand):
+class Scripted(StandIn):
     """A unit that runs `play(unit, conn, stream)` on each of its connections; `queries` came whole, `said` is
     what it tells the test. With `narrow` its machine holds little of what it does not read; until it `opens`
     it accepts nobody, and `shut` not even its machine does."""
@@ -52,7 +60,7 @@
         self.first = []
         if shut:
             self.sock.listen(0)  # holds one connection, and this is it
-            self.first = [socket.create_connection((STAND_IN, self.port))]
+            self.first = [socket.create_connection((STAND_IN_HOST, self.port))]
         if narrow:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
@@ -72,7 +80,7 @@
         super().close()
 
     def query(self, stream: BinaryIO) -> str:
-        kind, body = message(stream)
+        kind, body = read_message(stream)
         if kind != b"Q":
             raise EOFError
         self.queries.append(body[:-1].decode())
@@ -80,7 +88,7 @@
 
 
 def hello(stream: BinaryIO) -> None:
-    exactly(stream, int.from_bytes(exactly(stream, 4), "big") - 4)
+    read_exactly(stream, int.from_bytes(read_exactly(stream, 4), "big") - 4)
 
 
 def greet(conn: socket.socket, stream: BinaryIO) -> None:
@@ -91,16 +99,16 @@
 def usual(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
     greet(conn, stream)
     while unit.query(stream):
-        conn.sendall(ROW + IDLE)
+        conn.sendall(ROW + READY)
 
 
 class Rig:
     """A pool and its tries in this process, over sockets to stand-ins; units are numbered from 0."""
 
-    def __init__(self, *stands: Stand, **changed: object) -> None:
+    def __init__(self, *stands: StandIn, **changed: object) -> None:
         self.faults: list[int] = []
         self.scheduler = Scheduler(Clock(), lambda: self.faults.append(1))
-        root = {"limits": {"sockets": 1024, "memory_mb": 64}, "settings": OUTSIDE}
+        root = {"limits": {"sockets": 1024, "memory_mb": 64}, "settings": PLATFORM_SETTINGS}
         self.limits = limits(SettingsTree(root))._replace(**{"connect_timeout": 1_000_000} | changed)
         self.exchange = Exchange(self.scheduler, self.limits, True, Counters())
         self.counters = self.exchange.counters
@@ -114,14 +122,16 @@
         one = face.Listed(0, "a", 0, 1, face.READY, 1.0, face.START_UNKNOWN_US)
         self.pool.update_units(
             [
-                (one._replace(**{"unit": number} | changed), (STAND_IN, stand.port))
+                (one._replace(**{"unit": number} | changed), (STAND_IN_HOST, stand.port))
                 for number, stand in enumerate(self.stands)
             ],
             True,
         )
 
     def begin(self, box: Mailbox, words: str = "", unit: int = 0, wait: int = WAIT) -> object:
-        return self.tries.begin(0, unit, wait, wire.parse_statement((words or sql("once")).encode()), box)
+        return self.tries.begin(
+            0, unit, wait, wire.parse_statement((words or build_query("once")).encode()), box
+        )
 
     def ask(self, words: str = "", unit: int = 0, wait: int = WAIT) -> str:
         box = Mailbox(self.scheduler)
@@ -157,24 +167,24 @@
 
 
 def numbered(one: int) -> str:
-    return re.sub("id=[0-9a-f]+", f"id={one:016x}", sql("once"))
+    return re.sub("id=[0-9a-f]+", f"id={one:016x}", build_query("once"))
 
 
 # What was cut at each byte: (answer, [(from how many bytes on, its outcome)]), reset before the first.
 CUT = {
-    "row": (ROW + IDLE, [(len(ROW), face.OK)]),
-    "row behind notices": (BEFORE + ROW + IDLE, [(len(BEFORE + ROW), face.OK)]),
-    "two rows": (ROW + ROW, [(len(ROW), face.OK), (len(ROW + TOLD), face.RESET)]),
-    "turned away": (failure("53300") + IDLE, [(len(failure("53300") + IDLE), face.BUSY)]),
+    "row": (ROW + READY, [(len(ROW), face.OK)]),
+    "row behind notices": (BEFORE + ROW + READY, [(len(BEFORE + ROW), face.OK)]),
+    "two rows": (ROW + ROW, [(len(ROW), face.OK), (len(ROW + ROW_DESCRIPTION), face.RESET)]),
+    "turned away": (pack_error("53300") + READY, [(len(pack_error("53300") + READY), face.BUSY)]),
     "turned away for good": (FATAL, [(len(FATAL), face.BUSY)]),
     "turned away behind notices": (BEFORE + FATAL, [(len(BEFORE + FATAL), face.BUSY)]),
     "turned away and a row": (FATAL + ROW, [(len(FATAL), face.BUSY), (len(FATAL) + 1, face.RESET)]),
     "turned away within a row": (
-        ROW[:-14] + failure("53300") + IDLE,
-        [(len(ROW[:-14] + failure("53300") + IDLE), face.FAILED)],
+        ROW[:-14] + pack_error("53300") + READY,
+        [(len(ROW[:-14] + pack_error("53300") + READY), face.FAILED)],
     ),
-    "error": (failure("XX000") + IDLE, [(len(failure("XX000") + IDLE), face.FAILED)]),
-    "at fault": (failure("42601") + IDLE, [(len(failure("42601") + IDLE), face.CLIENT_FAULT)]),
+    "error": (pack_error("XX000") + READY, [(len(pack_error("XX000") + READY), face.FAILED)]),
+    "at fault": (pack_error("42601") + READY, [(len(pack_error("42601") + READY), face.CLIENT_FAULT)]),
 }
 
 
@@ -189,7 +199,7 @@
         greet(conn, stream)
         conn.sendall(answer[: number(unit.query(stream))])
         if end == "reset":
-            reset(conn)
+            reset_on_close(conn)
         elif end == "silent":
             stream.read()
 
@@ -240,8 +250,9 @@
         monkeypatch.setattr(conftest, "UnitStand", lambda: next(stands))
         monkeypatch.setattr(
             conftest,
-            "OUTSIDE",
-            OUTSIDE | {"limits": OUTSIDE["limits"] | {"connect_timeout": 1000.0} | changed},
+            "PLATFORM_SETTINGS",
+            PLATFORM_SETTINGS
+            | {"limits": PLATFORM_SETTINGS["limits"] | {"connect_timeout": 1000.0} | changed},
         )
         return serve(units=len(plays))
 
@@ -249,7 +260,8 @@
 
 
 @pytest.mark.parametrize(
-    "answer, whole, end", [("row", len(ROW), COMPLETED), ("turned away", len(failure("53300") + IDLE), SHED)]
+    "answer, whole, end",
+    [("row", len(ROW), COMPLETED), ("turned away", len(pack_error("53300") + READY), SHED)],
 )
 def test_a_client_learns_of_each_cut_what_is_true(
     among: Callable[..., Served], answer: str, whole: int, end: tuple
@@ -260,7 +272,7 @@
     for cut in range(len(raw) + 1):
         letters, code, row = client.ask(numbered(cut))
         assert (letters, code) == (end if cut >= whole else ERRORED), cut
-        assert cut < whole or end == SHED or pg(b"D", row) in ROW
+        assert cut < whole or end == SHED or pack_message(b"D", row) in ROW
     assert served.count("tasks_died") == 0 == served.count("module_faults")
 
 
@@ -268,14 +280,20 @@
     """Its greeting fills what is read at once to the byte; a row that nobody asked for is behind it."""
     hello(stream)
     padding = 4096 - len(GREETING) - 5 - len("padding\0\0")
-    conn.sendall(pg(b"R", bytes(4)) + pg(b"S", b"padding\0" + b"x" * padding + b"\0") + IDLE + OTHER + IDLE)
+    conn.sendall(
+        pack_message(b"R", bytes(4))
+        + pack_message(b"S", b"padding\0" + b"x" * padding + b"\0")
+        + READY
+        + OTHER
+        + READY
+    )
     unit.query(stream)
-    conn.sendall(ROW + IDLE)
+    conn.sendall(ROW + READY)
 
 
 def test_bytes_before_the_query_are_not_its_answer(among: Callable[..., Served]) -> None:
     served = among(early_greeting)
-    letters, code, row = served.client().ask(sql("once"))
+    letters, code, row = served.client().ask(build_query("once"))
     assert row == b"" and (letters, code) == SHED
     assert not served.queries()
 
@@ -285,28 +303,28 @@
     greet(conn, stream)
     if len(unit.conns) > 1:
         unit.query(stream)
-        conn.sendall(ROW + IDLE)
+        conn.sendall(ROW + READY)
         return
     conn.recv(1, socket.MSG_PEEK)
-    conn.sendall(OTHER + IDLE)
+    conn.sendall(OTHER + READY)
     with contextlib.suppress(EOFError):
         time.sleep(0.05)  # what was written until now is on its way, what is left waits
         unit.query(stream)
-        conn.sendall(ROW + IDLE)
+        conn.sendall(ROW + READY)
 
 
-LARGE_SQL = sql("once").replace("9f03", "9f03" * 32768)
+LARGE_SQL = build_query("once").replace("9f03", "9f03" * 32768)
 
 
 def again(words: str) -> str:
     """The same statement as another req."""
-    return re.sub("id=[0-9a-f]+", re.search("id=[0-9a-f]+", sql())[0], words)
+    return re.sub("id=[0-9a-f]+", re.search("id=[0-9a-f]+", build_query())[0], words)
 
 
 def test_an_answer_before_the_querys_last_byte_is_not_its_answer(among: Callable[..., Served]) -> None:
     served = among(early_row, narrow=True)
     letters, code, row = served.client().ask(LARGE_SQL)
-    assert (letters, code) == COMPLETED and pg(b"D", row) in ROW
+    assert (letters, code) == COMPLETED and pack_message(b"D", row) in ROW
     assert len(served.queries()) == 1
 
 
@@ -319,12 +337,12 @@
 def deaf_and_gone(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
     greet(conn, stream)
     conn.recv(1, socket.MSG_PEEK)
-    reset(conn)
+    reset_on_close(conn)
 
 
 @pytest.mark.parametrize(
     "play, asked, end",
-    [(deaf, LARGE_SQL, SHED), (deaf, sql("once"), ERRORED), (deaf_and_gone, LARGE_SQL, SHED)],
+    [(deaf, LARGE_SQL, SHED), (deaf, build_query("once"), ERRORED), (deaf_and_gone, LARGE_SQL, SHED)],
     ids=["in part", "whole", "in part, then reset"],
 )
 def test_a_query_that_the_machine_took_in_part_has_never_run(
@@ -334,7 +352,9 @@
     asked = asked.replace("d=2000", "d=500")
     assert served.client().ask(asked)[:2] == end
     assert time.monotonic() - began < 1.2 and not served.queries()
-    assert play is not deaf or len(served.units[0].conns) == 1, "no connection is begun once the time is over"
+    assert play is not deaf or len(served.units[0].connections) == 1, (
+        "no connection is begun once the time is over"
+    )
 
 
 def test_a_cancel_is_heard_while_the_query_waits_to_be_written(among: Callable[..., Served]) -> None:
@@ -361,7 +381,7 @@
         rig.scheduler.sleep(40_000)
         one.cancel()
         found.append(box.get()[3])
-        until(lambda: rig.stands[0].said)
+        wait_until(lambda: rig.stands[0].said)
 
     rig.run(work)
     assert found == [face.CANCELLED] and not rig.stands[0].queries and rig.even()
@@ -376,7 +396,7 @@
         time.sleep(seconds)
         conn.sendall(GREETING)
         while unit.query(stream):
-            conn.sendall(ROW + IDLE)
+            conn.sendall(ROW + READY)
 
     return play
 
@@ -392,7 +412,7 @@
 def endless(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
     hello(stream)
     while True:
-        conn.sendall(pg(b"S", b"name\0value\0"))
+        conn.sendall(pack_message(b"S", b"name\0value\0"))
 
 
 def greeted(greeting: bytes) -> Callable[..., None]:
@@ -414,7 +434,7 @@
         (endless, 100, face.UNREACHABLE, 0.1, 0.3),
         (greeted(FATAL), 900, face.BUSY, 0, 0.2),
         (greeted(GREETING + FATAL), 900, face.UNREACHABLE, 0, 0.2),
-        (greeted(IDLE + IDLE), 900, face.UNREACHABLE, 0, 0.2),
+        (greeted(READY + READY), 900, face.UNREACHABLE, 0, 0.2),
         (greeted(b"HTTP/1.1"), 900, face.UNREACHABLE, 0, 0.2),
     ],
     ids=[
@@ -500,7 +520,7 @@
         time.sleep(0.1)
         conn.sendall(GREETING)
         conn.recv(1, socket.MSG_PEEK)
-        reset(conn)
+        reset_on_close(conn)
 
     rig, found = Rig(Scripted(play, narrow=True)), []
 
@@ -555,7 +575,7 @@
     rig, found = Rig(Scripted(play), Scripted(usual), max_upstream=2), []
     if meddle == "refused":
         rig.stands[0].sock.close()
-        rig.stands[0].port = reserve_port(host=STAND_IN)
+        rig.stands[0].port = reserve_port(host=STAND_IN_HOST)
         rig.list()
     elif meddle == "fault in the greeting":
         rig.pool.greet = broken
@@ -598,9 +618,9 @@
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         greet(conn, stream)
         while unit.query(stream):
-            conn.sendall(ROW + IDLE)
+            conn.sendall(ROW + READY)
             time.sleep(late)
-            conn.sendall(OTHER + IDLE)
+            conn.sendall(OTHER + READY)
             unit.said.append("again")
 
     return play
@@ -613,9 +633,9 @@
     served = among(once_more(late))
     (unit,), client = served.units, served.client()
     for turn in range(5):
-        letters, code, row = client.ask(sql("once"))
-        assert (letters, code) == COMPLETED and pg(b"D", row) in ROW
-        until(lambda turn=turn: len(unit.said) == turn + 1)
+        letters, code, row = client.ask(build_query("once"))
+        assert (letters, code) == COMPLETED and pack_message(b"D", row) in ROW
+        wait_until(lambda turn=turn: len(unit.said) == turn + 1)
     assert len(unit.conns) == 5 == len(unit.queries) and served.count("tries.ok") == 5
 
 
@@ -641,16 +661,16 @@
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         greet(conn, stream)
         while unit.query(stream):
-            conn.sendall(ROW + IDLE)
+            conn.sendall(ROW + READY)
             if len(unit.queries) == 1:
                 unit.over.wait(5)
-                return reset(conn) if end == "reset" else None
+                return reset_on_close(conn) if end == "reset" else None
 
     rig, found = Rig(Scripted(play)), []
 
     def goes(conn: Connection) -> None:
         rig.stands[0].over.set()
-        until(lambda: conn.peek() == b"")
+        wait_until(lambda: conn.peek() == b"")
 
     between(rig, monkeypatch, goes)
 
@@ -669,7 +689,7 @@
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         greet(conn, stream)
         while unit.query(stream):
-            conn.sendall(ROW + IDLE)
+            conn.sendall(ROW + READY)
             if len(unit.queries) == 1:
                 conn.recv(1, socket.MSG_PEEK)
                 for one in what:
@@ -682,7 +702,7 @@
 
 @pytest.mark.parametrize(
     "what",
-    [(None,), (OTHER + IDLE,), (OTHER[:1],), (FATAL, None)],
+    [(None,), (OTHER + READY,), (OTHER[:1],), (FATAL, None)],
     ids=["closed", "a row", "a byte", "turned away"],
 )
 def test_a_last_byte_that_was_held_back_does_not_follow_what_came_meanwhile(what: tuple) -> None:
@@ -722,17 +742,17 @@
         conn.sendall(ROW[:20])
         unit.said.append("begun")
         unit.over.wait(5)
-        conn.sendall(ROW[20:] + IDLE)
+        conn.sendall(ROW[20:] + READY)
         unit.said.append("done")
 
     served = among(play)
     (unit,), client = served.units, served.client()
-    client.send(sql("once"))
-    until(lambda: unit.said)
+    client.send(build_query("once"))
+    wait_until(lambda: unit.said)
     time.sleep(0.05)  # the relay has read the beginning
     served.process.send_signal(signal.SIGSTOP)
     unit.over.set()
-    until(lambda: len(unit.said) == 2)
+    wait_until(lambda: len(unit.said) == 2)
     time.sleep(0.6)  # longer than an answer that has begun may pause
     served.process.send_signal(signal.SIGCONT)
     assert client.answer()[:2] == COMPLETED
--- a/tests/test_fleet_budgets_lab.py
+++ b/tests/test_fleet_budgets_lab.py
@@ -7,8 +7,8 @@
 import pytest
 from conftest import ROOT
 
-from laurelcourse.lab import budgets_seen as seen
-from laurelcourse.lab.budgets_seen import Asked, Span
+from laurelcourse.lab import budgets_checks
+from laurelcourse.lab.budgets_checks import Request, Span
 from laurelcourse.lab.guards import GUARDS
 
 SHORT = "20"  # seconds: the lab's short form
@@ -25,7 +25,7 @@
 def test_a_rate_is_held_against_its_whole_in_any_window(
     times: list[float], whole: float, burst: float, over: int
 ) -> None:
-    assert seen.over_rate(times, whole, burst, (1.0,)) == over
+    assert budgets_checks.count_over_rate(times, whole, burst, (1.0,)) == over
 
 
 @pytest.mark.parametrize(
@@ -37,7 +37,7 @@
     ],
 )
 def test_a_level_counts_what_is_held_at_once(moves: list[tuple[float, int]], over: int) -> None:
-    assert seen.over_level(moves, 2) == over
+    assert budgets_checks.count_over_level(moves, 2) == over
 
 
 @pytest.mark.parametrize(
@@ -48,8 +48,8 @@
 ) -> None:
     more, denied = ([(0.3 * at, "m") for at in range(count)] for count in (used, refused))
     spans = [Span("m", 0.0, 3.0), Span("other", 0.0, 3.0)]
-    assert seen.beyond_floor(more, spans, 1) == beyond
-    assert seen.floor_left(denied, more, spans, 1, 2.0, 0.5) == left
+    assert budgets_checks.count_beyond_floor(more, spans, 1) == beyond
+    assert budgets_checks.count_unused_floors(denied, more, spans, 1, 2.0, 0.5) == left
 
 
 @pytest.mark.parametrize(
@@ -57,9 +57,9 @@
     [("m", "", True), ("m", "TDCZ", True), ("m", "TDCZTDCZ", False), ("k", "", False)],
 )
 def test_only_a_killed_or_paused_relay_owes_no_answer(relay: str, letters: str, excused: bool) -> None:
-    one = Asked("1", relay, 1.0)
-    one.letters = letters
-    assert seen.excused(one, [Span("m", 0.5, 2.0)]) is excused
+    one = Request("1", relay, 1.0)
+    one.answer = letters
+    assert budgets_checks.is_excused(one, [Span("m", 0.5, 2.0)]) is excused
 
 
 # Six relays beside units and clients of 60 connections: the short form too wants the machine for itself.
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -103,7 +103,7 @@
     return time.monotonic_ns() // 1000
 
 
-def until(true: Callable[[], object], seconds: float = 5) -> None:
+def wait_until(true: Callable[[], object], seconds: float = 5) -> None:
     end = time.monotonic() + seconds
     while not true():
         assert time.monotonic() < end, "did not come about in time"
@@ -285,7 +285,7 @@
     names = [
         ".".join(one.relative_to(ROOT).with_suffix("").parts)
         for one in sorted((ROOT / "laurelcourse/fleet").rglob("*.py"))
-        if one.stem not in ("wiring", "member", "flows_client", "stream")
+        if one.stem not in ("wiring", "member", "flows_client", "books_client", "receiver", "sender")
         and (one.parent.name != "calls" or one.stem in ("codec", "mailbox"))
     ]
     assert "laurelcourse.fleet.orders" in names
@@ -519,7 +519,7 @@
 def test_a_clients_queue_is_bounded_and_closing_ends_what_waits(ground: Ground) -> None:
     client, found = ground.client({"a": ground.mute()}, SLOW), []
     client.submit(SUBMIT, found.append)
-    until(lambda: not client.lanes["submit"].queue)
+    wait_until(lambda: not client.lanes["submit"].queue)
     for _ in range(LIMITS.queue_length):
         client.submit(SUBMIT, found.append)
     with pytest.raises(errors.OverloadedError):
@@ -600,7 +600,7 @@
     # An answer by type, before the asker's own time is over.
     assert stub.Renew(renewal, timeout=0.3).answer.done.code == "unknown_fate"
     slow = [stub.Renew.future(renewal, timeout=30), stub.Submit.future(order, timeout=30)]
-    until(lambda: len(service.waiting) == LIMITS.max_calls)
+    wait_until(lambda: len(service.waiting) == LIMITS.max_calls)
     assert stub.Renew(renewal, timeout=5).answer.done.code == "overloaded"
     talk = fleet_pb2_grpc.KeepersStub(ground.raw(service)).Talk
     assert not talk(wire.Envelope(head=_head(), messages=[codec.to_message(BEATING)]), timeout=5).refused.code
@@ -616,9 +616,9 @@
     service = ground.keeper("a", Scripted(lambda _: Future()), limits=SLOW)
     stub = fleet_pb2_grpc.BooksStub(ground.raw(service))
     call = stub.Renew.future(wire.RenewOrder(head=_head(), what=codec.to_message(BEAT)), timeout=60)
-    until(lambda: service.waiting)
+    wait_until(lambda: service.waiting)
     call.cancel()
-    until(lambda: not service.waiting)
+    wait_until(lambda: not service.waiting)
 
 
 # Orders handed on: a keeper that does not lead, `b`, reaches the leader `a`; the relay does not
@@ -754,7 +754,7 @@
         Future(),
     )
     client.submit(SUBMIT, found.set_result)
-    until(lambda: leading.orders)
+    wait_until(lambda: leading.orders)
     began = now()
     b.stop(0)  # does not wait for the leader's answer
     assert now() - began < SECOND
@@ -781,7 +781,7 @@
     head = _head(to="b")
     order = wire.RenewOrder(head=head, what=codec.to_message(BEAT), hand_on=True)
     slow = [stub.Renew.future(order, timeout=30) for _ in range(limits.max_forwards)]
-    until(lambda: len(leading.orders) == limits.max_forwards)
+    wait_until(lambda: len(leading.orders) == limits.max_forwards)
     refusal = stub.Renew(order, timeout=5).answer.done
     assert (refusal.code, refusal.to) == ("overloaded", "b")
     # What is this keeper's own to answer has its threads as before.
@@ -792,7 +792,7 @@
     others.script = hinting
     # The asker's time bounds it, less what the way back wants.
     a.refuse()
-    until(lambda: not b.waiting)
+    wait_until(lambda: not b.waiting)
     for one in slow:
         assert one.result(5).answer.done.code == "stopping"
     a.stopping, began = False, now()
@@ -814,12 +814,12 @@
         peers.send("d", one)  # without an address
         peers.send("b", one)
         assert now() - began < SECOND
-        until(lambda one=one: keeping.talk and keeping.talk[-1] == ("a", one))
+        wait_until(lambda one=one: keeping.talk and keeping.talk[-1] == ("a", one))
     assert [one for _, one in keeping.talk] == list(TALK)
     assert len(peers.peers["c"].queue) <= LIMITS.queue_length
     first.stop(0)
     peers.send("b", TALK[0])
-    until(lambda: peers.peers["b"].retry_delay)
+    wait_until(lambda: peers.peers["b"].retry_delay)
     later = Scripted()
     ground.keeper("b", later, port=first.port)
 
@@ -827,7 +827,7 @@
         peers.send("b", BEATING)
         return later.talk
 
-    until(again)
+    wait_until(again)
     assert {sender for sender, _ in later.talk} == {"a"}
     peers.set_addresses({"b": at(first)})
     assert sorted(peers.peers) == ["b"]
@@ -838,7 +838,7 @@
     ground.ends.callback(peers.close, SECOND)
     peer = peers.peers["b"]
     peer.put(TALK[0])
-    until(lambda: not peer.queue)  # its thread is held up by the first call from now on
+    wait_until(lambda: not peer.queue)  # its thread is held up by the first call from now on
     sent = [BEATING._replace(round=n) if n % 2 else keeper.TakeOver(n) for n in range(7)]
     for one in sent:
         peer.put(one)
@@ -867,7 +867,7 @@
         peers.send("b", BEATING)
         return len(calls) >= 6
 
-    until(enough)
+    wait_until(enough)
     assert (
         calls[1] - calls[0] >= LIMITS.retry_delay * 3 // 4 and calls[5] - calls[4] >= 4 * LIMITS.retry_delay
     )
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -23,7 +23,7 @@
 from laurelcourse.fleet.orders import Terms
 from laurelcourse.fleet.wiring import clock, log
 from laurelcourse.prng import Prng
-from laurelcourse.standins.base import until
+from laurelcourse.standins.base import wait_until
 
 DOC = Path(__file__).parent.parent / "docs" / "on-call-fleet.md"
 SECOND = 1_000_000
@@ -124,7 +124,7 @@
         return codec.from_message(orders.Answer, reply.answer)
 
     def hash(self) -> tuple:
-        return until(lambda: self.ask("Ask", orders.Question("hash")).value)
+        return wait_until(lambda: self.ask("Ask", orders.Question("hash")).value)
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_fleet_flows.py
+++ b/tests/test_fleet_flows.py
@@ -25,13 +25,13 @@
 from laurelcourse.fleet.workflows import definition as d
 from laurelcourse.fleet.workflows import step_sender, views
 from laurelcourse.fleet.workflows.engine import WorkflowEngine
-from laurelcourse.lab import flows_seen
-from laurelcourse.lab.host import NOWHERE, Host
+from laurelcourse.lab import workflow_checks
+from laurelcourse.lab.cluster import UNREACHABLE_ADDRESS, Cluster
 from laurelcourse.net import req
-from laurelcourse.standins.base import RELAY, until
-from laurelcourse.standins.directory import DirectoryStand
-from laurelcourse.standins.holds import Effect, HoldsStand, Ledger
-from laurelcourse.standins.settings import OUTSIDE, config
+from laurelcourse.standins.base import RELAY_HOST, wait_until
+from laurelcourse.standins.directory import DirectoryStandIn
+from laurelcourse.standins.holds import Effect, HoldingUnit, Ledger
+from laurelcourse.standins.settings import PLATFORM_SETTINGS, relay_config
 
 FLOWS = re.search("<workflow .*</workflow>", (ROOT / "deploy/fleet.xml").read_text(), re.DOTALL).group()
 FLOWS = FLOWS.replace('tries="6"', 'tries="3"').replace('longest-back-off="5s"', 'longest-back-off="300ms"')
@@ -42,21 +42,21 @@
 class Fleet:
     def __init__(self, folder: Path) -> None:
         self.ledger = Ledger()
-        self.units, directory = [HoldsStand(self.ledger) for _ in range(3)], DirectoryStand()
+        self.units, directory = [HoldingUnit(self.ledger) for _ in range(3)], DirectoryStandIn()
         for place, unit in enumerate(self.units):
-            directory.put(f"u-{place}", unit.at)
-        self.host = Host(
+            directory.put(f"u-{place}", unit.address)
+        self.host = Cluster(
             folder,
             {"k1": "a", "k2": "b", "k3": "c"},
             {"m1": "a", "m2": "b"},
-            flows=FLOWS,
-            known=directory.whole(),
-            directory=directory.at,
+            workflows_xml=FLOWS,
+            known=directory.full_list(),
+            directory=directory.address,
         )
         self.host.start()
 
     def client(self, *names: str) -> FlowsClient:
-        return FlowsClient([f"{RELAY}:{self.host.flows[one]}" for one in names])
+        return FlowsClient([f"{RELAY_HOST}:{self.host.workflow_ports[one]}" for one in names])
 
     def start(self, mark: str, *names: str, wait: float = WAIT, **values: str) -> WorkflowStatus:
         values = {"room": f"r-{mark}", "device": f"d-{mark}"} | values
@@ -73,7 +73,7 @@
     def effects(self, mark: str) -> list[str]:
         """In the order in which units came to them."""
         found = [
-            (one.at, f"{one.what} {one.thing.partition('.')[0]}")
+            (one.at, f"{one.kind} {one.thing.partition('.')[0]}")
             for one in self.ledger.effects
             if one.thing.endswith(f"-{mark}")
         ]
@@ -84,7 +84,7 @@
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Fleet]:
     found = Fleet(tmp_path_factory.mktemp("flows"))
     with found.host:
-        assert until(lambda: found.start("first").answer == DONE, 20)
+        assert wait_until(lambda: found.start("first").answer == DONE, 20)
         yield found
 
 
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("data", [b"\xff" * 9, b"x" * (1 << 20)])
 def test_garbage_ends_nothing(fleet: Fleet, data: bytes) -> None:
-    channel = grpc.insecure_channel(f"{RELAY}:{fleet.host.flows['m1']}")
+    channel = grpc.insecure_channel(f"{RELAY_HOST}:{fleet.host.workflow_ports['m1']}")
     for method in wire.DESCRIPTOR.services_by_name["Flows"].methods:
         with pytest.raises(grpc.RpcError) as found:
             channel.unary_unary(f"/{method.containing_service.full_name}/{method.name}")(data, timeout=5)
@@ -141,11 +141,11 @@
         target=lambda: client.start("booking", "firm", "left", {"room": "r-left", "device": "d-left"}, 3.0)
     )
     thread.start()
-    until(lambda: fleet.ledger.statements("hold.device.d-left"))
+    wait_until(lambda: fleet.ledger.count_received("hold.device.d-left"))
     client.close()
-    until(lambda: fleet.effects("left")[-2:] == ["free device", "free room"], 8)
+    wait_until(lambda: fleet.effects("left")[-2:] == ["free device", "free room"], 8)
     thread.join()
-    assert not fleet.ledger.statements("notice.r-left")
+    assert not fleet.ledger.count_received("notice.r-left")
 
 
 def test_an_undo_that_is_stuck_is_named_and_settled_by_hand(fleet: Fleet) -> None:
@@ -161,7 +161,7 @@
     mark = slow.partition("-")[2]
     fleet.ledger.delays[slow] = 0.5
     thread, told = fleet.behind(mark, "m2", "m1")
-    until(lambda: fleet.ledger.statements(slow))
+    wait_until(lambda: fleet.ledger.count_received(slow))
     fleet.host.nodes["m2"].restart()
     thread.join()
     assert told[0].answer in (DONE, UNDONE)
@@ -174,17 +174,17 @@
 def test_the_owner_that_was_paused_sends_nothing_more(fleet: Fleet) -> None:
     fleet.ledger.delays["hold.room.r-paused"] = 0.5
     thread, told = fleet.behind("paused", "m2", "m1")
-    until(lambda: fleet.ledger.statements("hold.room.r-paused"))
+    wait_until(lambda: fleet.ledger.count_received("hold.room.r-paused"))
     node = fleet.host.nodes["m2"]
     node.pause()
     client = fleet.client("m1")
     again = client.start("booking", "firm", "paused", {}, 10.0)
-    before = len(fleet.ledger.came)
+    before = len(fleet.ledger.received)
     node.wake()
     thread.join()
     assert again.answer in (DONE, UNDONE) and told[0][:2] == again[:2]
-    until(lambda: node.log.read_text().rstrip().count("session is now") >= 2, 8)
-    assert len([one for one in fleet.ledger.came[before:] if one.thing.endswith("-paused")]) == 0
+    wait_until(lambda: node.log.read_text().rstrip().count("session is now") >= 2, 8)
+    assert len([one for one in fleet.ledger.received[before:] if one.thing.endswith("-paused")]) == 0
 
 
 # Without processes
@@ -248,14 +248,14 @@
     assert step_sender.outcome_of(end, statuses, once) == outcome
 
 
-def seen(words: str) -> dict[str, flows_seen.Seen]:
+def seen(words: str) -> dict[str, workflow_checks.Observations]:
     """Of one mark: `hold.room`, and so on, in order; one with a `?` came without effect."""
     ones = [
         (Effect(at, *word.strip("?").split("."), "", ""), word[-1] != "?")
         for at, word in enumerate(words.split())
     ]
     ones = [(one._replace(thing=one.thing + ".m"), effect) for one, effect in ones]
-    return flows_seen.by_mark(
+    return workflow_checks.group_by_mark(
         ["m"], [one for one, _ in ones], [one for one, effect in ones if effect], frozenset(["device.m"])
     )
 
@@ -297,8 +297,8 @@
     ],
 )
 def test_how_the_lab_judges(words: str, answer: str, ended: str, took: float, broken: dict[str, int]) -> None:
-    asked = [flows_seen.Asked("m", 0.0, took, 8.0, WorkflowStatus(1, answer, answer, ()), True)]
-    counts = flows_seen.judged(seen(words), asked, {"m": WorkflowStatus(1, ended, ended, ())})
+    asked = [workflow_checks.ClientCall("m", 0.0, took, 8.0, WorkflowStatus(1, answer, answer, ()), True)]
+    counts = workflow_checks.count_violations(seen(words), asked, {"m": WorkflowStatus(1, ended, ended, ())})
     assert {name: count for name, count in counts.items() if count} == broken
 
 
@@ -319,16 +319,16 @@
 
 def test_check_holds_workflows_against_the_platforms_routes(tmp_path: Path) -> None:
     for effect, code, words in (("deduplicated", 0, "1 workflows"), ("at_most_once", 2, "may not be")):
-        told = copy.deepcopy(OUTSIDE)
+        told = copy.deepcopy(PLATFORM_SETTINGS)
         told["classes"][1]["effect"] = effect
         path = tmp_path / "config.json"
         path.write_text(
             json.dumps(
-                config(
+                relay_config(
                     "r-1",
-                    f"{RELAY}:1",
-                    NOWHERE,
-                    NOWHERE,
+                    f"{RELAY_HOST}:1",
+                    UNREACHABLE_ADDRESS,
+                    UNREACHABLE_ADDRESS,
                     {"revision": 1, "complete": True, "members": []},
                     told,
                 )
--- a/tests/test_fleet_flows_service.py
+++ b/tests/test_fleet_flows_service.py
@@ -8,14 +8,14 @@
 
 import grpc
 import pytest
-from test_fleet_calls import LIMITS, now, until
+from test_fleet_calls import LIMITS, now, wait_until
 
 from laurelcourse.fleet.calls import fleet_pb2 as wire
 from laurelcourse.fleet.calls import fleet_pb2_grpc
 from laurelcourse.fleet.calls.flows_service import FlowsService
 from laurelcourse.fleet.errors import FleetError, error_from_code
 from laurelcourse.fleet.workflows.run import ClientAnswer
-from laurelcourse.standins.base import RELAY
+from laurelcourse.standins.base import RELAY_HOST
 from laurelcourse.standins.ports import reserve_port
 
 MANY = 200
@@ -53,7 +53,7 @@
 
 @contextmanager
 def served(flows: Flows) -> Iterator[tuple[FlowsService, fleet_pb2_grpc.FlowsStub]]:
-    address = f"{RELAY}:{reserve_port()}"
+    address = f"{RELAY_HOST}:{reserve_port()}"
     service = FlowsService(flows, address, LIMITS)
     service.start()
     channel = grpc.insecure_channel(address)
@@ -80,10 +80,10 @@
     flows = Flows()
     with served(flows) as (_, stub):
         calls = [stub.Start.future(order(0), timeout=30)]
-        until(lambda: len(flows.asked) == 1)
+        wait_until(lambda: len(flows.asked) == 1)
         before = threads()
         calls += [stub.Start.future(order(mark), timeout=30) for mark in range(1, MANY)]
-        until(lambda: len(flows.asked) == MANY or any(one.done() for one in calls))
+        wait_until(lambda: len(flows.asked) == MANY or any(one.done() for one in calls))
         assert len(flows.asked) == MANY, next(one for one in calls if one.done()).exception()
         assert threads() <= before + 16
         assert not any(one.done() for one in calls)
@@ -97,9 +97,9 @@
     flows = Flows()
     with served(flows) as (_, stub):
         one, two = (stub.Start.future(order(mark), timeout=30) for mark in (1, 2))
-        until(lambda: len(flows.asked) == 2)
+        wait_until(lambda: len(flows.asked) == 2)
         one.cancel()
-        until(lambda: flows.gone)
+        wait_until(lambda: flows.gone)
         flows.tell("1"), flows.tell("2")
         assert two.result(5).number == 2 and flows.gone == [flows.asked["1"]]
 
@@ -108,7 +108,7 @@
     flows = Flows()
     with served(flows) as (service, stub):
         calls = [stub.Start.future(order(mark), timeout=30) for mark in range(9)]
-        until(lambda: len(flows.asked) == 9)
+        wait_until(lambda: len(flows.asked) == 9)
         stopper = threading.Thread(target=service.stop, args=(GRACE,))
         stopper.start()
         assert {one.result(5).refused.code for one in calls} == {"stopping"} and not flows.gone
@@ -153,7 +153,7 @@
 
 
 def test_an_address_that_is_taken_is_named() -> None:
-    address = f"{RELAY}:{reserve_port()}"
+    address = f"{RELAY_HOST}:{reserve_port()}"
     one = FlowsService(Flows(), address, LIMITS)
     with pytest.raises(OSError, match=address):
         FlowsService(Flows(), address, LIMITS)
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_moves.py
@@ -21,10 +21,10 @@
 from laurelcourse.fleet.transfers import views
 from laurelcourse.fleet.transfers.arrivals import Arrivals
 from laurelcourse.fleet.wiring import clock, join_address
-from laurelcourse.lab.host import Host
+from laurelcourse.lab.cluster import Cluster
 from laurelcourse.operator import reading
 from laurelcourse.prng import Prng
-from laurelcourse.standins.base import until
+from laurelcourse.standins.base import wait_until
 from laurelcourse.standins.ports import reserve_port
 
 KEEPERS, MEMBERS = {"k1": "a", "k2": "b", "k3": "c"}, {"m1": "a", "m2": "a", "m3": "b"}
@@ -32,7 +32,7 @@
 CHUNK = 16 << 10
 
 
-class Fleet(Host):
+class Fleet(Cluster):
     def __init__(self, folder: Path) -> None:
         self.folder, self.doors = folder, {name: reserve_port() for name in MEMBERS}
         doors = {
@@ -48,7 +48,7 @@
         ) + "".join(
             f'<link origin="{one}" to="{to}" capacity="2MiB" kept="1MiB"/>' for one, to in ("ab", "ba")
         )
-        super().__init__(folder, KEEPERS, MEMBERS, moves=moves)
+        super().__init__(folder, KEEPERS, MEMBERS, transfers_xml=moves)
         settings = reading.read(str(folder / "m1" / "operator.xml")).fleet
         self.terms = terms.terms(settings)
         self.limits = limits(self.terms)
@@ -68,7 +68,7 @@
     def asked(self, ask: Callable, what: object) -> object:
         found: list = []
         ask(what, found.append)
-        until(lambda: found, 10)
+        wait_until(lambda: found, 10)
         return found[0]
 
     def look(self, job: str) -> views.TransferList:
@@ -133,7 +133,7 @@
     with Fleet(tmp_path_factory.mktemp("moves")) as found:
         found.start()
         # Places are in the books, and both sites' relays have sessions.
-        until(
+        wait_until(
             lambda: all(found.asked(found.client.ask, Question("session", name)).value for name in MEMBERS),
             20,
         )
@@ -142,7 +142,7 @@
 
 def test_a_copy_is_whole_at_the_far_end_and_leaves_nothing_reserved(fleet: Fleet) -> None:
     data = fleet.lay("whole", MIB)
-    until(fleet.copy("whole").exists, 12)
+    wait_until(fleet.copy("whole").exists, 12)
     assert fleet.copy("whole").read_bytes() == data
     assert fleet.look("whole").ended == "committed" and not fleet.look("whole").views
     assert len(fleet.logs("copy is here", "whole")) == 1
@@ -150,10 +150,10 @@
 
 def test_a_killed_senders_job_goes_on_elsewhere_from_the_byte_proven(fleet: Fleet) -> None:
     data = fleet.lay("killed", 3 * MIB)
-    until(lambda: any(one.proven > MIB // 2 for one in fleet.look("killed").views), 12)
+    wait_until(lambda: any(one.proven > MIB // 2 for one in fleet.look("killed").views), 12)
     dead = fleet.look("killed").views[0].owner.name
     fleet.nodes[dead].kill()
-    until(fleet.copy("killed").exists, 20)
+    wait_until(fleet.copy("killed").exists, 20)
     fleet.nodes[dead].start()
     assert fleet.copy("killed").read_bytes() == data
     ((name, line),) = fleet.logs("transfer taken over", "killed")
@@ -168,17 +168,17 @@
     inside.touch()  # no rename can succeed from now on
     try:
         data = fleet.lay("shown", MIB // 2)
-        until(lambda: fleet.look("shown").ended == "committed", 15)
+        wait_until(lambda: fleet.look("shown").ended == "committed", 15)
         fleet.nodes["m3"].kill()
     finally:
         inside.unlink()
         aside.rename(inside)
     assert not fleet.copy("shown").exists()
     fleet.nodes["m3"].start()
-    until(lambda: fleet.logs("copy is here", "shown"), 10)
+    wait_until(lambda: fleet.logs("copy is here", "shown"), 10)
     before = fleet.copy("shown").stat()
     fleet.nodes["m3"].restart(wait=True)
-    until(lambda: fleet.asked(fleet.client.ask, Question("session", "m3")).value, 10)
+    wait_until(lambda: fleet.asked(fleet.client.ask, Question("session", "m3")).value, 10)
     assert fleet.copy("shown").stat() == before
     assert fleet.copy("shown").read_bytes() == data
     assert len(fleet.logs("copy is here", "shown")) == 1
@@ -197,7 +197,7 @@
             if "transfer can't go" in line and "to=unlinked" in line.split()
         ]
 
-    assert until(lambda: len(told()) == 2 and told(), 10) == [("m1", True), ("m2", True)]
+    assert wait_until(lambda: len(told()) == 2 and told(), 10) == [("m1", True), ("m2", True)]
     (fleet.folder / "a" / "unlinked.job").unlink()
 
 
@@ -235,7 +235,7 @@
     piece = forms.Stretch(first, first + length, rate * CHUNK, ("a", "b"))
     (done,) = fleet.given(forms.Command(fence, 1, forms.Reserve(job, (piece,))))
     assert not done.code, done
-    until(lambda: fleet.look("none").time >= first * SLICE_US)
+    wait_until(lambda: fleet.look("none").time >= first * SLICE_US)
     data = bytes(sent)
     how = {"whole": blake2b(data, digest_size=32).digest()} | how
     session = fence.session
@@ -251,13 +251,13 @@
 def test_a_shrunk_link_recalls_what_earns_least_and_tells_it_once(fleet: Fleet) -> None:
     # At 1 MiB/s "high" holds the link for 6 s: "low" is planned behind it and shrunk before it begins.
     high = fleet.lay("high", 6 * MIB, 50)
-    until(lambda: fleet.look("high").views, 10)
+    wait_until(lambda: fleet.look("high").views, 10)
     low = fleet.lay("low", MIB, 1)
-    until(lambda: fleet.look("low").views, 10)
+    wait_until(lambda: fleet.look("low").views, 10)
     first = fleet.look("low").views[0].pieces[0].first
     (done,) = fleet.given(forms.Command(None, 0, forms.Shrink("a>b", MIB + MIB // 2, first)))
     assert not done.code, done
-    until(lambda: fleet.logs("transfer recalled", "low") or fleet.look("low").ended, 10)
-    until(lambda: fleet.copy("high").exists() and fleet.copy("low").exists(), 28)
+    wait_until(lambda: fleet.logs("transfer recalled", "low") or fleet.look("low").ended, 10)
+    wait_until(lambda: fleet.copy("high").exists() and fleet.copy("low").exists(), 28)
     assert fleet.copy("low").read_bytes() == low and fleet.copy("high").read_bytes() == high
     assert len(fleet.logs("transfer recalled", "low")) == 1 and not fleet.logs("transfer recalled", "high")
--- a/tests/test_fleet_plain.py
+++ b/tests/test_fleet_plain.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 import pytest
-from conftest import SECOND, SETTINGS, Served, until
+from conftest import SECOND, SETTINGS, Served, wait_until
 
 from laurelcourse import interface as face
 from laurelcourse.net.counters import Counters
@@ -13,7 +13,7 @@
 from laurelcourse.net.payloads import BuildState
 from laurelcourse.prng import Prng
 from laurelcourse.rules import Balancer
-from laurelcourse.standins.postgres import sql
+from laurelcourse.standins.postgres import build_query
 
 COMPLETED = ("TDCZ", "")
 ABSENT = ("grpc", "google", "sqlite3", "lxml", "laurelcourse.fleet", "laurelcourse.operator")
@@ -42,10 +42,10 @@
     serve: Callable[..., Served], also: str, found: list[str]
 ) -> None:
     served = serve(watched=WATCHED.format(absent=ABSENT, also=also))
-    assert served.client().ask(sql())[:2] == COMPLETED
+    assert served.client().ask(build_query())[:2] == COMPLETED
     served.process.send_signal(signal.SIGHUP)
-    until(lambda: "configuration taken" in served.log.read_text())
-    assert served.client().ask(sql())[:2] == COMPLETED
+    wait_until(lambda: "configuration taken" in served.log.read_text())
+    assert served.client().ask(build_query())[:2] == COMPLETED
     served.process.send_signal(signal.SIGTERM)
     assert served.process.wait(10) == 0
     assert f"watched True {found}" in served.log.read_text()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -22,13 +22,13 @@
 from laurelcourse.fleet.terms import terms
 from laurelcourse.fleet.wiring import clock
 from laurelcourse.lab import faults
-from laurelcourse.lab.host import Host
+from laurelcourse.lab.cluster import Cluster
 from laurelcourse.lab.process import RelayProcess
 from laurelcourse.operator import reading
 from laurelcourse.prng import Prng
-from laurelcourse.standins import way
-from laurelcourse.standins.base import until
-from laurelcourse.standins.way import Mode
+from laurelcourse.standins import faulty_proxy
+from laurelcourse.standins.base import wait_until
+from laurelcourse.standins.faulty_proxy import Mode
 
 SECOND = 1_000_000
 POPEN = subprocess.Popen
@@ -49,14 +49,14 @@
 class Seen:
     """A fleet, looked at over a gRPC client of the tests' own that no fault meets."""
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, host: Cluster) -> None:
         self.host, self.guests = host, 0
         fleet = reading.read(host.nodes["k1"].folder / "operator.xml").fleet
         self.terms = terms(fleet)
         self.client = Client(
             fleet.name,
             "guest",
-            {name: f"{at[0]}:{at[1]}" for name, at in host.at.items()},
+            {name: f"{at[0]}:{at[1]}" for name, at in host.keeper_addresses.items()},
             limits(self.terms),
             clock,
             Prng(9),
@@ -72,7 +72,7 @@
             answer = self.answered(self.client.ask, Question(what, of))
             return answer if isinstance(answer, Done) and not answer.code else None
 
-        return until(once, seconds).value
+        return wait_until(once, seconds).value
 
     def give(self, fence: Fence | None, mark: int, what: object) -> Done:
         """A whole order may be refused before any of its commands is looked at."""
@@ -98,11 +98,11 @@
             came = self.give(None, 1, Open(f"g{self.guests}", "a"))
             return came.value if isinstance(came, Done) else ()
 
-        return Fence(*until(opened, LEADS))
+        return Fence(*wait_until(opened, LEADS))
 
     def a_lease_passes(self) -> None:
         name = self.guest().name
-        until(lambda: self.fence(name) is None, HELD)
+        wait_until(lambda: self.fence(name) is None, HELD)
 
     def said(self, name: str, *words: str) -> list[str]:
         lines = self.host.nodes[name].log.read_text().splitlines()
@@ -122,13 +122,13 @@
 
         for name in names or self.host.nodes:
             assert self.host.nodes[name].alive(), name
-            until(lambda name=name: agreed(name), HELD)
+            wait_until(lambda name=name: agreed(name), HELD)
 
     def whole(self) -> None:
         """What is on each keeper's disk comes to the same books, and nothing broke."""
         index, found = self.ask("hash")
         for name in KEEPERS:
-            until(lambda name=name: self.replayed(name, index) == found, HELD)
+            wait_until(lambda name=name: self.replayed(name, index) == found, HELD)
         for name, node in self.host.nodes.items():
             text = node.log.read_text()
             for word in ("Traceback", "module fault", "task died", "takes part no more", "order refused"):
@@ -136,7 +136,7 @@
 
     def replayed(self, name: str, index: int) -> str:
         node = self.host.nodes[name]
-        node.copied("looked-at")
+        node.back_up_data("looked-at")
         store = Store.open(node.folder / "looked-at", "lab", name, 1)
         kept = store.kept
         store.close()
@@ -149,7 +149,7 @@
 
 @contextlib.contextmanager
 def run(folder: Path, **more: object) -> Iterator[Seen]:
-    with Host(folder, KEEPERS, MEMBERS, budgets=(BUDGET,), skewed=True, **more) as host:
+    with Cluster(folder, KEEPERS, MEMBERS, budgets=(BUDGET,), skewed=True, **more) as host:
         host.start()
         seen = Seen(host)
         try:
@@ -168,7 +168,7 @@
 @pytest.fixture
 def fleet(shared: Seen) -> Iterator[Seen]:
     # One that failed before leaves this one a whole fleet.
-    shared.host.ways.heal()
+    shared.host.proxies.heal()
     for node in shared.host.nodes.values():
         node.wake()
         (node.folder / "full").unlink(missing_ok=True)
@@ -197,10 +197,10 @@
 def test_a_member_that_slept_finds_out_before_it_acts(fleet: Seen) -> None:
     old, node = fleet.fence("m1"), fleet.host.nodes["m1"]
     node.pause()
-    until(lambda: fleet.fence("m1") is None, HELD)
+    wait_until(lambda: fleet.fence("m1") is None, HELD)
     states = len(fleet.said("m1", "session is now"))
     node.wake()
-    until(lambda: fleet.state("m1").startswith("held") and fleet.fence("m1"), HELD)
+    wait_until(lambda: fleet.state("m1").startswith("held") and fleet.fence("m1"), HELD)
     new = fleet.fence("m1")
     assert new.session > old.session and new.boot == old.boot + 1
     told = [line.partition("state=")[2].split()[0] for line in fleet.said("m1", "session is now")[states:]]
@@ -214,11 +214,11 @@
     for name in lost:
         fleet.host.nodes[name].kill()
     for name in MEMBERS:
-        until(lambda name=name: fleet.state(name).startswith("lapsed"), HELD)
-        until(lambda name=name: len(fleet.said(name, "keepers fail")) > before[name], HELD)
+        wait_until(lambda name=name: fleet.state(name).startswith("lapsed"), HELD)
+        wait_until(lambda name=name: len(fleet.said(name, "keepers fail")) > before[name], HELD)
     for name in MEMBERS:
         counters = fleet.host.nodes[name].counters()
-        until(
+        wait_until(
             lambda name=name, had=counters: fleet.host.nodes[name].counters().get("fleet.failed.no_quorum", 0)
             > had.get("fleet.failed.no_quorum", 0),
             HELD,
@@ -249,10 +249,10 @@
     boot, node = fleet.fence("m2").boot, fleet.host.nodes["m2"]
     assert node.stop() == 0
     stopped = time.monotonic()
-    until(lambda: fleet.fence("m2") is None, HELD)
+    wait_until(lambda: fleet.fence("m2") is None, HELD)
     assert time.monotonic() - stopped < 0.5, "it was left to lapse"
     node.start()
-    until(lambda: fleet.fence("m2"), HELD)
+    wait_until(lambda: fleet.fence("m2"), HELD)
     assert fleet.fence("m2").boot == boot + 1
 
 
@@ -261,41 +261,44 @@
     leader = fleet.leader()
     name = next(one for one in KEEPERS if one != leader)
     node = fleet.host.nodes[name]
-    node.copied("older")
+    node.back_up_data("older")
     fleet.a_lease_passes()
-    until(lambda: fleet.replayed(name, fleet.ask("hash")[0]) == fleet.ask("hash")[1], HELD)
+    wait_until(lambda: fleet.replayed(name, fleet.ask("hash")[0]) == fleet.ask("hash")[1], HELD)
     had = len(node.log.read_text())
-    fleet.host.carry(faults.Fault(0, faults.DISK_TORN if kind == "torn" else faults.OLD_DISK, (name,)))
+    fleet.host.inject(faults.Fault(0, faults.DISK_TORN if kind == "torn" else faults.OLD_DISK, (name,)))
     error = {"torn": DamagedBooksError, "older": OlderDiskError}[kind]
     word = f"fault={error.code}"
     try:
-        until(lambda: word in node.log.read_text()[had:], HELD)
+        wait_until(lambda: word in node.log.read_text()[had:], HELD)
         fleet.settled()
         lines = [line for line in node.log.read_text()[had:].splitlines() if word in line]
         assert len(lines) == 1 and "level=error" in lines[0], lines
         assert error.remedy in lines[0]
     finally:
-        fleet.host.carry(faults.Fault(0, faults.DISK_BACK, (name,)))
+        fleet.host.inject(faults.Fault(0, faults.DISK_BACK, (name,)))
 
 
 def test_a_full_disk_steps_out_and_goes_on(fleet: Seen) -> None:
     leader = fleet.leader()
     node = fleet.host.nodes[leader]
-    fleet.host.carry(faults.Fault(0, faults.DISK_FULL, (leader,)))
+    fleet.host.inject(faults.Fault(0, faults.DISK_FULL, (leader,)))
     with contextlib.suppress(AssertionError, IndexError, TypeError):
         fleet.guest()
-    until(lambda: "keeper steps out" in node.log.read_text(), HELD)
-    until(lambda: fleet.leader() != leader, HELD)
-    fleet.host.carry(faults.Fault(0, faults.DISK_FREE, (leader,)))
-    until(lambda: "keeper goes on" in node.log.read_text(), HELD)
+    wait_until(lambda: "keeper steps out" in node.log.read_text(), HELD)
+    wait_until(lambda: fleet.leader() != leader, HELD)
+    fleet.host.inject(faults.Fault(0, faults.DISK_FREE, (leader,)))
+    wait_until(lambda: "keeper goes on" in node.log.read_text(), HELD)
 
 
 WAYS = {
-    "silent": (Mode(way.SILENT), None),
-    "cut": (Mode(way.CUT), None),
-    "deaf": (Mode(way.DEAF, lane=way.THERE), Mode(way.DEAF, lane=way.BACK)),
-    "half-open": (Mode(way.HALF_OPEN), None),
-    "flap": (Mode(way.FLAP, period=SECOND // 5), None),
+    "silent": (Mode(faulty_proxy.SILENT), None),
+    "cut": (Mode(faulty_proxy.CUT), None),
+    "deaf": (
+        Mode(faulty_proxy.DEAF, direction=faulty_proxy.TO_SERVER),
+        Mode(faulty_proxy.DEAF, direction=faulty_proxy.TO_CLIENT),
+    ),
+    "half-open": (Mode(faulty_proxy.HALF_OPEN), None),
+    "flap": (Mode(faulty_proxy.FLAP, period=SECOND // 5), None),
 }
 
 
@@ -305,18 +308,18 @@
     other = next(name for name in KEEPERS if name != leader)
     spared = list(fleet.host.nodes)
     if kind == "site":
-        fleet.host.around(KEEPERS[leader], Mode(way.SILENT))
+        fleet.host.set_site_links(KEEPERS[leader], Mode(faulty_proxy.SILENT))
         spared = [name for name, site in fleet.host.sites.items() if site != KEEPERS[leader]]
     else:
         # The other reaches the third alone, which hands on what it is told.
-        fleet.host.between(leader, other, *WAYS[kind])
+        fleet.host.set_link(leader, other, *WAYS[kind])
     try:
         before = fleet.fences(*spared)
         fleet.a_lease_passes()
         fleet.settled(*spared)
         assert fleet.fences(*spared) == before
     finally:
-        fleet.host.ways.heal()
+        fleet.host.proxies.heal()
 
 
 def moved(fleet: Seen) -> tuple[str, str, dict[str, Fence | None]]:
@@ -331,7 +334,9 @@
         former, before, had = fleet.leader(), fleet.fences(), times()
         began = time.monotonic()
         fleet.host.nodes[former].pause()
-        new = until(lambda had=had: next((one for one, led in times().items() if led > had[one]), ""), LEADS)
+        new = wait_until(
+            lambda had=had: next((one for one, led in times().items() if led > had[one]), ""), LEADS
+        )
         if (time.monotonic() - began) * SECOND < fleet.terms.lease / 2:
             return former, new, before
         fleet.host.nodes[former].wake()
@@ -342,7 +347,7 @@
 @pytest.mark.parametrize("kind", WAYS)
 def test_the_lead_moves_to_where_the_former_leader_cant_reach_it(fleet: Seen, kind: str) -> None:
     former, new, before = moved(fleet)
-    fleet.host.between(former, new, *WAYS[kind])
+    fleet.host.set_link(former, new, *WAYS[kind])
     fleet.host.nodes[former].wake()
     try:
         fleet.a_lease_passes()
@@ -357,7 +362,7 @@
         fleet.settled()
         assert fleet.fences() == before
     finally:
-        fleet.host.ways.heal()
+        fleet.host.proxies.heal()
 
 
 OTHER = """import runpy, sys
@@ -388,7 +393,7 @@
     runner = node.folder / "runner.py"
     runner.write_text(OTHER)
     with monkeypatch.context() as patch:
-        patch.setattr(node, "words", lambda: [str(runner), kind, *RelayProcess.words(node)[1:]])
+        patch.setattr(node, "command", lambda: [str(runner), kind, *RelayProcess.command(node)[1:]])
         patch.setattr(
             subprocess, "Popen", lambda words, **more: POPEN([word for word in words if word != "-m"], **more)
         )
@@ -412,11 +417,12 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_script_of_faults(tmp_path: Path, seed: int) -> None:
     plan = faults.Plan(
-        tuple(KEEPERS.items()), tuple(MEMBERS.items()), lasts=5 * SECOND, gap=SECOND // 2, lease=SECOND
+        tuple(KEEPERS.items()), tuple(MEMBERS.items()), duration=5 * SECOND, gap=SECOND // 2, lease=SECOND
     )
     with run(tmp_path) as fleet:
-        fleet.host.leader = fleet.leader
-        fleet.host.play(faults.script(seed, plan), threading.Event(), print)
+        fleet.host.find_leader = fleet.leader
+        script = faults.generate_script(seed, plan)
+        fleet.host.play(script, threading.Event(), lambda fault: print(faults.describe(fault)))
         fleet.settled()
         fleet.whole()
         for name, node in fleet.host.nodes.items():
--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -9,16 +9,22 @@
 
 from laurelcourse.fleet.books.forms import RATE, Budget
 from laurelcourse.lab import keepers, keepers_guards
-from laurelcourse.lab.checks.linearizability import NEVER, Op, linearizable, session_step, stale
-from laurelcourse.lab.checks.logs import lost
-from laurelcourse.lab.checks.shares import Holding, over_whole
-from laurelcourse.lab.keepers_script import KINDS
+from laurelcourse.lab.checks.linearizability import (
+    NEVER,
+    Operation,
+    is_linearizable,
+    session_step,
+    stale_reads,
+)
+from laurelcourse.lab.checks.logs import lost_commands
+from laurelcourse.lab.checks.shares import Holding, budgets_exceeded
+from laurelcourse.lab.keepers_faults import KINDS
 
 SHORT, SETTLES = 1_500_000, 1_300_000
 
 
-def op(began: int, ended: int, what: str, *told: int) -> Op:
-    return Op(began, ended, what, told)
+def op(start: int, end: int, kind: str, *result: int) -> Operation:
+    return Operation(start, end, kind, result)
 
 
 @pytest.mark.parametrize(
@@ -39,13 +45,13 @@
         ([op(1, 2, "open", 3), op(3, NEVER, "close", 3), op(5, 6, "look", 3)], True),
     ],
 )
-def test_histories_of_a_name(history: list[Op], fits: bool) -> None:
-    assert linearizable(history, (0, False), session_step) is fits
+def test_histories_of_a_name(history: list[Operation], fits: bool) -> None:
+    assert is_linearizable(history, (0, False), session_step) is fits
 
 
 def test_a_search_that_is_too_long_settles_nothing() -> None:
     many = [op(1, 100, "open", number) for number in range(1, 30)] + [op(101, 102, "look", 99)]
-    assert linearizable(many, (0, False), session_step, most=50) is None
+    assert is_linearizable(many, (0, False), session_step, max_steps=50) is None
 
 
 @pytest.mark.parametrize(
@@ -59,32 +65,35 @@
     ],
 )
 def test_looks_at_what_only_grows(looks: list[tuple[int, int, int]], found: int) -> None:
-    assert len(stale([op(began, ended, "hash", told) for began, ended, told in looks])) == found
+    assert len(stale_reads([op(began, ended, "hash", told) for began, ended, told in looks])) == found
 
 
 def test_sums_of_shares_and_answers_that_are_gone() -> None:
     budget = Budget("tries", RATE, 100, 2, 10, 0, 0)
     fits = [Holding("r1", "tries", 50), Holding("r2", "tries", 30), Holding("r1", "other", 99)]
-    assert over_whole([budget], fits) == []
-    assert over_whole([budget], [*fits, Holding("r3", "tries", 1)]) == [
+    assert budgets_exceeded([budget], fits) == []
+    assert budgets_exceeded([budget], [*fits, Holding("r3", "tries", 1)]) == [
         "tries: 101 of 100: r1 50, r2 30, r3 1"
     ]
-    gone = lost([(1, "r1", ("x", 1)), (2, "r1", ("x", 2))], {("x", 1)})
+    gone = lost_commands([(1, "r1", ("x", 1)), (2, "r1", ("x", 2))], {("x", 1)})
     assert [(one.check, one.at) for one in gone] == [("committed_lost", 2)]
 
 
 @pytest.mark.parametrize("kind", sorted(KINDS))
 def test_short_runs_hold_and_end_with_a_leader(kind: str) -> None:
-    ran = [keepers.one(seed, kind, SHORT, SETTLES) for seed in range(8)]
+    ran = [keepers.simulate(seed, kind, SHORT, SETTLES) for seed in range(8)]
     assert [(one.seed, one.breaches[:2]) for one in ran if one.breaches] == []
     assert [one.seed for one in ran if one.leaderless] == []
-    assert sum(one.commands for one in ran) >= 40 and not any(one.unsettled for one in ran)
-    assert kind != "disks" or any(one.refusals for one in ran)
-    assert kind != "hands" or sum(one.handed for one in ran) >= 20
+    assert sum(one.commands for one in ran) >= 40 and not any(one.undecided for one in ran)
+    assert kind != "disks" or any(one.refused_disks for one in ran)
+    assert kind != "hands" or sum(one.forwarded for one in ran) >= 20
 
 
 def test_one_seed_is_one_run_whatever_else_differs() -> None:
-    words = "from laurelcourse.lab import keepers; print(keepers.one(5, 'all', 900_000, 500_000).print)"
+    words = (
+        "from laurelcourse.lab import keepers; "
+        "print(keepers.simulate(5, 'all', 900_000, 500_000).fingerprint)"
+    )
     told = {
         subprocess.run(
             [sys.executable, "-c", words],
@@ -96,8 +105,8 @@
         ).stdout.strip()
         for salt in ("1", "2")
     }
-    assert told == {keepers.one(5, "all", 900_000, 500_000).print}
-    assert keepers.one(6, "all", 900_000, 500_000).print not in told
+    assert told == {keepers.simulate(5, "all", 900_000, 500_000).fingerprint}
+    assert keepers.simulate(6, "all", 900_000, 500_000).fingerprint not in told
 
 
 # by check: a kind of run, and how many seeds of it are tried at most
@@ -114,20 +123,20 @@
 
 
 def broken(seed: int, kind: str) -> set[str]:
-    return {one.check for one in keepers.one(seed, kind, 3_000_000, SETTLES).breaches}
+    return {one.check for one in keepers.simulate(seed, kind, 3_000_000, SETTLES).breaches}
 
 
 @pytest.mark.parametrize("check", keepers.CHECKS)
 def test_each_check_fails_without_its_guard(check: str) -> None:
     kind, seeds = WITHOUT[check]
-    with keepers_guards.out(check):
+    with keepers_guards.without_guard(check):
         found = next((seed for seed in range(seeds) if check in broken(seed, kind)), None)
     assert found is not None
     assert not broken(found, kind)
 
 
 def test_the_lab_reports_its_checks_and_figures() -> None:
-    report = keepers.run(3, 2.5, scales=(30,), cores=2)
+    report = keepers.run(3, 2.5, relay_counts=(30,), cores=2)
     assert report.holds and {one.name for one in report.checks} == set(keepers_guards.GUARDS)
     assert report.figures["runs"] >= 2 and report.figures["steps"] > 0
     assert report.figures["bytes_a_relay_a_second_30"] < 1024 and report.figures["commands_a_second_30"] > 0
--- a/tests/test_fleet_transfers_lab.py
+++ b/tests/test_fleet_transfers_lab.py
@@ -12,7 +12,7 @@
 from laurelcourse.fleet.orders import Submit
 from laurelcourse.fleet.transfers import plan, solver
 from laurelcourse.lab import transfers
-from laurelcourse.lab.transfers_reqs import LEAST, Took, compared
+from laurelcourse.lab.request_load import MIN_REQUESTS, Latency, compare_latencies
 
 
 @pytest.mark.parametrize("found", [None, solver.SolverPlan({}, 1, False)])
@@ -22,22 +22,22 @@
     room, wants = instance(1, 16, 6, 80)
     monkeypatch.setattr(transfers.solver, "solve", lambda *_, **__: found)
     assert (
-        transfers.yardstick(room, tuple(wants), 2.0)
+        transfers.max_earnings(room, tuple(wants), 2.0)
         == plan.total_earnings(wants, plan.make_plan(room, wants))
         > 0
     )
 
 
-@pytest.mark.parametrize("count, ratio", [(LEAST, 3.0), (LEAST - 1, -1)])
+@pytest.mark.parametrize("count, ratio", [(MIN_REQUESTS, 3.0), (MIN_REQUESTS - 1, -1)])
 def test_the_ratio_is_of_what_was_measured_on_both_sides(count: int, ratio: float) -> None:
     took = [
-        Took(at + number / 1000, seconds)
+        Latency(at + number / 1000, seconds)
         for at, seconds in ((1, 0.002), (3, 0.006), (5, 0.9))
-        for number in range(count if at == 3 else LEAST)
+        for number in range(count if at == 3 else MIN_REQUESTS)
     ]
-    told = compared(took, (1.0, 2.0), (3.0, 4.0))
+    told = compare_latencies(took, (1.0, 2.0), (3.0, 4.0))
     assert told["reqs_p99_ratio"] == ratio and told["reqs_p99_beside_ms"] == 6.0
-    assert (told["reqs_without"], told["reqs_beside"]) == (LEAST, count)
+    assert (told["reqs_without"], told["reqs_beside"]) == (MIN_REQUESTS, count)
 
 
 @pytest.mark.parametrize("leaks", [False, True])
@@ -51,7 +51,7 @@
         count += 1
         told(books.apply(count, Batch(0, 1, order.commands)))
 
-    links = tuple(Link(one, to, transfers.USABLE, 0) for one, to in ("ab", "ba"))
+    links = tuple(Link(one, to, transfers.USABLE_RATE, 0) for one, to in ("ab", "ba"))
     submit(Submit((Command(None, 1, Places(links, (Site("a", 2), Site("b", 2)))),)), list)
     if leaks:
         book = reservations._set_pieces
@@ -60,6 +60,6 @@
             "_set_pieces",
             lambda state, there, pieces: book(state, there, pieces) if pieces else None,
         )
-    lab = transfers.Lab.__new__(transfers.Lab)
-    lab.client, lab.time = SimpleNamespace(submit=submit), lambda: 0
-    assert [lab.free(*way) for way in ("ab", "ba")] == [not leaks] * 2
+    lab = transfers.TransferLab.__new__(transfers.TransferLab)
+    lab.client, lab.books_time = SimpleNamespace(submit=submit), lambda: 0
+    assert [lab.is_free(*way) for way in ("ab", "ba")] == [not leaks] * 2
--- a/tests/test_fleet_way.py
+++ b/tests/test_fleet_way.py
@@ -11,17 +11,29 @@
 from pathlib import Path
 
 import pytest
-from conftest import ROOT, until
+from conftest import ROOT, wait_until
 
 from laurelcourse.lab import faults
-from laurelcourse.lab.faults import ALL, ENDS, LEADER, SITE, Fault, Plan, line, script
-from laurelcourse.lab.host import Host
+from laurelcourse.lab.cluster import Cluster
+from laurelcourse.lab.faults import ALL, ENDS, LEADER, SITE, Fault, Plan, describe, generate_script
 from laurelcourse.operator import reading
-from laurelcourse.standins.base import Stand
-from laurelcourse.standins.way import BACK, CUT, DEAF, FLAP, HALF_OPEN, OPEN, SILENT, SLOW, THERE, Mode, Ways
+from laurelcourse.standins.base import StandIn
+from laurelcourse.standins.faulty_proxy import (
+    CUT,
+    DEAF,
+    FLAP,
+    HALF_OPEN,
+    OPEN,
+    SILENT,
+    SLOW,
+    TO_CLIENT,
+    TO_SERVER,
+    FaultyProxies,
+    Mode,
+)
 
 
-class Echo(Stand):
+class Echo(StandIn):
     """Gives back what it gets, and keeps it."""
 
     def serve(self, conn: socket.socket, stream: object) -> None:
@@ -35,7 +47,7 @@
     """One process `a` that reaches the echo of `b` over a way."""
 
     def __init__(self) -> None:
-        self.echo, self.ways = Echo(), Ways()
+        self.echo, self.ways = Echo(), FaultyProxies()
         self.address = self.ways.open("a", "b", ("127.0.0.3", self.echo.port))
 
     def connect(self, seconds: float = 5.0) -> socket.socket:
@@ -90,8 +102,8 @@
         (Mode(OPEN), b"hello", b"hello", True, True),
         (Mode(CUT), "reset", "refused", False, False),
         (Mode(SILENT), "nothing", "unheard", False, True),
-        (Mode(DEAF, lane=THERE), "nothing", "nothing", False, True),
-        (Mode(DEAF, lane=BACK), "nothing", "nothing", True, True),
+        (Mode(DEAF, direction=TO_SERVER), "nothing", "nothing", False, True),
+        (Mode(DEAF, direction=TO_CLIENT), "nothing", "nothing", True, True),
         (Mode(HALF_OPEN), "nothing", "nothing", False, True),
         (Mode(SLOW, delay=700_000), "nothing", "nothing", False, True),
         (Mode(SLOW, delay=20_000), b"hello", b"hello", True, True),
@@ -106,7 +118,7 @@
     # That nothing comes is seen after a while; what comes is waited for.
     assert pair.asks(sock, b"hello", 0.15 if old == "nothing" else 5) == old
     if heard:
-        until(lambda: pair.echo.got == b"firsthello")
+        wait_until(lambda: pair.echo.got == b"firsthello")
     assert (pair.echo.got == b"firsthello") is heard
     assert pair.anew(0.15 if new in ("nothing", "unheard") else 5) == new
     pair.ways.heal()
@@ -118,17 +130,17 @@
     with pair.connect() as fresh:
         assert pair.asks(fresh, b"fresh") == b"fresh"
     sock.close()
-    until(lambda: pair.ways.counts("a", "b").held == 0)
+    wait_until(lambda: pair.ways.counts("a", "b").open_connections == 0)
 
 
 def test_bytes_and_connections_are_counted_each_way(pair: Pair) -> None:
     with pair.connect() as one, pair.connect() as other:
         assert pair.asks(one, b"x" * 300_000) == b"x" * 300_000 and pair.asks(other, b"y") == b"y"
         # What has come may be counted a moment later.
-        until(lambda: pair.ways.counts("a", "b") == (2, 2, 300_001, 300_001))
-        pair.set(DEAF, lane=BACK)
+        wait_until(lambda: pair.ways.counts("a", "b") == (2, 2, 300_001, 300_001))
+        pair.set(DEAF, direction=TO_CLIENT)
         assert pair.asks(one, b"z" * 1000, 0.15) == "nothing"
-        until(lambda: pair.ways.counts("a", "b") == (2, 2, 301_001, 300_001))
+        wait_until(lambda: pair.ways.counts("a", "b") == (2, 2, 301_001, 300_001))
 
 
 def test_a_slow_way_keeps_its_rate_and_delay(pair: Pair) -> None:
@@ -156,7 +168,7 @@
         sock.sendall(b"bye")
         sock.shutdown(socket.SHUT_WR)
         assert sock.recv(100) == b"bye" and sock.recv(100) == b""
-    until(lambda: pair.ways.counts("a", "b").held == 0)
+    wait_until(lambda: pair.ways.counts("a", "b").open_connections == 0)
     pair.echo.close()
     assert pair.anew() in ("reset", "ended")
 
@@ -167,14 +179,16 @@
     for turn in range(1000):
         pair.set((OPEN, SILENT, DEAF, HALF_OPEN, SLOW)[turn % 5])
     pair.set(CUT)
-    assert pair.ways.counts("a", "b").held == 0 and threading.active_count() <= threads + len(socks)
+    assert pair.ways.counts("a", "b").open_connections == 0 and threading.active_count() <= threads + len(
+        socks
+    )
     for sock in socks:
         sock.close()
 
 
 KEEPERS = (("k1", "a"), ("k2", "b"), ("k3", "c"), ("k4", "a"), ("k5", "b"))
 MEMBERS = (("m1", "a"), ("m2", "b"), ("m3", "c"))
-EVERY = (*faults.USUAL, faults.KILL_ALL, faults.DISK_TORN, faults.OLD_DISK)
+EVERY = (*faults.DEFAULT_KINDS, faults.KILL_ALL, faults.DISK_TORN, faults.OLD_DISK)
 
 
 def most_down(found: tuple, keepers: dict[str, str]) -> tuple[int, set]:
@@ -184,10 +198,10 @@
     for one in found:
         if one.kind in ENDS:
             # No fault begins on one of the same that has not ended.
-            assert (ENDS[one.kind], one.who) not in open_
-            open_[ENDS[one.kind], one.who] = one.kind
+            assert (ENDS[one.kind], one.targets) not in open_
+            open_[ENDS[one.kind], one.targets] = one.kind
         else:
-            del open_[one.kind, one.who]
+            del open_[one.kind, one.targets]
         # The end of one fault must not end another: a site's heals its ways, ALL's starts everyone.
         down: set[str] = set()
         others = [who for (_, who), kind in open_.items() if kind != faults.WRONG_CLOCK]
@@ -208,14 +222,21 @@
 
 @pytest.mark.parametrize("down, count, beyond", [(1, 3, False), (2, 5, False), (1, 3, True)])
 def test_a_script_keeps_its_bounds_and_heals_all(down: int, count: int, beyond: bool) -> None:
-    plan = Plan(KEEPERS[:count], MEMBERS, lasts=120_000_000, kinds=EVERY, down=down, beyond=beyond)
+    plan = Plan(
+        KEEPERS[:count],
+        MEMBERS,
+        duration=120_000_000,
+        kinds=EVERY,
+        max_keepers_down=down,
+        allow_quorum_loss=beyond,
+    )
     kinds, most = set(), 0
     for seed in range(60):
-        found = script(seed, plan)
+        found = generate_script(seed, plan)
         reached, left = most_down(found, dict(plan.keepers))
         assert not left and (beyond or reached <= down)
-        assert [one.at for one in found] == sorted(one.at for one in found) and found[-1].at < plan.lasts
-        assert all(one.at <= plan.lasts * 5 // 6 for one in found if one.kind != faults.RIGHT_CLOCK)
+        assert [one.at for one in found] == sorted(one.at for one in found) and found[-1].at < plan.duration
+        assert all(one.at <= plan.duration * 5 // 6 for one in found if one.kind != faults.RIGHT_CLOCK)
         assert len(found) > 40
         kinds |= {one.kind for one in found}
         most = max(most, reached)
@@ -227,8 +248,8 @@
 
 def test_the_same_seed_gives_the_same_script_and_readable_lines() -> None:
     plan = Plan(KEEPERS[:3], MEMBERS)
-    assert script(7, plan) == script(7, plan) != script(8, plan)
-    lines = [line(one) for one in script(7, plan)]
+    assert generate_script(7, plan) == generate_script(7, plan) != generate_script(8, plan)
+    lines = [describe(one) for one in generate_script(7, plan)]
     assert lines[:4] == [
         "    2.183 s  disk-full    k1",
         "    3.141 s  pause        m1",
@@ -241,18 +262,18 @@
 def test_real_relays_meet_each_fault_and_none_is_left(tmp_path: Path) -> None:
     budget = {"name": "resends", "kind": "rate", "whole": "100", "relays": "4"}
     pids: list[int] = []
-    with Host(
+    with Cluster(
         tmp_path,
         {"k1": "a", "k2": "b", "k3": "c"},
         {"m1": "a"},
         budgets=(budget,),
         skewed=True,
-        leader=lambda: "k2",
+        find_leader=lambda: "k2",
     ) as host:
         nodes = host.start().nodes
 
         def meet(kind: str, *who: str, **figures: int) -> None:
-            host.carry(Fault(0, kind, who, **figures))
+            host.inject(Fault(0, kind, who, **figures))
 
         def alive() -> str:
             pids.extend(node.process.pid for node in nodes.values())
@@ -260,22 +281,22 @@
 
         def kinds() -> set[tuple[str, str, str, int]]:
             return {
-                (*pair, one.mode.kind, one.mode.lane)
-                for pair, one in host.ways.ways.items()
+                (*pair, one.mode.kind, one.mode.direction)
+                for pair, one in host.proxies.proxies.items()
                 if one.mode.kind != OPEN
             }
 
         fleet = reading.read(str(nodes["k1"].operator)).fleet
         assert [one.address for one in fleet.keepers] == [
-            host.at["k1"],
-            host.ways.ways["k1", "k2"].address,
-            host.ways.ways["k1", "k3"].address,
+            host.keeper_addresses["k1"],
+            host.proxies.proxies["k1", "k2"].address,
+            host.proxies.proxies["k1", "k3"].address,
         ]
         assert alive() == "k1 k2 k3 m1"
         meet(faults.PAUSE, "m1")
-        assert nodes["m1"].state() == "T"
+        assert nodes["m1"].process_state() == "T"
         meet(faults.WAKE, "m1")
-        until(lambda: nodes["m1"].state() != "T")
+        wait_until(lambda: nodes["m1"].process_state() != "T")
         before = nodes["k2"].process.pid
         meet(faults.KILL_LEADER, LEADER)
         assert alive() == "k1 k3 m1"
@@ -284,16 +305,16 @@
         meet(faults.KILL_ALL, ALL)
         assert alive() == ""
         meet(faults.RESTART, ALL)
-        meet(faults.WRONG_CLOCK, "k3", figure=5, rate=7)
+        meet(faults.WRONG_CLOCK, "k3", value=5, rate=7)
         assert (nodes["k3"].folder / "clock").read_text() == "5 7" and alive() == "k1 k2 k3 m1"
         meet(faults.CUT, "k1", "k2")
         assert kinds() == {("k1", "k2", CUT, 0), ("k2", "k1", CUT, 0)}
         meet(faults.HEAL, "k1", "k2")
         meet(faults.DEAF, "m1", "k2")
-        assert kinds() == {("m1", "k2", DEAF, THERE)}
+        assert kinds() == {("m1", "k2", DEAF, TO_SERVER)}
         meet(faults.HEAL, "m1", "k2")
         meet(faults.DEAF, "k2", "m1")
-        assert kinds() == {("m1", "k2", DEAF, BACK)}
+        assert kinds() == {("m1", "k2", DEAF, TO_CLIENT)}
         meet(faults.HEAL, "k2", "m1")
         meet(faults.SITE_CUT, "@a")
         assert {found[:2] for found in kinds()} == {
@@ -307,7 +328,7 @@
         meet(faults.HEAL, "@a")
         assert not kinds()
         for node in nodes.values():
-            until(lambda node=node: node.log.read_text().count("msg=serving") >= 2, 20)
+            wait_until(lambda node=node: node.log.read_text().count("msg=serving") >= 2, 20)
         assert nodes["m1"].stop() == 0 and alive() == "k1 k2 k3"
     # What was waited for has no entry, or one that was used again by another.
     assert all(not node.alive() for node in nodes.values())
@@ -320,13 +341,13 @@
 
 
 def test_disks_are_torn_made_old_and_put_back(tmp_path: Path) -> None:
-    with Host(tmp_path, {"k1": "a"}, {}, {"alone": "true"}) as host:
+    with Cluster(tmp_path, {"k1": "a"}, {}, {"alone": "true"}) as host:
         node = host.nodes["k1"]
         node.start = lambda wait=True: None
-        file = node.books / "some" / "file"
+        file = node.data_folder / "some" / "file"
         file.parent.mkdir(parents=True)
         file.write_text("older")
-        node.copied("older")
+        node.back_up_data("older")
         file.write_text("newest!!")
         for kind, found in (
             (faults.DISK_TORN, "newe"),
@@ -334,21 +355,21 @@
             (faults.OLD_DISK, "older"),
             (faults.DISK_BACK, "newest!!"),
         ):
-            host.carry(Fault(0, kind, ("k1",)))
+            host.inject(Fault(0, kind, ("k1",)))
             assert file.read_text() == found
         with pytest.raises(ValueError, match="skewed=True"):
-            host.carry(Fault(0, faults.DISK_FULL, ("k1",)))
+            host.inject(Fault(0, faults.DISK_FULL, ("k1",)))
 
 
 def test_a_script_is_played_at_its_times_until_it_is_over(tmp_path: Path) -> None:
-    with Host(tmp_path, {"k1": "a", "k2": "b", "k3": "c"}, {}) as host:
+    with Cluster(tmp_path, {"k1": "a", "k2": "b", "k3": "c"}, {}) as host:
         found: list[tuple[str, float, str]] = []
         began = time.monotonic()
         host.play(
             (Fault(20_000, faults.CUT, ("k1", "k2")), Fault(60_000, faults.HEAL, ("k1", "k2"))),
             threading.Event(),
-            lambda told: found.append(
-                (told.split()[2], time.monotonic() - began, host.ways.ways["k1", "k2"].mode.kind)
+            lambda fault: found.append(
+                (fault.kind, time.monotonic() - began, host.proxies.proxies["k1", "k2"].mode.kind)
             ),
         )
         assert [(kind, before) for kind, _, before in found] == [("cut", OPEN), ("heal", CUT)]
@@ -356,7 +377,7 @@
         over = threading.Event()
         over.set()
         host.play((Fault(10**9, faults.CUT, ("k1", "k2")),), over)
-        assert host.ways.ways["k1", "k2"].mode.kind == OPEN
+        assert host.proxies.proxies["k1", "k2"].mode.kind == OPEN
 
 
 PROBE = """
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,7 @@
 from conftest import ROOT
 
 from laurelcourse.lab.guards import GUARDS
-from laurelcourse.standins.base import until
+from laurelcourse.standins.base import wait_until
 
 SECONDS = {"relay": "37", "tuf": "24"}
 AT_ONCE = 5  # so that the machine can still keep time
@@ -47,15 +47,16 @@
 import sys, threading, time
 from pathlib import Path
 from laurelcourse.lab.process import RelayProcess
-from laurelcourse.standins.base import until
-RelayProcess.words = lambda self: ["http.server", "0", "--bind", "127.0.0.1"]
+from laurelcourse.standins.base import wait_until
+RelayProcess.command = lambda self: ["http.server", "0", "--bind", "127.0.0.1"]
 relays = [RelayProcess(Path(sys.argv[1]) / name, {}) for name in "ab"]
 for one in relays:                      # by threads that end, as scripts of faults do
     thread = threading.Thread(target=one.start, args=(False,))
     thread.start()
     thread.join()
 relays[1].process.send_signal(19)       # SIGSTOP
-until(lambda: Path(f"/proc/{relays[1].process.pid}/stat").read_text().rpartition(")")[2].split()[0] == "T")
+stat = Path(f"/proc/{relays[1].process.pid}/stat")
+wait_until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
 print(*(one.process.pid for one in relays if one.alive()), flush=True)
 time.sleep(60)
 """
@@ -78,7 +79,7 @@
         one.kill()
     try:
         assert len(pids) == 2
-        until(lambda: all(map(ended, pids)))
+        wait_until(lambda: all(map(ended, pids)))
     finally:
         for pid in pids:
             with contextlib.suppress(ProcessLookupError):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,9 +21,9 @@
 from laurelcourse.net.shutdown import DRAINING, LEAVING, OVER, SERVING, Shutdown
 from laurelcourse.net.tries import OUTCOME, TryRunner
 from laurelcourse.settings import SettingsTree
-from laurelcourse.standins.base import STAND_IN
-from laurelcourse.standins.postgres import IDLE, ROW, UnitStand, failure, pg, sql
-from laurelcourse.standins.settings import OUTSIDE
+from laurelcourse.standins.base import STAND_IN_HOST
+from laurelcourse.standins.postgres import READY, ROW, UnitStandIn, build_query, pack_error, pack_message
+from laurelcourse.standins.settings import PLATFORM_SETTINGS
 
 TAGGED = ROW.replace(b"\x0dSELECT 1", b"\x0fINSERT 0 1")
 CHUNKED = (
@@ -92,11 +92,11 @@
 
 
 def test_frames_wait_for_their_last_byte() -> None:
-    raw = pg(b"Q", b"text\0")
+    raw = pack_message(b"Q", b"text\0")
     for end in range(len(raw)):
         assert postgres.parse_frame(raw, 0, end, 100) is None
     assert postgres.parse_frame(raw + b"X", 0, len(raw) + 1, 100) == (ord("Q"), 5, len(raw))
-    assert postgres.parse_frame(pg(b"Q", bytes(200))[:5], 0, 5, 100).end == 205
+    assert postgres.parse_frame(pack_message(b"Q", bytes(200))[:5], 0, 5, 100).end == 205
     with pytest.raises(postgres.ProtocolError):
         postgres.parse_frame(b"Q\0\0\0\3", 0, 5, 100)
 
@@ -104,11 +104,11 @@
 @pytest.mark.parametrize(
     "raw, whole, code, ready",
     [
-        (ROW + IDLE, ROW, "", True),
-        (failure("53300") + IDLE, None, "53300", True),
+        (ROW + READY, ROW, "", True),
+        (pack_error("53300") + READY, None, "53300", True),
         (ROW, ROW, "", False),
-        (failure("XX000"), None, "XX000", False),
-        (TAGGED + IDLE, TAGGED, "", True),
+        (pack_error("XX000"), None, "XX000", False),
+        (TAGGED + READY, TAGGED, "", True),
     ],
 )
 def test_a_units_answer(raw: bytes, whole: bytes | None, code: str, ready: bool) -> None:
@@ -129,21 +129,21 @@
         ROW.replace(b"SELECT 1\0", b"SELECT 10"),
         ROW.replace(b"\0\0\0\2\x9f", b"\0\0\0\3\x9f"),
         ROW.replace(b"\0\0\0\2\x9f", b"\xff\xff\xff\xff\x9f"),
-        ROW + pg(b"Z", b"T"),
-        ROW + pg(b"Z", b""),
-        ROW + pg(b"Z", b"II"),
-        ROW + failure("53300"),
-        failure("53300") + ROW,
-        failure("53300") * 2,
-        failure("533"),
-        failure("53300").replace(b"\0Mno\0\0", b"\0Mno!!"),
-        failure("53300").replace(b"Mno", b"\xffno"),
-        pg(b"E", b"C53300\0\0"),
-        pg(b"E", b""),
-        pg(b"S", b"gauges\0x"),
-        pg(b"S"),
+        ROW + pack_message(b"Z", b"T"),
+        ROW + pack_message(b"Z", b""),
+        ROW + pack_message(b"Z", b"II"),
+        ROW + pack_error("53300"),
+        pack_error("53300") + ROW,
+        pack_error("53300") * 2,
+        pack_error("533"),
+        pack_error("53300").replace(b"\0Mno\0\0", b"\0Mno!!"),
+        pack_error("53300").replace(b"Mno", b"\xffno"),
+        pack_message(b"E", b"C53300\0\0"),
+        pack_message(b"E", b""),
+        pack_message(b"S", b"gauges\0x"),
+        pack_message(b"S"),
         b"HTTP/1.1 400",
-        pg(b"?"),
+        pack_message(b"?"),
         b"D\xb3\0\0\0",
         b"T\0\1\0\0",
         b"Z\0\0\0\6",
@@ -235,7 +235,7 @@
 
 
 def test_a_statement_passes_on_but_for_its_time() -> None:
-    text = sql("mark", 480, ",r=1,novel=7")
+    text = build_query("mark", 480, ",r=1,novel=7")
     for words in (text, text.replace("/* id", "/*d=480,id").replace(",d=480,r", ",r").replace(" */", "*/")):
         found = postgres.parse_statement(words.encode())
         assert (found.route, found.left_ms, found.mark, found.repeated) == (
@@ -244,7 +244,7 @@
             "5c0f6e1a2b3d4c59",
             True,
         )
-        assert found.with_wait(17) == pg(b"Q", words.replace("d=480", "d=17").encode() + b"\0")
+        assert found.with_wait(17) == pack_message(b"Q", words.replace("d=480", "d=17").encode() + b"\0")
     for words in (text.replace(",r=1", ",d=1"), text.replace(",r=1", ",r"), text.replace(",r=1", ", d=1")):
         with pytest.raises(postgres.ProtocolError):
             postgres.parse_statement(words.encode())
@@ -282,7 +282,9 @@
 
 
 def test_rests_are_learned_and_forgotten() -> None:
-    rests = IdleLimit(limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE})))
+    rests = IdleLimit(
+        limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS}))
+    )
     for _ in range(50):
         rests.record(0, False)
         rests.record(60_000, False)
@@ -439,14 +441,14 @@
 def test_a_connection_beyond_the_fleets_budget_is_not_opened_and_blames_no_unit(
     scheduler: Scheduler, waits: bool, gives_back: bool, status: str, connections: int
 ) -> None:
-    stand = UnitStand()
-    found = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": OUTSIDE}))
+    stand = UnitStandIn()
+    found = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS}))
     pool = Pool(scheduler, found, Exchange(scheduler, found, True, Counters()).greet, Counters())
     pool.budgets, ends = Bound(waits), []
 
     def work() -> None:
         listed = face.Listed(7, "a", 0, 1, face.READY, 1.0, face.START_UNKNOWN_US)
-        pool.update_units([(listed, (STAND_IN, stand.port))], True)
+        pool.update_units([(listed, (STAND_IN_HOST, stand.port))], True)
         place, until = pool.endpoints[7], scheduler.now() + 2_000_000
         first = pool.acquire(place, until)
         if gives_back:
@@ -458,7 +460,7 @@
     task = scheduler.spawn(work)
     scheduler.run(lambda: task.dead)
     stand.close()
-    assert ends[:2] == [face.OK, status] and len(stand.conns) == connections
+    assert ends[:2] == [face.OK, status] and len(stand.connections) == connections
     assert (ends[2] > found.settle_time) is waits and ends[2] < 2 * found.connect_timeout
     assert pool.budgets.held == []
 
@@ -478,10 +480,10 @@
 def test_a_connection_is_used_again_only_if_it_is_clean(
     scheduler: Scheduler, idle: int, between: str | None, connections: int
 ) -> None:
-    stand = UnitStand()
+    stand = UnitStandIn()
     root = {
         "limits": {"sockets": 64, "memory_mb": 64},
-        "settings": OUTSIDE | {"limits": OUTSIDE["limits"] | {"conn_idle": idle}},
+        "settings": PLATFORM_SETTINGS | {"limits": PLATFORM_SETTINGS["limits"] | {"conn_idle": idle}},
     }
     exchange = Exchange(scheduler, limits(SettingsTree(root)), True, Counters())
     pool = Pool(scheduler, exchange.limits, exchange.greet, Counters())
@@ -490,22 +492,22 @@
     changes = {"build": {"build": 2}, "since": {"started_at": 5}, "gone": {"health": face.GONE}}
 
     def work() -> None:
-        pool.update_units([(listed, (STAND_IN, stand.port))], True)
+        pool.update_units([(listed, (STAND_IN_HOST, stand.port))], True)
         tries.probe(7, box)
         found.append(box.get()[:2])
         if between in changes:
-            pool.update_units([(listed._replace(**changes[between]), (STAND_IN, stand.port))], False)
-            pool.update_units([(listed, (STAND_IN, stand.port))], False)
+            pool.update_units([(listed._replace(**changes[between]), (STAND_IN_HOST, stand.port))], False)
+            pool.update_units([(listed, (STAND_IN_HOST, stand.port))], False)
         elif between == "closed":
-            stand.conns[0].shutdown(socket.SHUT_RDWR)
+            stand.connections[0].shutdown(socket.SHUT_RDWR)
         scheduler.sleep(0 if between == "at once" else 80_000)
-        tries.begin(0, 7, 1_000_000, postgres.parse_statement(sql().encode()), box)
+        tries.begin(0, 7, 1_000_000, postgres.parse_statement(build_query().encode()), box)
         found.append(box.get()[3])
 
     task = scheduler.spawn(work)
     scheduler.run(lambda: task.dead)
     stand.close()
-    assert found == [(7, face.OK), face.OK] and len(stand.conns) == connections
+    assert found == [(7, face.OK), face.OK] and len(stand.connections) == connections
     assert stand.queries[0] == "SHOW gauges" and len(stand.queries) == 2
 
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -9,7 +9,7 @@
 from conftest import ROOT
 
 from laurelcourse.standins import ports
-from laurelcourse.standins.base import RELAY
+from laurelcourse.standins.base import RELAY_HOST
 
 PROCESSES = 4
 PORTS_PER_PROCESS = 3 * ports.BLOCK_SIZE
@@ -45,12 +45,12 @@
 
 def test_a_port_in_use_is_passed_over() -> None:
     reserver = ports.PortReserver()
-    first = reserver.reserve(socket.SOCK_STREAM, RELAY)
-    with socket.create_server((RELAY, first + 1)):
-        assert reserver.reserve(socket.SOCK_STREAM, RELAY) == first + 2
+    first = reserver.reserve(socket.SOCK_STREAM, RELAY_HOST)
+    with socket.create_server((RELAY_HOST, first + 1)):
+        assert reserver.reserve(socket.SOCK_STREAM, RELAY_HOST) == first + 2
 
 
 def test_no_block_left_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ports, "END_PORT", ports.FIRST_PORT)
     with pytest.raises(ports.NoFreePortError):
-        ports.PortReserver().reserve(socket.SOCK_STREAM, RELAY)
+        ports.PortReserver().reserve(socket.SOCK_STREAM, RELAY_HOST)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -18,12 +18,22 @@
 from conftest import ROOT, Served
 
 from laurelcourse import VERSION, messages
-from laurelcourse.standins.base import RELAY, until
-from laurelcourse.standins.deployer import DeployerStand
-from laurelcourse.standins.directory import DirectoryStand
+from laurelcourse.standins.base import RELAY_HOST, wait_until
+from laurelcourse.standins.deployer import DeployerStandIn
+from laurelcourse.standins.directory import DirectoryStandIn
 from laurelcourse.standins.ports import reserve_port
-from laurelcourse.standins.postgres import HELLO, IDLE, LARGE, LARGER, ROW, PgClient, UnitStand, pg, sql
-from laurelcourse.standins.settings import OUTSIDE
+from laurelcourse.standins.postgres import (
+    LARGE_BLOB,
+    LARGER_BLOB,
+    READY,
+    ROW,
+    STARTUP,
+    PgClient,
+    UnitStandIn,
+    build_query,
+    pack_message,
+)
+from laurelcourse.standins.settings import PLATFORM_SETTINGS
 
 COMPLETED, SHED, ERRORED = ("TDCZ", ""), ("EZ", "53300"), ("EZ", "58000")
 
@@ -40,11 +50,11 @@
 def test_a_completed_req_passes_on_statement_and_row_as_they_came(
     shared: Served, route: str, mode: str
 ) -> None:
-    asked, before = sql(route, 1500, ",r=1"), len(shared.queries())
+    asked, before = build_query(route, 1500, ",r=1"), len(shared.queries())
     for unit in shared.units:
         unit.mode = mode
     letters, code, row = shared.client().ask(asked)
-    assert (letters, code) == COMPLETED and pg(b"D", row) in ROW
+    assert (letters, code) == COMPLETED and pack_message(b"D", row) in ROW
     sent = shared.queries()
     assert len(sent) == before + 1
     found = next(query for query in sent if re.sub(r"\bd=\d+", "d=1500", query) == asked)
@@ -83,7 +93,7 @@
         if mode == "closed":
             unit.close()
     began = time.monotonic()
-    assert served.client().ask(sql(route, 900))[:2] == end
+    assert served.client().ask(build_query(route, 900))[:2] == end
     assert time.monotonic() - began < 1.0
     assert len(served.queries()) == queries
 
@@ -92,16 +102,18 @@
 def test_what_follows_a_whole_answer_is_never_the_next_reqs(serve: Callable[..., Served], mode: str) -> None:
     served = serve(units=1, modes=mode)
     for _ in range(10):
-        letters, code, row = served.client().ask(sql("once"))
-        assert (letters, code) == COMPLETED and pg(b"D", row) in ROW
-    assert served.count("tries.ok") == 10 and len(served.units[0].conns) >= 5
+        letters, code, row = served.client().ask(build_query("once"))
+        assert (letters, code) == COMPLETED and pack_message(b"D", row) in ROW
+    assert served.count("tries.ok") == 10 and len(served.units[0].connections) >= 5
 
 
-@pytest.mark.parametrize("mode, value", [("drip", b"\x9f\x03"), ("larger", LARGER)], ids=["drip", "larger"])
+@pytest.mark.parametrize(
+    "mode, value", [("drip", b"\x9f\x03"), ("larger", LARGER_BLOB)], ids=["drip", "larger"]
+)
 def test_slow_and_large_answers_are_whole_answers(
     serve: Callable[..., Served], mode: str, value: bytes
 ) -> None:
-    letters, code, row = serve(modes=mode, memory=32).client().ask(sql("once", 3000))
+    letters, code, row = serve(modes=mode, memory=32).client().ask(build_query("once", 3000))
     assert (letters, code) == COMPLETED and row[6:] == value
 
 
@@ -110,57 +122,57 @@
     client, ends = served.client(), []
     for _ in range(40):
         time.sleep(0.06)  # so that the connection has rested
-        ends.append(client.ask(sql("once"))[:2])
+        ends.append(client.ask(build_query("once"))[:2])
     assert ends.count(ERRORED) <= 4 and ends[8:] == [COMPLETED] * 32
     assert served.count("tries.unreached") == 0 and len(served.units[0].queries) == ends.count(COMPLETED)
 
 
 def test_the_directory_moves_reqs_between_units(serve: Callable[..., Served]) -> None:
-    served, moved = serve(units=1), UnitStand()
+    served, moved = serve(units=1), UnitStandIn()
     client, (first,) = served.client(), served.units
-    assert client.ask(sql())[:2] == COMPLETED
-    served.directory.put("s-0", moved.at)
-    until(lambda: client.ask(sql())[:2] == COMPLETED and moved.queries)
-    other = UnitStand()
-    served.directory.put("s-0", moved.at, phase="leaving")
-    served.directory.put("s-1", other.at)
-    until(lambda: client.ask(sql())[:2] == COMPLETED and other.queries)
+    assert client.ask(build_query())[:2] == COMPLETED
+    served.directory.put("s-0", moved.address)
+    wait_until(lambda: client.ask(build_query())[:2] == COMPLETED and moved.queries)
+    other = UnitStandIn()
+    served.directory.put("s-0", moved.address, phase="leaving")
+    served.directory.put("s-1", other.address)
+    wait_until(lambda: client.ask(build_query())[:2] == COMPLETED and other.queries)
     before = len(first.queries), len(moved.queries)
     for _ in range(20):
-        assert client.ask(sql())[:2] == COMPLETED
+        assert client.ask(build_query())[:2] == COMPLETED
     assert (len(first.queries), len(moved.queries)) == before
 
 
 def test_a_client_that_goes_away_ends_its_req(serve: Callable[..., Served]) -> None:
     served = serve(modes="silent")
     client = served.client()
-    client.send(sql("once", 800))
-    until(served.queries)
+    client.send(build_query("once", 800))
+    wait_until(served.queries)
     client.sock.close()
     client.stream.close()
-    until(lambda: served.count("reqs.once.withdrawn") == 1)
+    wait_until(lambda: served.count("reqs.once.withdrawn") == 1)
     assert served.count("module_faults") == 0 and len(served.queries()) == 1
 
 
 def test_queries_come_in_any_pieces_and_are_answered_in_order(shared: Served) -> None:
     for unit in shared.units:
         unit.mode = "ok"
-    one = shared.client(first=pg(b"Q", b"\0"))
+    one = shared.client(first=pack_message(b"Q", b"\0"))
     assert one.answer()[0] == "IZ"
-    for byte in pg(b"Q", sql().encode() + b"\0"):
+    for byte in pack_message(b"Q", build_query().encode() + b"\0"):
         one.sock.sendall(bytes((byte,)))
     assert one.answer()[:2] == COMPLETED
-    for words in (sql(), "", "HELLO", sql("mark")):
+    for words in (build_query(), "", "HELLO", build_query("mark")):
         one.send(words)
     assert [one.answer()[0] for _ in range(4)] == ["TDCZ", "IZ", "EZ", "TDCZ"]
-    large = sql("mark").replace("9f03", "9f" * 65536)
+    large = build_query("mark").replace("9f03", "9f" * 65536)
     assert one.ask(large)[:2] == COMPLETED
-    one.sock.sendall(pg(b"X"))
+    one.sock.sendall(pack_message(b"X"))
     assert one.answer()[0] == ""
 
 
 def test_startup_variants(shared: Served) -> None:
-    with socket.create_connection((RELAY, shared.port)) as raw:
+    with socket.create_connection((RELAY_HOST, shared.port)) as raw:
         raw.settimeout(5)
         for code in (80877103, 80877104):
             raw.sendall(struct.pack("!II", 8, code))
@@ -168,7 +180,7 @@
         raw.sendall(struct.pack("!IIII", 16, 80877102, 1, 2))
         assert raw.recv(1) == b""
     for bad in (struct.pack("!II", 8, 2 << 16), struct.pack("!II", 3, 0), struct.pack("!II", 1 << 30, 0)):
-        with socket.create_connection((RELAY, shared.port)) as raw:
+        with socket.create_connection((RELAY_HOST, shared.port)) as raw:
             raw.settimeout(5)
             raw.sendall(bad)
             assert b"C08P01" in raw.recv(1000)
@@ -177,20 +189,33 @@
 @pytest.mark.parametrize(
     "raw, letters, code, kept",
     [
-        (pg(b"Q", b"DROP TABLE rows\0"), "EZ", "42601", True),
-        (pg(b"Q", sql().replace(",c=read", "").encode() + b"\0"), "EZ", "22023", True),
-        (pg(b"Q", sql("unheard").encode() + b"\0"), "EZ", "22023", True),
-        (pg(b"Q", sql("mark").replace(",k=", ",x=").encode() + b"\0"), "EZ", "22023", True),
-        (pg(b"Q", sql(wait=0).encode() + b"\0"), "EZ", "22003", True),
-        (pg(b"Q", sql(wait=10**9).encode() + b"\0"), "EZ", "22003", True),
-        (pg(b"Q", sql().replace("d=2000", "d=soon").encode() + b"\0"), "EZ", "22003", True),
-        (pg(b"Q", sql().encode()), "EZ", "08P01", True),
-        (pg(b"Q", sql("mark").replace("9f03", "9f0").encode() + b"\0"), "EZ", "42601", True),
-        (pg(b"P", b"\0SELECT\0\0\0") + pg(b"B") + pg(b"E") + pg(b"S"), "EZ", "0A000", True),
-        (pg(b"F"), "EZ", "0A000", True),
+        (pack_message(b"Q", b"DROP TABLE rows\0"), "EZ", "42601", True),
+        (pack_message(b"Q", build_query().replace(",c=read", "").encode() + b"\0"), "EZ", "22023", True),
+        (pack_message(b"Q", build_query("unheard").encode() + b"\0"), "EZ", "22023", True),
+        (pack_message(b"Q", build_query("mark").replace(",k=", ",x=").encode() + b"\0"), "EZ", "22023", True),
+        (pack_message(b"Q", build_query(timeout_ms=0).encode() + b"\0"), "EZ", "22003", True),
+        (pack_message(b"Q", build_query(timeout_ms=10**9).encode() + b"\0"), "EZ", "22003", True),
+        (pack_message(b"Q", build_query().replace("d=2000", "d=soon").encode() + b"\0"), "EZ", "22003", True),
+        (pack_message(b"Q", build_query().encode()), "EZ", "08P01", True),
+        (
+            pack_message(b"Q", build_query("mark").replace("9f03", "9f0").encode() + b"\0"),
+            "EZ",
+            "42601",
+            True,
+        ),
+        (
+            pack_message(b"P", b"\0SELECT\0\0\0")
+            + pack_message(b"B")
+            + pack_message(b"E")
+            + pack_message(b"S"),
+            "EZ",
+            "0A000",
+            True,
+        ),
+        (pack_message(b"F"), "EZ", "0A000", True),
         (b"Q\3\x93\x87\0INSERT", "E", "54000", False),
         (b"Q\xff\xff\xff\xff", "E", "54000", False),
-        (pg(b"~"), "E", "08P01", False),
+        (pack_message(b"~"), "E", "08P01", False),
         (b"Q\0\0\0\1", "E", "08P01", False),
     ],
 )
@@ -204,7 +229,7 @@
     client.sock.sendall(raw)
     if kept:
         assert client.answer()[:2] == (letters, code)
-        assert client.ask(sql())[:2] == COMPLETED
+        assert client.ask(build_query())[:2] == COMPLETED
     else:
         assert client.answer()[:2] == ("E", code) and client.stream.read() == b""
     assert len(shared.queries()) == before + kept
@@ -213,17 +238,17 @@
 
 def test_a_relay_serves_without_directory_and_deployer(serve: Callable[..., Served]) -> None:
     served = serve(down=True)
-    assert served.client(first=pg(b"Q", b"\0")).answer()[0] == "IZ"
-    assert served.client().ask(sql())[:2] == COMPLETED
-    late = UnitStand()
+    assert served.client(first=pack_message(b"Q", b"\0")).answer()[0] == "IZ"
+    assert served.client().ask(build_query())[:2] == COMPLETED
+    late = UnitStandIn()
     directory, deployer = (
         stand(old.port)
-        for stand, old in ((DirectoryStand, served.directory), (DeployerStand, served.deployer))
+        for stand, old in ((DirectoryStandIn, served.directory), (DeployerStandIn, served.deployer))
     )
     directory.revision = 9
-    directory.put("s-9", late.at)
-    until(lambda: served.client().ask(sql())[:2] == COMPLETED and late.queries)
-    until(lambda: deployer.streams)
+    directory.put("s-9", late.address)
+    wait_until(lambda: served.client().ask(build_query())[:2] == COMPLETED and late.queries)
+    wait_until(lambda: deployer.streams)
     for stand in (directory, deployer):
         stand.close()
     assert "Traceback" not in served.log.read_text()
@@ -232,15 +257,15 @@
 @pytest.mark.parametrize("mode", ["silent", "status", "json", "fields", "half"])
 def test_a_directory_that_speaks_badly_leaves_the_last_list(serve: Callable[..., Served], mode: str) -> None:
     served = serve()
-    until(lambda: served.directory.calls)
+    wait_until(lambda: served.directory.calls)
     served.directory.mode = mode
     served.directory.revision += 1
-    until(lambda: served.count("directory_failed") > 2)
-    assert served.client().ask(sql())[:2] == COMPLETED
-    late = UnitStand()
-    served.directory.put("s-9", late.at)
+    wait_until(lambda: served.count("directory_failed") > 2)
+    assert served.client().ask(build_query())[:2] == COMPLETED
+    late = UnitStandIn()
+    served.directory.put("s-9", late.address)
     served.directory.mode = "ok"
-    until(lambda: served.client().ask(sql())[:2] == COMPLETED and late.queries)
+    wait_until(lambda: served.client().ask(build_query())[:2] == COMPLETED and late.queries)
     assert served.log.read_text().count("directory fails") == 1
 
 
@@ -266,16 +291,16 @@
     served.deployer.mode = mode
     for unit in served.units[2:]:
         unit.mode = "failed"
-    until(lambda: served.deployer.streams)
+    wait_until(lambda: served.deployer.streams)
     if mode == "closed":
         served.deployer.close()
     client = served.client()
 
     def voted() -> bool:
-        assert client.ask(sql())[:2] in (COMPLETED, SHED)
+        assert client.ask(build_query())[:2] in (COMPLETED, SHED)
         return served.count(f"votes.{end}") > 0
 
-    until(voted)
+    wait_until(voted)
     verdicts = {(vote["Action"], vote["build"], vote["verdict"]) for vote in served.deployer.votes}
     assert mode == "closed" or ("CastVote", "2", "stop") in verdicts
 
@@ -284,67 +309,69 @@
     served = serve(
         units=4, builds=(1, 1, 2, 2), news=TRIAL.replace("cap=1", "cap=0").replace("Progressing", "Aborting")
     )
-    until(lambda: served.deployer.streams)
+    wait_until(lambda: served.deployer.streams)
     client = served.client()
     for _ in range(20):
-        assert client.ask(sql())[:2] == COMPLETED
+        assert client.ask(build_query())[:2] == COMPLETED
     assert not served.units[2].queries and not served.units[3].queries
     served.deployer.news = TRIAL.replace("Progressing", "Healthy")
-    served.deployer.tell("event: progress\ndata: build=soon\n\nevent: metrics\ndata: class=read&build=2\n\n")
-    until(lambda: client.ask(sql())[:2] == COMPLETED and served.units[2].queries, 1)
+    served.deployer.send_notices(
+        "event: progress\ndata: build=soon\n\nevent: metrics\ndata: class=read&build=2\n\n"
+    )
+    wait_until(lambda: client.ask(build_query())[:2] == COMPLETED and served.units[2].queries, 1)
     served.deployer.streams[-1].shutdown(socket.SHUT_RDWR)
-    until(lambda: len(served.deployer.streams) == 3, 1)
+    wait_until(lambda: len(served.deployer.streams) == 3, 1)
     assert served.count("notices_unreadable") == 1
 
 
 def test_a_new_configuration_moves_directory_and_deployer_under_load(serve: Callable[..., Served]) -> None:
     served = serve(modes="slow0.2")
-    until(lambda: served.directory.calls and served.deployer.streams)
+    wait_until(lambda: served.directory.calls and served.deployer.streams)
     open_before = served.client()
     for turn in range(2):
-        open_before.send(sql("once"))
-        late, directory, deployer = UnitStand(), DirectoryStand(), DeployerStand()
-        directory.put(f"s-{turn}", late.at)
-        config = served.config | {"discovery": directory.at, "name": "other" if turn else "n0"}
-        config["pipeline"] = served.config["pipeline"] | {"address": deployer.at}
+        open_before.send(build_query("once"))
+        late, directory, deployer = UnitStandIn(), DirectoryStandIn(), DeployerStandIn()
+        directory.put(f"s-{turn}", late.address)
+        config = served.config | {"discovery": directory.address, "name": "other" if turn else "n0"}
+        config["pipeline"] = served.config["pipeline"] | {"address": deployer.address}
         served.path.write_text("{" if turn else json.dumps(config | {"listen": "nowhere"}))
         served.process.send_signal(signal.SIGHUP)
-        until(lambda turn=turn: served.log.read_text().count("configuration not taken") == turn + 1)
+        wait_until(lambda turn=turn: served.log.read_text().count("configuration not taken") == turn + 1)
         served.path.write_text(json.dumps(config))
         served.process.send_signal(signal.SIGHUP)
-        until(lambda deployer=deployer: deployer.streams, 1)
-        until(lambda late=late: served.client().ask(sql())[:2] == COMPLETED and late.queries, 1)
+        wait_until(lambda deployer=deployer: deployer.streams, 1)
+        wait_until(lambda late=late: served.client().ask(build_query())[:2] == COMPLETED and late.queries, 1)
         assert open_before.answer()[:2] == COMPLETED and not directory.calls > 9
-        until(lambda: served.deployer.streams[-1].fileno() < 0, 1)
+        wait_until(lambda: served.deployer.streams[-1].fileno() < 0, 1)
         served.deployer = deployer
     assert 'needs a restart" fields=name' in served.log.read_text()
     assert served.count("directory_failed") == 0 == served.count("tasks_died")
 
 
 def test_a_vote_goes_to_the_new_address(serve: Callable[..., Served]) -> None:
-    served, deployer = serve(units=4, builds=(1, 1, 2, 2), news=TRIAL), DeployerStand()
+    served, deployer = serve(units=4, builds=(1, 1, 2, 2), news=TRIAL), DeployerStandIn()
     served.deployer.mode, deployer.news = "silent", TRIAL
     for unit in served.units[2:]:
         unit.mode = "failed"
     client = served.client()
-    until(lambda: client.ask(sql()) and served.deployer.votes)
-    served.config["pipeline"]["address"] = deployer.at
+    wait_until(lambda: client.ask(build_query()) and served.deployer.votes)
+    served.config["pipeline"]["address"] = deployer.address
     served.path.write_text(json.dumps(served.config))
     served.process.send_signal(signal.SIGHUP)
-    until(lambda: client.ask(sql()) and deployer.votes)
+    wait_until(lambda: client.ask(build_query()) and deployer.votes)
     assert served.count("votes.unanswered") > 0
 
 
 def test_datagrams_of_peers_alone_are_heard(serve: Callable[..., Served]) -> None:
     served = serve()
     assert 2 <= len(served.peer.recv(1000)) <= messages.MAX_BYTES
-    body, to = messages.pack_loads([]), (RELAY, served.udp)
+    body, to = messages.pack_loads([]), (RELAY_HOST, served.udp)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         stranger.sendto(body, to)
     served.peer.sendto(bytes(messages.MAX_BYTES + 1), to)
     served.peer.sendto(body, to)
     served.peer.sendto(b"\0", to)
-    until(lambda: served.count("datagrams_heard") == 2)
+    wait_until(lambda: served.count("datagrams_heard") == 2)
     assert served.count("datagrams_ignored") == 2 and served.count("module_faults") == 0
 
 
@@ -354,12 +381,12 @@
 ) -> None:
     served = serve(modes="slow0.9")
     busy, idle = served.client(), served.client()
-    busy.send(sql("once"))
-    until(served.queries)
+    busy.send(build_query("once"))
+    wait_until(served.queries)
     served.process.send_signal(number)
-    until(lambda: "msg=stopping" in served.log.read_text())
+    wait_until(lambda: "msg=stopping" in served.log.read_text())
     late = served.client()
-    late.send(sql("once"))
+    late.send(build_query("once"))
     assert idle.answer()[0] == "" and served.process.poll() is None
     assert busy.answer()[:2] == COMPLETED and late.answer()[:2] == COMPLETED
     assert served.process.wait(5) == 0
@@ -372,20 +399,20 @@
     served, ends = serve(modes="slow0.01"), []
 
     def go_on(client: PgClient) -> None:
-        told = [client.ask(sql("once"))]
+        told = [client.ask(build_query("once"))]
         while told[-1][0]:
-            told.append(client.ask(sql("once")))
+            told.append(client.ask(build_query("once")))
         ends.append([one[:2] for one in told])
 
     threads = [threading.Thread(target=go_on, args=(served.client(),)) for _ in range(8)]
     for thread in threads:
         thread.start()
-    until(lambda: len(served.queries()) > 80)
+    wait_until(lambda: len(served.queries()) > 80)
     served.process.send_signal(signal.SIGTERM)
-    until(lambda: "msg=stopping" in served.log.read_text())
-    leaving, asked = served.client(pg(b"Q", b"\0")), len(served.queries())
+    wait_until(lambda: "msg=stopping" in served.log.read_text())
+    leaving, asked = served.client(pack_message(b"Q", b"\0")), len(served.queries())
     assert leaving.answer()[0] == "IZ"  # still ready for what the front sends on
-    until(lambda: len(served.queries()) > asked + 8)
+    wait_until(lambda: len(served.queries()) > asked + 8)
     assert served.process.wait(5) == 0
     for thread in threads:
         thread.join(5)
@@ -398,68 +425,68 @@
 def test_an_older_list_at_a_new_address_takes_back_no_drain(serve: Callable[..., Served]) -> None:
     served = serve(units=2)
     client, (first, second) = served.client(), served.units
-    older, entries = DirectoryStand(), served.directory.whole()["members"]
+    older, entries = DirectoryStandIn(), served.directory.full_list()["members"]
     older.entries = {one["id"]: dict(one) for one in entries}
-    served.directory.put("s-0", first.at, phase="leaving")
+    served.directory.put("s-0", first.address, phase="leaving")
     served.directory.revision += 10
-    until(lambda: served.count("directory_calls") >= 2 and client.ask(sql())[:2] == COMPLETED)
+    wait_until(lambda: served.count("directory_calls") >= 2 and client.ask(build_query())[:2] == COMPLETED)
     before = len(first.queries)
-    served.path.write_text(json.dumps(served.config | {"discovery": older.at}))
+    served.path.write_text(json.dumps(served.config | {"discovery": older.address}))
     served.process.send_signal(signal.SIGHUP)
-    until(lambda: older.calls >= 2)
+    wait_until(lambda: older.calls >= 2)
     for _ in range(40):
-        assert client.ask(sql())[:2] == COMPLETED
+        assert client.ask(build_query())[:2] == COMPLETED
     assert len(first.queries) == before and len(second.queries) >= 40
 
 
 def test_no_descriptors_left_is_met_without_a_spin(serve: Callable[..., Served]) -> None:
     served = serve(files=24)
     first = served.client()
-    assert first.ask(sql())[:2] == COMPLETED
-    crowd = [socket.create_connection((RELAY, served.port)) for _ in range(40)]
-    until(lambda: served.count("clients_no_descriptor"))
+    assert first.ask(build_query())[:2] == COMPLETED
+    crowd = [socket.create_connection((RELAY_HOST, served.port)) for _ in range(40)]
+    wait_until(lambda: served.count("clients_no_descriptor"))
     ticks = lambda: sum(map(int, Path(f"/proc/{served.process.pid}/stat").read_text().split()[13:15]))  # noqa: E731
     before = ticks()
     time.sleep(0.5)
     assert ticks() - before < 25
     for sock in crowd:
         sock.close()
-    assert first.ask(sql())[:2] in (COMPLETED, SHED)
-    assert served.client().ask(sql())[:2] == COMPLETED
+    assert first.ask(build_query())[:2] in (COMPLETED, SHED)
+    assert served.client().ask(build_query())[:2] == COMPLETED
 
 
 def test_clients_beyond_the_limit_are_told_so_at_once(serve: Callable[..., Served]) -> None:
     served = serve(sockets=60, modes="slow1")
     crowd = [served.client() for _ in range((60 - 60 // 8 - 16) * 9 // 20)]
     for one in crowd:
-        one.send(sql())
-    until(served.queries)
-    late = served.client(first=pg(b"Q", sql("once").encode() + b"\0"))
+        one.send(build_query())
+    wait_until(served.queries)
+    late = served.client(first=pack_message(b"Q", build_query("once").encode() + b"\0"))
     assert late.answer()[:2] == ("E", "53300") and not any("c=once" in query for query in served.queries())
     assert [one.answer()[:2] in (COMPLETED, SHED) for one in crowd] == [True] * len(crowd)
-    crowd.pop().sock.sendall(pg(b"X"))
-    until(lambda: served.client().ask(sql())[:2] == COMPLETED)
+    crowd.pop().sock.sendall(pack_message(b"X"))
+    wait_until(lambda: served.client().ask(build_query())[:2] == COMPLETED)
 
 
 def test_clients_that_asked_once_make_room(serve: Callable[..., Served]) -> None:
     served = serve(sockets=60)
     crowd = [served.client() for _ in range((60 - 60 // 8 - 16) * 9 // 20)]
     for one in crowd:
-        assert one.ask(sql())[:2] == COMPLETED
+        assert one.ask(build_query())[:2] == COMPLETED
     for turn in range(40):  # more in two seconds than there is room for, and fewer than a third are held
         time.sleep(0.02 if turn else 0.1)
         crowd.append(served.client())
-        assert crowd[-1].ask(sql())[:2] == COMPLETED
-    assert crowd[0].answer() == ("", "", b"") and crowd[-1].ask(sql())[:2] == COMPLETED
+        assert crowd[-1].ask(build_query())[:2] == COMPLETED
+    assert crowd[0].answer() == ("", "", b"") and crowd[-1].ask(build_query())[:2] == COMPLETED
     assert len(select.select([one.sock for one in crowd[1:]], [], [], 0)[0]) >= len(crowd) - 60 // 3
 
 
 def test_silent_connections_give_way_at_once(serve: Callable[..., Served]) -> None:
     served = serve(sockets=60)
     usual = served.client()
-    silent = [socket.create_connection((RELAY, served.port)) for _ in range(60)]
+    silent = [socket.create_connection((RELAY_HOST, served.port)) for _ in range(60)]
     began = time.monotonic()
-    assert usual.ask(sql())[:2] == COMPLETED and served.client().ask(sql())[:2] == COMPLETED
+    assert usual.ask(build_query())[:2] == COMPLETED and served.client().ask(build_query())[:2] == COMPLETED
     assert time.monotonic() - began < 1
     silent[0].settimeout(1)
     assert silent[0].recv(1) == b""
@@ -469,24 +496,24 @@
     "first, letters",
     [
         (b"", ""),
-        (HELLO[:10], ""),
-        (HELLO, "ready"),
-        (HELLO + b"Q", "late"),
-        (HELLO + b"Q\0\0\1\0SELECT", "late"),
+        (STARTUP[:10], ""),
+        (STARTUP, "ready"),
+        (STARTUP + b"Q", "late"),
+        (STARTUP + b"Q\0\0\1\0SELECT", "late"),
     ],
 )
 def test_a_client_that_does_not_go_on_is_left_within_3_s_of_its_connecting(
     shared: Served, first: bytes, letters: str
 ) -> None:
     began = time.monotonic()
-    with socket.create_connection((RELAY, shared.port)) as raw:
+    with socket.create_connection((RELAY_HOST, shared.port)) as raw:
         raw.settimeout(4)
         for byte in first:
             raw.sendall(bytes((byte,)))  # a bound on each read would never fall due
         heard = b"".join(iter(lambda: raw.recv(1000), b""))
     assert 1.9 < time.monotonic() - began < 3
     assert (
-        heard.endswith(IDLE)
+        heard.endswith(READY)
         if letters == "ready"
         else (b"C08P01" in heard if letters == "late" else heard == b"")
     )
@@ -498,10 +525,10 @@
     served = serve(modes="large", memory=32, sockets=256)
     half = [served.client() for _ in range(60)]
     for one in half:
-        one.sock.sendall(pg(b"Q", sql("mark").replace("9f03", "9f" * 65536).encode())[:-9])
+        one.sock.sendall(pack_message(b"Q", build_query("mark").replace("9f03", "9f" * 65536).encode())[:-9])
     for route in ("mark", "read"):
-        letters, _, row = served.client().ask(sql(route).replace("9f03", "9f" * 65536))
-        assert letters == "TDCZ" and row.endswith(LARGE)
+        letters, _, row = served.client().ask(build_query(route).replace("9f03", "9f" * 65536))
+        assert letters == "TDCZ" and row.endswith(LARGE_BLOB)
     assert served.count("clients_over_memory") > 0
     status = Path(f"/proc/{served.process.pid}/status").read_text()
     assert int(re.search(r"VmHWM:\s+(\d+)", status)[1]) < 28 << 10
@@ -509,7 +536,7 @@
 
 def test_a_client_that_repeats_its_fault_is_slowed_and_left(shared: Served) -> None:
     client, began = shared.client(), time.monotonic()
-    client.sock.sendall(pg(b"Q", b"HELLO\0") * 300)
+    client.sock.sendall(pack_message(b"Q", b"HELLO\0") * 300)
     found = [client.answer()[0] for _ in range(4)]
     assert found == ["EZ", "EZ", "EZ", "E"] and 1 < time.monotonic() - began < 3
     with contextlib.suppress(ConnectionError):
@@ -564,7 +591,7 @@
 
 
 def test_check_and_version_say_what_is_there(shared: Served) -> None:
-    routes = len(OUTSIDE["classes"])
+    routes = len(PLATFORM_SETTINGS["classes"])
     for words, said in (
         (["check", "--config", str(shared.path)], f"{routes} routes, 2 units"),
         (["version"], VERSION),
@@ -579,12 +606,12 @@
         unit.mode = "large"
     before, late = len(shared.queries()), shared.client()
     for _ in range(200):
-        late.send(sql())
-    assert shared.client().ask(sql())[:2] == COMPLETED
-    until(lambda: len(shared.queries()) > before + 20)
+        late.send(build_query())
+    assert shared.client().ask(build_query())[:2] == COMPLETED
+    wait_until(lambda: len(shared.queries()) > before + 20)
     for _ in range(200):
         letters, _, row = late.answer()
-        assert letters == "TDCZ" and row.endswith(LARGE)
+        assert letters == "TDCZ" and row.endswith(LARGE_BLOB)
 
 
 WATCHED = """
@@ -612,10 +639,10 @@
     serve: Callable[..., Served], also: str, found: str
 ) -> None:
     served = serve(watched=WATCHED.replace("runpy.run", f"{also}\nrunpy.run"))
-    assert served.client().ask(sql())[:2] == COMPLETED
+    assert served.client().ask(build_query())[:2] == COMPLETED
     served.process.send_signal(signal.SIGHUP)
-    until(lambda: "configuration taken" in served.log.read_text())
-    assert served.client().ask(sql())[:2] == COMPLETED
+    wait_until(lambda: "configuration taken" in served.log.read_text())
+    assert served.client().ask(build_query())[:2] == COMPLETED
     served.process.send_signal(signal.SIGTERM)
     assert served.process.wait(10) == 0
     assert f"watched True {found}" in served.log.read_text()
@@ -642,8 +669,8 @@
     shared: Served, tmp_path: Path, change: Callable
 ) -> None:
     config = json.loads(json.dumps(shared.config)) | {
-        "listen": f"{RELAY}:{reserve_port()}",
-        "peer_listen": f"{RELAY}:{reserve_port(socket.SOCK_DGRAM)}",
+        "listen": f"{RELAY_HOST}:{reserve_port()}",
+        "peer_listen": f"{RELAY_HOST}:{reserve_port(socket.SOCK_DGRAM)}",
     }
     change(config)
     path, log = tmp_path / "config.json", tmp_path / "log"
@@ -659,9 +686,9 @@
         ) as process,
     ):
         try:
-            until(lambda: "msg=serving" in log.read_text() or process.poll() is not None)
+            wait_until(lambda: "msg=serving" in log.read_text() or process.poll() is not None)
             port = int(config["listen"].split(":")[1])
-            until(lambda: PgClient(port).ask(sql())[:2] == COMPLETED)
+            wait_until(lambda: PgClient(port).ask(build_query())[:2] == COMPLETED)
             process.send_signal(signal.SIGTERM)
             assert process.wait(10) == 0 and "Traceback" not in log.read_text()
         finally:
--- a/tests/test_tuf.py
+++ b/tests/test_tuf.py
@@ -18,10 +18,10 @@
 from conftest import ROOT, Served
 from tuf.ngclient import Updater
 
-from laurelcourse.lab.rig import Rig
-from laurelcourse.standins.base import RELAY, until
-from laurelcourse.standins.mirror import MirrorStand
-from laurelcourse.standins.postgres import sql
+from laurelcourse.lab.tuf_rig import TufRig
+from laurelcourse.standins.base import RELAY_HOST, wait_until
+from laurelcourse.standins.mirror import MirrorStandIn
+from laurelcourse.standins.postgres import build_query
 from laurelcourse.standins.repository import TufRepository
 
 LARGE = bytes(range(256)) * 8192  # 2 MiB
@@ -39,44 +39,44 @@
 
 
 @pytest.fixture
-def serve(tmp_path: Path) -> Iterator[Callable[..., Rig]]:
+def serve(tmp_path: Path) -> Iterator[Callable[..., TufRig]]:
     with contextlib.ExitStack() as stack:
 
-        def start(repository: TufRepository, mirrors: int = 3, rate: float = 0.0, **kinds: object) -> Rig:
-            stands = [MirrorStand({"/image/": repository}, rate) for _ in range(mirrors)]
-            rig = Rig(tmp_path, {"/image/": repository}, stands, **kinds)
+        def start(repository: TufRepository, mirrors: int = 3, rate: float = 0.0, **kinds: object) -> TufRig:
+            stands = [MirrorStandIn({"/image/": repository}, rate) for _ in range(mirrors)]
+            rig = TufRig(tmp_path, {"/image/": repository}, stands, **kinds)
             return stack.enter_context(contextlib.closing(rig)).start()
 
         yield start
 
 
 @pytest.fixture(scope="module")
-def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Rig]:
+def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[TufRig]:
     one = published()
     with contextlib.closing(
-        Rig(
+        TufRig(
             tmp_path_factory.mktemp("shared"),
             {"/image/": one},
-            [MirrorStand({"/image/": one}) for _ in range(3)],
+            [MirrorStandIn({"/image/": one}) for _ in range(3)],
         )
     ) as rig:
         yield rig.start()
 
 
-def updater(rig: Rig, folder: Path, repository: TufRepository) -> Updater:
+def updater(rig: TufRig, folder: Path, repository: TufRepository) -> Updater:
     folder.mkdir()
     return Updater(str(folder), rig.url(META), str(folder), rig.url(FILES), bootstrap=repository.pinned)
 
 
-def fetch(rig: Rig) -> None:
+def fetch(rig: TufRig) -> None:
     """A file that need not end before its test does."""
     with contextlib.suppress(OSError, http.client.HTTPException):
-        rig.ask(FILES + "large.bin")
+        rig.request(FILES + "large.bin")
 
 
 @pytest.mark.parametrize("consistent", [True, False])
 def test_an_unmodified_client_works_over_rotations_and_delegations(
-    serve: Callable[..., Rig], tmp_path: Path, consistent: bool
+    serve: Callable[..., TufRig], tmp_path: Path, consistent: bool
 ) -> None:
     one = published(consistent)
     one.delegate("targets", "dev", ["dev/*"])
@@ -96,13 +96,13 @@
         for mirror in rig.mirrors:
             mirror.sync()
         time.sleep(0.6)  # what was proven before is given without asking for so long
-    assert rig.count("module_faults") == 0
+    assert rig.counter("module_faults") == 0
 
 
 @pytest.mark.parametrize(
     "fault", ["mixed", "forged", "flipped", "endless", "failing", "busy", "silent", "reset"]
 )
-def test_metadata_of_a_mirror_at_fault_is_never_passed_on(serve: Callable[..., Rig], fault: str) -> None:
+def test_metadata_of_a_mirror_at_fault_is_never_passed_on(serve: Callable[..., TufRig], fault: str) -> None:
     one = published()
     rig = serve(one, mirrors=2)
     one.publish()
@@ -112,72 +112,72 @@
     bad.modes["metadata"] = fault
     for _ in range(4):
         for name in ("timestamp.json", "snapshot.json", "targets.json"):
-            status, _, raw = rig.ask(META + name)
+            status, _, raw = rig.request(META + name)
             assert status == 200 and raw == one.newest.metadata[name]
         time.sleep(0.3)
 
 
-def test_a_frozen_mirror_rests_and_the_newest_is_given(serve: Callable[..., Rig]) -> None:
+def test_a_frozen_mirror_rests_and_the_newest_is_given(serve: Callable[..., TufRig]) -> None:
     one = published()
     rig = serve(one, mirrors=2)
     rig.mirrors[1].sync()
     one.publish()
     rig.mirrors[0].sync()  # the other is frozen
-    until(lambda: json.loads(rig.ask(META + "timestamp.json")[2])["signed"]["version"] == 2)
+    wait_until(lambda: json.loads(rig.request(META + "timestamp.json")[2])["signed"]["version"] == 2)
     for _ in range(6):
         time.sleep(0.3)
-        assert json.loads(rig.ask(META + "timestamp.json")[2])["signed"]["version"] == 2
-    assert rig.count("mirrors_behind") >= 1 and rig.count("mirrors_wrong") == 0
+        assert json.loads(rig.request(META + "timestamp.json")[2])["signed"]["version"] == 2
+    assert rig.counter("mirrors_behind") >= 1 and rig.counter("mirrors_wrong") == 0
 
 
-def test_what_has_expired_is_refused_also_when_it_expires_while_serving(serve: Callable[..., Rig]) -> None:
-    one = published(lasts=2.0)
+def test_what_has_expired_is_refused_also_when_it_expires_while_serving(serve: Callable[..., TufRig]) -> None:
+    one = published(lifetime=2.0)
     rig = serve(one)
-    assert rig.ask(META + "timestamp.json")[0] == 200
-    until(lambda: rig.ask(META + "timestamp.json")[0] == 503)
+    assert rig.request(META + "timestamp.json")[0] == 200
+    wait_until(lambda: rig.request(META + "timestamp.json")[0] == 503)
     for name in ("timestamp.json", "snapshot.json", "targets.json"):
-        status, fields, _ = rig.ask(META + name)
+        status, fields, _ = rig.request(META + name)
         assert status == 503 and int(fields["retry-after"]) >= 1
     one.publish(expires=600)
     for mirror in rig.mirrors:
         mirror.sync()
-    until(lambda: rig.ask(META + "timestamp.json")[0] == 200)
+    wait_until(lambda: rig.request(META + "timestamp.json")[0] == 200)
 
 
 def test_while_all_mirrors_fail_what_is_proven_is_given_with_its_age_as_long_as_it_may(
-    serve: Callable[..., Rig],
+    serve: Callable[..., TufRig],
 ) -> None:
-    rig = serve(published(), changed={"freshness": {"serve-proven": "3s"}})
-    assert rig.ask(META + "timestamp.json")[0] == 200
+    rig = serve(published(), overrides={"freshness": {"serve-proven": "3s"}})
+    assert rig.request(META + "timestamp.json")[0] == 200
     for mirror in rig.mirrors:
         mirror.mode = "failing"
     time.sleep(1.2)
-    status, fields, _ = rig.ask(META + "timestamp.json")
+    status, fields, _ = rig.request(META + "timestamp.json")
     assert status == 200 and int(fields["age"]) >= 1
-    until(lambda: rig.ask(META + "timestamp.json")[0] == 503)
+    wait_until(lambda: rig.request(META + "timestamp.json")[0] == 503)
     began = time.monotonic()
-    assert rig.ask(META + "timestamp.json")[0] == 503 and time.monotonic() - began < 1.0
+    assert rig.request(META + "timestamp.json")[0] == 503 and time.monotonic() - began < 1.0
     for mirror in rig.mirrors:
         mirror.mode = "ok"
-    until(lambda: rig.ask(META + "timestamp.json")[0] == 200, 20)
+    wait_until(lambda: rig.request(META + "timestamp.json")[0] == 200, 20)
 
 
-def test_many_who_ask_at_once_make_one_try_and_share_its_failure(serve: Callable[..., Rig]) -> None:
+def test_many_who_ask_at_once_make_one_try_and_share_its_failure(serve: Callable[..., TufRig]) -> None:
     rig = serve(published(), mirrors=1)
     rig.mirrors[0].mode = "slow"
     found: list[int] = []
 
     def ask() -> None:
-        found.append(rig.ask(META + "timestamp.json")[0])
+        found.append(rig.request(META + "timestamp.json")[0])
 
     for status, tries in ((200, 1), (503, 5)):
-        before = rig.asked("timestamp")
+        before = rig.count_mirror_requests("timestamp")
         threads = [threading.Thread(target=ask) for _ in range(60)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        assert found == [status] * 60 and rig.asked("timestamp") - before <= tries
+        assert found == [status] * 60 and rig.count_mirror_requests("timestamp") - before <= tries
         found.clear()
         rig.mirrors[0].mode = "failing"
         rig.relays[0].kill()
@@ -190,14 +190,14 @@
 )
 @pytest.mark.parametrize("path, data", [("small.bin", SMALL), ("large.bin", LARGE)], ids=["small", "large"])
 def test_a_file_is_whole_or_cut_and_cut_only_where_a_bad_end_could_not_be_known(
-    serve: Callable[..., Rig], fault: str, path: str, data: bytes
+    serve: Callable[..., TufRig], fault: str, path: str, data: bytes
 ) -> None:
-    rig = serve(published(), mirrors=2, changed={"limits": {"floor-over": "300ms"}})
+    rig = serve(published(), mirrors=2, overrides={"limits": {"floor-over": "300ms"}})
     rig.mirrors[0].modes["target"] = fault
     whole = cut = 0
     for _ in range(6):
         try:
-            status, _, raw = rig.ask(FILES + path)
+            status, _, raw = rig.request(FILES + path)
             assert status == 200 and raw == data
             whole += 1
         except http.client.IncompleteRead as error:
@@ -207,40 +207,40 @@
     assert whole >= 4 and cut <= (2 if may_be_cut else 0)
 
 
-def test_a_stalled_file_goes_on_elsewhere_from_the_byte_reached(serve: Callable[..., Rig]) -> None:
-    rig = serve(published(), mirrors=2, changed={"limits": {"floor-over": "300ms"}})
+def test_a_stalled_file_goes_on_elsewhere_from_the_byte_reached(serve: Callable[..., TufRig]) -> None:
+    rig = serve(published(), mirrors=2, overrides={"limits": {"floor-over": "300ms"}})
     for mirror in rig.mirrors:
         mirror.modes["target"] = "stall"
     first = threading.Timer(0.2, lambda: [mirror.modes.clear() for mirror in rig.mirrors])
     first.start()
-    assert rig.ask(FILES + "large.bin")[2] == LARGE
-    spans = [one.span for mirror in rig.mirrors for one in mirror.seen if one.span]
+    assert rig.request(FILES + "large.bin")[2] == LARGE
+    spans = [one.span for mirror in rig.mirrors for one in mirror.requests if one.span]
     assert spans and all(span.startswith("bytes=1048576-") for span in spans)
-    assert rig.count("bytes_fetched") < 1.1 * len(LARGE)
+    assert rig.counter("bytes_fetched") < 1.1 * len(LARGE)
 
 
 @pytest.mark.parametrize("fault", ["unranged", "misranged"])
-def test_a_mirror_that_mistakes_ranges_is_seen(serve: Callable[..., Rig], fault: str) -> None:
-    rig = serve(published(), mirrors=3, changed={"limits": {"floor-over": "300ms"}})
+def test_a_mirror_that_mistakes_ranges_is_seen(serve: Callable[..., TufRig], fault: str) -> None:
+    rig = serve(published(), mirrors=3, overrides={"limits": {"floor-over": "300ms"}})
     rig.mirrors[0].modes["target"], rig.mirrors[1].modes["target"] = "torn", fault
     for _ in range(5):
-        assert rig.ask(FILES + "large.bin")[2] == LARGE
+        assert rig.request(FILES + "large.bin")[2] == LARGE
 
 
-def test_ranges_and_heads_are_answered_from_what_is_proven(shared: Rig) -> None:
+def test_ranges_and_heads_are_answered_from_what_is_proven(shared: TufRig) -> None:
     etag = f'"sha256:{hashlib.sha256(LARGE).hexdigest()}:{len(LARGE)}"'
     for span, first, last in (
         ("bytes=0-0", 0, 0),
         ("bytes=1000000-1100000", 1_000_000, 1_100_000),
         ("bytes=-5", len(LARGE) - 5, len(LARGE) - 1),
     ):
-        status, fields, raw = shared.ask(FILES + "large.bin", Range=span)
+        status, fields, raw = shared.request(FILES + "large.bin", Range=span)
         assert status == 206 and raw == LARGE[first : last + 1] and fields["etag"] == etag
         assert fields["content-range"] == f"bytes {first}-{last}/{len(LARGE)}"
-    assert shared.ask(FILES + "large.bin", Range="bytes=2097152-")[0] == 416
-    status, fields, raw = shared.ask(FILES + "large.bin", "HEAD")
+    assert shared.request(FILES + "large.bin", Range="bytes=2097152-")[0] == 416
+    status, fields, raw = shared.request(FILES + "large.bin", "HEAD")
     assert (status, int(fields["content-length"]), raw) == (200, len(LARGE), b"")
-    assert shared.ask(META + "timestamp.json", "HEAD")[2] == b""
+    assert shared.request(META + "timestamp.json", "HEAD")[2] == b""
     for path in (
         FILES + "none.bin",
         META + "none.json",
@@ -249,9 +249,9 @@
         FILES + "../x",
         FILES + "%ff",
     ):
-        assert shared.ask(path)[0] == 404
-    assert shared.ask(META + "timestamp.json", "DELETE")[0] == 405
-    assert shared.ask(META + "timestamp.json", "POST", b"{}")[0] == 405
+        assert shared.request(path)[0] == 404
+    assert shared.request(META + "timestamp.json", "DELETE")[0] == 405
+    assert shared.request(META + "timestamp.json", "POST", b"{}")[0] == 405
 
 
 @pytest.mark.parametrize(
@@ -268,8 +268,8 @@
     ],
     ids=["bare", "folded", "both", "endless", "unfinished"],
 )
-def test_who_speaks_badly_gets_one_answer_and_a_close(shared: Rig, raw: bytes, status: int) -> None:
-    with socket.create_connection((RELAY, shared.ports[0])) as sock:
+def test_who_speaks_badly_gets_one_answer_and_a_close(shared: TufRig, raw: bytes, status: int) -> None:
+    with socket.create_connection((RELAY_HOST, shared.ports[0])) as sock:
         sock.settimeout(10)
         sock.sendall(raw)
         with sock.makefile("rb") as stream:
@@ -277,12 +277,12 @@
     assert found.startswith(f"HTTP/1.1 {status} ".encode()) and found.count(b"HTTP/1.1") == 1
 
 
-def test_a_connection_is_kept_and_requests_are_answered_in_order(shared: Rig) -> None:
+def test_a_connection_is_kept_and_requests_are_answered_in_order(shared: TufRig) -> None:
     asked = b"".join(
         f"GET {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode()
         for path in (META + "timestamp.json", FILES + "small.bin", META + "none.json", FILES + "small.bin")
     )
-    with socket.create_connection((RELAY, shared.ports[0])) as sock:
+    with socket.create_connection((RELAY_HOST, shared.ports[0])) as sock:
         sock.settimeout(10)
         for byte in asked:
             sock.sendall(bytes([byte]))
@@ -296,72 +296,80 @@
     assert told[1][1] == told[3][1] == SMALL
 
 
-def test_a_file_on_a_draining_mirror_moves_within_two_seconds(serve: Callable[..., Rig]) -> None:
+def test_a_file_on_a_draining_mirror_moves_within_two_seconds(serve: Callable[..., TufRig]) -> None:
     rig = serve(published(), mirrors=2, rate=500_000)
     got: list[bytes] = []
-    threads = [threading.Thread(target=lambda: got.append(rig.ask(FILES + "large.bin")[2])) for _ in range(4)]
+    threads = [
+        threading.Thread(target=lambda: got.append(rig.request(FILES + "large.bin")[2])) for _ in range(4)
+    ]
     for thread in threads:
         thread.start()
-    until(lambda: all(any("large" in one.path for one in mirror.seen) for mirror in rig.mirrors))
+    wait_until(lambda: all(any("large" in one.path for one in mirror.requests) for mirror in rig.mirrors))
     time.sleep(0.5)
     drained, at = rig.mirrors[0], time.monotonic()
-    rig.list("m-0", drained, "leaving")
+    rig.list_mirror("m-0", drained, "leaving")
     for thread in threads:
         thread.join()
     assert got == [LARGE] * 4
-    assert all(one.last < at + 2.0 for one in drained.seen) and any(one.span for one in rig.mirrors[1].seen)
+    assert all(one.last < at + 2.0 for one in drained.requests) and any(
+        one.span for one in rig.mirrors[1].requests
+    )
 
 
-def test_a_client_that_leaves_in_mid_file_ends_its_try_and_makes_no_other(serve: Callable[..., Rig]) -> None:
+def test_a_client_that_leaves_in_mid_file_ends_its_try_and_makes_no_other(
+    serve: Callable[..., TufRig],
+) -> None:
     rig = serve(published(), mirrors=2, rate=400_000)
-    with socket.create_connection((RELAY, rig.ports[0])) as sock:
+    with socket.create_connection((RELAY_HOST, rig.ports[0])) as sock:
         sock.sendall(f"GET {FILES}large.bin HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         assert sock.recv(1000)
-    until(lambda: rig.count("reqs.target.withdrawn") == 1)
-    assert rig.asked("large") == 1
-    assert sum(one.sent for mirror in rig.mirrors for one in mirror.seen if "large" in one.path) < len(LARGE)
+    wait_until(lambda: rig.counter("reqs.target.withdrawn") == 1)
+    assert rig.count_mirror_requests("large") == 1
+    assert sum(one.sent for mirror in rig.mirrors for one in mirror.requests if "large" in one.path) < len(
+        LARGE
+    )
 
 
-def test_a_reader_below_the_floor_is_left_and_holds_nobody_back(serve: Callable[..., Rig]) -> None:
+def test_a_reader_below_the_floor_is_left_and_holds_nobody_back(serve: Callable[..., TufRig]) -> None:
     one = published()
     one.add("huge.bin", bytes(32 << 20))
     one.publish()
-    rig = serve(one, changed={"limits": {"floor-over": "200ms", "floor": "64KiB/s"}})
+    rig = serve(one, overrides={"limits": {"floor-over": "200ms", "floor": "64KiB/s"}})
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect((RELAY, rig.ports[0]))
+        sock.connect((RELAY_HOST, rig.ports[0]))
         sock.sendall(f"GET {FILES}huge.bin HTTP/1.1\r\nHost: a\r\n\r\n".encode())
-        assert rig.ask(FILES + "large.bin")[2] == LARGE
-        until(lambda: rig.count("reqs.target.withdrawn") == 1, 8)
-    assert rig.count("reqs.target.completed") == 1
+        assert rig.request(FILES + "large.bin")[2] == LARGE
+        wait_until(lambda: rig.counter("reqs.target.withdrawn") == 1, 8)
+    assert rig.counter("reqs.target.completed") == 1
 
 
 def test_files_beyond_the_limit_are_turned_away_at_once_and_metadata_is_not(
-    serve: Callable[..., Rig],
+    serve: Callable[..., TufRig],
 ) -> None:
-    rig = serve(published(), rate=200_000, changed={"limits": {"files-per-client": "2"}})
+    rig = serve(published(), rate=200_000, overrides={"limits": {"files-per-client": "2"}})
     done = [threading.Thread(target=fetch, args=(rig,), daemon=True) for _ in range(2)]
     for thread in done:
         thread.start()
-    until(lambda: rig.asked("large") == 2)
+    wait_until(lambda: rig.count_mirror_requests("large") == 2)
     began = time.monotonic()
-    status, fields, _ = rig.ask(FILES + "small.bin")
+    status, fields, _ = rig.request(FILES + "small.bin")
     assert status == 503 and int(fields["retry-after"]) >= 1 and time.monotonic() - began < 0.5
-    assert rig.ask(META + "timestamp.json")[0] == 200
+    assert rig.request(META + "timestamp.json")[0] == 200
 
 
-def test_one_of_a_mirrors_places_more_than_it_may_have_goes_elsewhere(serve: Callable[..., Rig]) -> None:
-    rig = serve(published(), mirrors=2, rate=400_000, changed={"limits": {"files-per-mirror": "2"}})
+def test_one_of_a_mirrors_places_more_than_it_may_have_goes_elsewhere(serve: Callable[..., TufRig]) -> None:
+    rig = serve(published(), mirrors=2, rate=400_000, overrides={"limits": {"files-per-mirror": "2"}})
     threads = [threading.Thread(target=fetch, args=(rig,), daemon=True) for _ in range(4)]
     for place, thread in enumerate(threads):
         thread.start()
-        until(lambda place=place: rig.asked("large") > place)
-    assert [sum("large" in one.path for one in mirror.seen) for mirror in rig.mirrors] == [2, 2]
+        wait_until(lambda place=place: rig.count_mirror_requests("large") > place)
+    assert [sum("large" in one.path for one in mirror.requests) for mirror in rig.mirrors] == [2, 2]
 
 
 @pytest.mark.parametrize("depth, loop, status", [(4, False, 200), (4, True, 200), (50, False, 404)])
 def test_delegations_that_loop_or_go_deep_end_in_one_answer(
-    serve: Callable[..., Rig], depth: int, loop: bool, status: int
+    serve: Callable[..., TufRig], depth: int, loop: bool, status: int
 ) -> None:
     one = published()
     for place in range(depth):
@@ -371,32 +379,32 @@
     one.add("deep.bin", b"deep", f"r{depth - 1}")
     one.publish()
     rig = serve(one)
-    assert rig.ask(FILES + "deep.bin")[0] == status
-    assert rig.ask(FILES + "deep.none")[0] == 404 and rig.asked("/r") <= 33
+    assert rig.request(FILES + "deep.bin")[0] == status
+    assert rig.request(FILES + "deep.none")[0] == 404 and rig.count_mirror_requests("/r") <= 33
 
 
 def test_what_was_proven_lasts_over_a_kill_and_nothing_older_is_believed_after(
-    serve: Callable[..., Rig],
+    serve: Callable[..., TufRig],
 ) -> None:
     one = published()
     one.rotate("root")
     one.publish(ahead=5)
-    rig = serve(one, changed={"state": {"folder": "state"}})
-    assert rig.ask(META + "timestamp.json")[0] == 200
+    rig = serve(one, overrides={"state": {"folder": "state"}})
+    assert rig.request(META + "timestamp.json")[0] == 200
     state = rig.relays[0].folder / "state" / "image.proven"
-    until(state.exists)
+    wait_until(state.exists)
     rig.relays[0].process.send_signal(signal.SIGKILL)
     rig.relays[0].kill()
     for mirror in rig.mirrors:
         mirror.revision["/image/"] = one.revisions[0]
     rig.relays[0].start()
-    status, _, raw = rig.ask(META + "timestamp.json")
+    status, _, raw = rig.request(META + "timestamp.json")
     assert status == 200 and raw == one.newest.metadata["timestamp.json"]
     state.write_bytes(state.read_bytes()[:-9])
     rig.relays[0].kill()
     rig.relays[0].start()
     assert "can't be used, the pinned root counts" in rig.relays[0].log.read_text()
-    assert rig.ask(META + "timestamp.json")[2] == one.revisions[0].metadata["timestamp.json"]
+    assert rig.request(META + "timestamp.json")[2] == one.revisions[0].metadata["timestamp.json"]
 
 
 UPTANE = {"uptane": {"director": "director", "image": "image", "manifests": "/director/manifest"}}
@@ -404,10 +412,10 @@
 
 
 @pytest.fixture
-def fleet(tmp_path: Path) -> Iterator[Callable[..., Rig]]:
+def fleet(tmp_path: Path) -> Iterator[Callable[..., TufRig]]:
     with contextlib.ExitStack() as stack:
 
-        def start(changed: dict, director: str = "") -> Rig:
+        def start(changed: dict, director: str = "") -> TufRig:
             image, chief = published(), TufRepository()
             image.add("fw.bin", b"fw" * 50, custom={"hardwareIds": ["ecu-a"]})
             image.add("other.bin", b"other")
@@ -416,8 +424,8 @@
             both = {"/image/": image, "/director/": chief}
             for one in both.values():
                 one.publish()
-            mirrors = [MirrorStand(both, director=director) for _ in range(2)]
-            rig = Rig(tmp_path, both, mirrors, changed=changed)
+            mirrors = [MirrorStandIn(both, director=director) for _ in range(2)]
+            rig = TufRig(tmp_path, both, mirrors, overrides=changed)
             return stack.enter_context(contextlib.closing(rig)).start()
 
         yield start
@@ -427,31 +435,31 @@
     return json.dumps({"signatures": [], "signed": {"vin": vin, "report_counter": count}}).encode()
 
 
-def test_an_image_passes_only_if_director_and_image_repository_agree(fleet: Callable[..., Rig]) -> None:
+def test_an_image_passes_only_if_director_and_image_repository_agree(fleet: Callable[..., TufRig]) -> None:
     rig = fleet(UPTANE)
-    assert rig.ask(FILES + "fw.bin")[2] == b"fw" * 50
-    assert rig.ask(FILES + "other.bin")[0] == 409 and rig.asked("other.bin") == 0
-    assert rig.ask(FILES + "small.bin")[0] == 404  # the director names none such
+    assert rig.request(FILES + "fw.bin")[2] == b"fw" * 50
+    assert rig.request(FILES + "other.bin")[0] == 409 and rig.count_mirror_requests("other.bin") == 0
+    assert rig.request(FILES + "small.bin")[0] == 404  # the director names none such
 
 
 @pytest.mark.parametrize("changed, director, effects", [(UPTANE, "", 1), (COUNTED, "deduped", 1)])
 def test_a_manifest_whose_answer_is_lost_never_has_its_effect_twice(
-    fleet: Callable[..., Rig], changed: dict, director: str, effects: int
+    fleet: Callable[..., TufRig], changed: dict, director: str, effects: int
 ) -> None:
     rig = fleet(changed, director)
     path = "/director/manifest"
-    assert rig.ask(path, "POST", manifest("v1", 1))[::2] == (200, b'{"taken": true}')
+    assert rig.request(path, "POST", manifest("v1", 1))[::2] == (200, b'{"taken": true}')
     for mirror in rig.mirrors:
         mirror.modes["manifest"] = "lost"
         if director:
             mirror.counted = rig.mirrors[0].counted  # one director behind both
-    status = rig.ask(path, "POST", manifest("v1", 2))[0]
+    status = rig.request(path, "POST", manifest("v1", 2))[0]
     assert status == (503 if director else 502)
     for mirror in rig.mirrors:
         mirror.modes.clear()
-    again = rig.ask(path, "POST", manifest("v1", 2))[0]
+    again = rig.request(path, "POST", manifest("v1", 2))[0]
     assert again == (200 if director else 409)
-    assert rig.ask(path, "POST", manifest("v1", 1))[0] == 200  # the answer that was kept
+    assert rig.request(path, "POST", manifest("v1", 1))[0] == 200  # the answer that was kept
     taken = [one for mirror in rig.mirrors for one in mirror.manifests]
     assert taken.count(("v1", 2)) == effects and taken.count(("v1", 1)) == 1
 
@@ -462,11 +470,11 @@
     ids=["empty", "long", "chunked"],
 )
 def test_what_is_no_manifest_never_goes_up(
-    fleet: Callable[..., Rig], body: bytes, fields: dict, status: int
+    fleet: Callable[..., TufRig], body: bytes, fields: dict, status: int
 ) -> None:
     rig = fleet(UPTANE)
-    assert rig.ask("/director/manifest", "POST", body, **fields)[0] == status
-    assert rig.asked("/director/manifest") == 0
+    assert rig.request("/director/manifest", "POST", body, **fields)[0] == status
+    assert rig.count_mirror_requests("/director/manifest") == 0
 
 
 def test_the_plain_relay_loads_none_of_the_libraries(tmp_path: Path) -> None:
@@ -478,7 +486,7 @@
         ran = subprocess.run([sys.executable, "-c", "import tuf"], capture_output=True, check=False)
         assert b"not for the plain relay" in ran.stderr
         with contextlib.closing(Served(tmp_path)) as served:
-            assert served.client().ask(sql())[0] == "TDCZ"
+            assert served.client().ask(build_query())[0] == "TDCZ"
     finally:
         os.environ.pop("PYTHONPATH")
         if before is not None:
--- a/tests/test_tuf_trust.py
+++ b/tests/test_tuf_trust.py
@@ -18,7 +18,7 @@
     Trust,
     TrustError,
 )
-from laurelcourse.standins.repository import Published, TufRepository, wall_clock
+from laurelcourse.standins.repository import Revision, TufRepository, wall_clock
 
 MOST = 1 << 20
 
@@ -35,7 +35,7 @@
     return made
 
 
-def walk(trust: Trust, given: Published, later: float = 0.0) -> list[Assessment]:
+def walk(trust: Trust, given: Revision, later: float = 0.0) -> list[Assessment]:
     """A refresh whose every question goes to one mirror; ends at the first answer that is not believed."""
     refresh, offers = Refresh(trust), []
     while (want := refresh.next_file()) is not None:
@@ -46,7 +46,7 @@
     return offers
 
 
-def last(trust: Trust, given: Published, later: float = 0.0) -> str:
+def last(trust: Trust, given: Revision, later: float = 0.0) -> str:
     return walk(trust, given, later)[-1].verdict
 
 
@@ -91,7 +91,7 @@
     walk(trust, repository.newest)
     held = trust.view
     repository.publish()
-    given = Published(dict(repository.newest.metadata), {}, 2)
+    given = Revision(dict(repository.newest.metadata), {}, 2)
     name = next(name for name in given.metadata if role in name and "1." not in name)
     given.metadata[name] = spoil(given.metadata[name])
     assert last(trust, given) == verdict and trust.view is held
@@ -110,7 +110,7 @@
     trust = Trust(repository.pinned, MOST)
     walk(trust, repository.newest)
     repository.publish()
-    given = Published(dict(repository.newest.metadata), {}, 2)
+    given = Revision(dict(repository.newest.metadata), {}, 2)
     given.metadata[f"2.{role}.json"] = repository.revisions[0].metadata[f"1.{role}.json"]
     assert last(trust, given) == OUTDATED and trust.view.timestamp.version == 1
     del given.metadata[f"2.{role}.json"]
@@ -146,7 +146,7 @@
     one = TufRepository(threshold=2)
     one.publish()
     trust = Trust(one.pinned, MOST)
-    given = Published(dict(one.newest.metadata), {}, 1)
+    given = Revision(dict(one.newest.metadata), {}, 1)
     one._sign(one.timestamp, one.signers["timestamp"][:1])
     given.metadata["timestamp.json"] = one.timestamp.to_bytes()
     assert last(trust, given) == INVALID and last(trust, one.newest) == VERIFIED
@@ -157,7 +157,7 @@
     for _ in range(3):
         repository.rotate("root")
     repository.publish()
-    skipped = Published(dict(repository.newest.metadata), {}, 2)
+    skipped = Revision(dict(repository.newest.metadata), {}, 2)
     skipped.metadata["2.root.json"] = skipped.metadata["3.root.json"]
     assert last(trust, skipped) == INVALID and trust.latest_root.version == 1
     assert last(trust, repository.newest) == VERIFIED and trust.root.version == 4
@@ -200,7 +200,7 @@
     trust = Trust(repository.pinned, MOST)
     walk(trust, repository.newest)
     repository.rotate(role)
-    given = Published(
+    given = Revision(
         repository.publish().metadata
         | {"timestamp.json": repository.revisions[0].metadata["timestamp.json"]},
         {},
@@ -240,7 +240,7 @@
     refresh.add_missing()
     assert not refresh.try_again()
     assert Refresh(trust).add(repository.newest.metadata["2.root.json"], now()).verdict == VERIFIED
-    assert last(trust, Published(repository.forged() | {}, {}, 0)) == UNVERIFIABLE
+    assert last(trust, Revision(repository.forged() | {}, {}, 0)) == UNVERIFIABLE
 
 
 def chain(deep: int, loop: bool = False, clock: Callable[[], datetime] = wall_clock) -> TufRepository:
