--- a/laurelcourse/fleet/books/apply.py
+++ b/laurelcourse/fleet/books/apply.py
@@ -201,8 +201,8 @@
 
     def pending(self, scope: str) -> int:
         """Returns what nobody has a share of, but may still be in use."""
-        found = self._state.scopes.get(scope)
-        return found.pending_amount() if found else 0
+        record = self._state.scopes.get(scope)
+        return record.pending_amount() if record else 0
 
     # Workflows
 
--- a/laurelcourse/fleet/keeper/store.py
+++ b/laurelcourse/fleet/keeper/store.py
@@ -162,16 +162,16 @@
         except BaseException as error:
             # After a failed fsync the next one may report success without having written: there is no retry.
             path = str(self.folder / FILE_NAME)
-            found = typed_error(error, path, True) if isinstance(error, sqlite3.Error) else None
+            typed = typed_error(error, path, True) if isinstance(error, sqlite3.Error) else None
             try:
                 if self.db.in_transaction:
                     self.db.execute("ROLLBACK")
             except sqlite3.Error as second:
-                found = errors.DiskFailedError(path, fault=f"not taken back: {second}")
-            if isinstance(found, errors.DiskFailedError):
-                self.failed = found
-            if found:
-                raise found from error
+                typed = errors.DiskFailedError(path, fault=f"not taken back: {second}")
+            if isinstance(typed, errors.DiskFailedError):
+                self.failed = typed
+            if typed:
+                raise typed from error
             raise
         self.head = head
 
--- a/laurelcourse/fronts/postgres/exchange.py
+++ b/laurelcourse/fronts/postgres/exchange.py
@@ -87,14 +87,14 @@
         buffer = conn.buffer
         while True:
             try:
-                found = wire.parse_unit_frame(
+                frame = wire.parse_unit_frame(
                     buffer.data, buffer.start, buffer.end, self.limits.max_unit_value
                 )
             except ProtocolError as error:
                 return self._malformed(error)
-            if found:
-                raw = bytes(buffer.data[buffer.start : found.end])
-                buffer.start = found.end
+            if frame:
+                raw = bytes(buffer.data[buffer.start : frame.end])
+                buffer.start = frame.end
                 return raw
             due = self.scheduler.now() + self.limits.response_time if begun or buffer else deadline
             reason = conn.read(min(deadline, due), mailbox)
--- a/laurelcourse/fronts/postgres/front.py
+++ b/laurelcourse/fronts/postgres/front.py
@@ -45,17 +45,17 @@
         deadline, refused = client.accepted_at + self.limits.message_time, set()
         while True:
             try:
-                found = wire.parse_frame(
+                frame = wire.parse_frame(
                     buffer.data, buffer.start, buffer.end, buffer.usual_size, startup=True
                 )
-                if not found:
+                if not frame:
                     if (reason := conn.read(deadline, client.mailbox)) == MAIL:
                         deadline = self.admission.take_stop(client)
                     elif reason != GOT:
                         return False
                     continue
-                payload = bytes(buffer.data[found.begin : found.end])
-                buffer.start = found.end
+                payload = bytes(buffer.data[frame.begin : frame.end])
+                buffer.start = frame.end
                 code = wire.startup_code(payload)
                 if code in (wire.SSL_REQUEST, wire.GSS_REQUEST) and code not in refused:
                     # Each once, as PostgreSQL's own server does: thousands in a row kept the others waiting.
@@ -76,8 +76,8 @@
         conn, buffer, skipping, message_count = client.conn, client.conn.buffer, False, 0
         while True:
             try:
-                found = wire.parse_frame(buffer.data, buffer.start, buffer.end, self.limits.max_message)
-                if found is None:
+                frame = wire.parse_frame(buffer.data, buffer.start, buffer.end, self.limits.max_message)
+                if frame is None:
                     if not self.admission.wait_for_bytes(client, self._unfinished_reply):
                         return
                     continue
@@ -85,11 +85,11 @@
                 message_count += 1
                 if message_count % MESSAGES_PER_TURN == 0:
                     self.scheduler.yield_to_others()
-                letter = chr(found.kind)
-                if found.end > buffer.end:
+                letter = chr(frame.kind)
+                if frame.end > buffer.end:
                     # Its head says that it is too long: its body is not waited for.
                     raise FramingError(wire.LIMIT_EXCEEDED, "a message over the limit")
-                begin, buffer.start = found.begin, found.end
+                begin, buffer.start = frame.begin, frame.end
                 if letter == "X":
                     return
                 if letter == "S":
@@ -98,9 +98,9 @@
                 elif skipping:
                     continue
                 elif letter == "Q":
-                    sql = wire.query_text(bytes(buffer.data[begin : found.end]))
+                    sql = wire.query_text(bytes(buffer.data[begin : frame.end]))
                     reply = self._query(client, sql)
-                elif found.kind in wire.EXTENDED_QUERY_TYPES:
+                elif frame.kind in wire.EXTENDED_QUERY_TYPES:
                     skipping = True
                     raise ProtocolError(wire.NOT_SUPPORTED, "simple queries only")
                 elif letter == "F":
--- a/laurelcourse/fronts/postgres/wire.py
+++ b/laurelcourse/fronts/postgres/wire.py
@@ -113,20 +113,20 @@
     length = LENGTH.unpack_from(data, start + type_size)[0]
     if length < (8 if startup else 4) or (startup and length > max_length):
         raise FramingError(PROTOCOL_VIOLATION, "a message of impossible length")
-    found = Frame(0 if startup else data[start], start + type_size + 4, start + type_size + length)
-    return found if length > max_length or found.end <= end else None
+    frame = Frame(0 if startup else data[start], start + type_size + 4, start + type_size + length)
+    return frame if length > max_length or frame.end <= end else None
 
 
 def parse_unit_frame(data: bytearray, start: int, end: int, max_length: int) -> Frame | None:
     """Returns a unit's next complete message, or None. Raises FramingError for unknown types and lengths."""
     if end > start and data[start] not in MAX_LENGTH_BY_TYPE:
         raise FramingError(PROTOCOL_VIOLATION, "an unknown message")
-    found = parse_frame(data, start, end, max_length)
+    frame = parse_frame(data, start, end, max_length)
     if end - start >= TYPE_AND_LENGTH_BYTES and LENGTH.unpack_from(data, start + 1)[0] > (
         MAX_LENGTH_BY_TYPE[data[start]] or max_length
     ):
         raise FramingError(PROTOCOL_VIOLATION, "a message over the limit")
-    return found
+    return frame
 
 
 def startup_code(payload: bytes) -> int:
@@ -149,11 +149,11 @@
 
 def parse_statement(sql: bytes) -> Statement:
     """Parses a query and the fields in its comment. Raises ProtocolError."""
-    found = STATEMENT.fullmatch(sql)
-    if not found or (found.end(3) - found.start(3)) % 2:
+    match = STATEMENT.fullmatch(sql)
+    if not match or (match.end(3) - match.start(3)) % 2:
         raise ProtocolError(SYNTAX_ERROR, "not a statement that is served here")
-    begin, end = found.span(4)
-    pairs = found.group(4).split(b",")
+    begin, end = match.span(4)
+    pairs = match.group(4).split(b",")
     fields = dict(pair.split(b"=", 1) for pair in pairs) if COMMENT_FIELDS.fullmatch(sql, begin, end) else {}
     if len(fields) < len(pairs):
         raise ProtocolError(SYNTAX_ERROR, "the comment does not hold names, each with one value")
@@ -164,7 +164,7 @@
     if not wait.isdigit() or not 0 < int(wait) <= MAX_WAIT_MS:
         raise ProtocolError(OUT_OF_RANGE, "d is out of range")
     wait_start = WAIT_FIELD.search(sql, begin - 1, end).end()
-    handle = (found.group(1) or found.group(2)).decode("latin-1")
+    handle = (match.group(1) or match.group(2)).decode("latin-1")
     try:
         key = int(handle, 16) % (1 << 53)
     except ValueError:
@@ -228,14 +228,14 @@
 def parse_error_fields(payload: bytes) -> dict[str, str]:
     """Returns an error's fields. Raises ProtocolError if they are malformed or hold no code."""
     parts = payload.decode("latin-1").split("\0")
-    found = {part[:1]: part[1:] for part in parts[:-2]}
+    fields = {part[:1]: part[1:] for part in parts[:-2]}
     if (
         parts[-2:] != ["", ""]
-        or len(found) != len(parts) - 2
-        or not ({"S", "C", "M"} <= found.keys() and all(found.values()) and SQLSTATE.fullmatch(found["C"]))
+        or len(fields) != len(parts) - 2
+        or not ({"S", "C", "M"} <= fields.keys() and all(fields.values()) and SQLSTATE.fullmatch(fields["C"]))
     ):
         raise ProtocolError(PROTOCOL_VIOLATION, "an unreadable error")
-    return found
+    return fields
 
 
 def parse_parameter(payload: bytes) -> tuple[str, str]:
@@ -248,8 +248,8 @@
 
 def parse_load_report(text: str) -> dict[str, float]:
     """Parses `name=number` pairs separated by commas; with any unreadable one, returns none."""
-    found = [LOAD_FIELD.fullmatch(part) for part in text.split(",")]
-    return {match[1]: float(match[2]) for match in found} if all(found) else {}
+    matches = [LOAD_FIELD.fullmatch(part) for part in text.split(",")]
+    return {match[1]: float(match[2]) for match in matches} if all(matches) else {}
 
 
 class Answer:
--- a/laurelcourse/fronts/tuf/front.py
+++ b/laurelcourse/fronts/tuf/front.py
@@ -205,11 +205,11 @@
     ) -> bool:
         repository = self.repositories[repository_name]
         path = http_messages.decode_path(name)
-        found = self._find_target(repository, path, Mailbox(self.scheduler))
-        if found is None:
+        found_target = self._find_target(repository, path, Mailbox(self.scheduler))
+        if found_target is None:
             raise BadRequestError(404, "no such target")
-        target = found.target
-        self._check_pinned(repository, path, found, pins.get(repository_name))
+        target = found_target.target
+        self._check_pinned(repository, path, found_target, pins.get(repository_name))
         try:
             etag = f'"{download.file_id(target)}"'
         except KeyError:
@@ -230,23 +230,25 @@
             raise RefusedError(f"too many files under way ({why})", DEFAULT_RETRY_AFTER_US)
         try:
             reading = Download(
-                target, first, last, self.settings.limits.chunk, self.blocks, found.is_versioned
+                target, first, last, self.settings.limits.chunk, self.blocks, found_target.is_versioned
             )
             mark_outdated = repository.freshness.mark_outdated
-            return self._send_file(client, head, reading, found.former_length, mark_outdated, response)
+            return self._send_file(client, head, reading, found_target.former_length, mark_outdated, response)
         finally:
             self.files.release(client.address, held)
 
     @staticmethod
-    def _check_pinned(repository: Repository, path: str, found: FoundTarget, pinned: View | None) -> None:
+    def _check_pinned(
+        repository: Repository, path: str, found_target: FoundTarget, pinned: View | None
+    ) -> None:
         """Raises BadRequestError if the client's metadata names a file that no longer exists.
 
         It would otherwise find out only at the end.
         """
-        if pinned is None or found.is_versioned:
+        if pinned is None or found_target.is_versioned:
             return
         known = repository.trust.find_target(pinned, path).target
-        if known and known.hashes != found.target.hashes:
+        if known and known.hashes != found_target.target.hashes:
             raise BadRequestError(409, "the repository has moved on: refresh first")
 
     def _find_target(self, repository: Repository, path: str, mailbox: Mailbox) -> FoundTarget | None:
--- a/laurelcourse/net/pool.py
+++ b/laurelcourse/net/pool.py
@@ -133,8 +133,8 @@
         )
         while self.scheduler.now() < wait_until and self._should_wait(endpoint):
             self.scheduler.sleep(self.limits.settle_time)
-            if (found := self._take_idle(endpoint))[0]:
-                return found
+            if (idle := self._take_idle(endpoint))[0]:
+                return idle
         return None, 0
 
     def _consume_budgets(self, endpoint: Endpoint) -> bool:
@@ -151,17 +151,17 @@
         """Returns the connection used last among those idle long enough to show an unexpected second
         answer.
         """
-        now, not_settled, found, idle_time = self.scheduler.now(), [], None, 0
-        while endpoint.idle and not found:
+        now, not_settled, taken, idle_time = self.scheduler.now(), [], None, 0
+        while endpoint.idle and not taken:
             since, conn = endpoint.idle.pop()
             if now - since < self.limits.settle_time:
                 not_settled.append((since, conn))
             elif now - since < self.idle_limit.max_idle and conn.is_clean():
-                found, idle_time = conn, now - since
+                taken, idle_time = conn, now - since
             else:
                 self.close(conn)
         endpoint.idle.extend(reversed(not_settled))
-        return found, idle_time
+        return taken, idle_time
 
     def release(self, endpoint: Endpoint, conn: Connection) -> None:
         """Keeps a connection for reuse, unless the unit has gone."""
--- a/laurelcourse/rules.py
+++ b/laurelcourse/rules.py
@@ -413,8 +413,8 @@
 
     def complaint(self, now: int, unit: int, since: int, route: str) -> list[Result]:
         """Counts a complaint as evidence if the unit already ran the build on trial at that time."""
-        trial, found = self.state.trial, self.state.units.get(unit)
-        if trial and found and found.build == trial.build and found.started_at < now - since:
+        trial, known_unit = self.state.trial, self.state.units.get(unit)
+        if trial and known_unit and known_unit.build == trial.build and known_unit.started_at < now - since:
             trial.add_complaint(self.route_indexes[route])
             self._update_posterior(self.route_indexes[route], 0, 0, 0, 0.0, 1)
         return self.take_results()
--- a/laurelcourse/standins/faulty_proxy.py
+++ b/laurelcourse/standins/faulty_proxy.py
@@ -210,7 +210,7 @@
         done = threading.Event()
         self.orders.append((order, done))
         self.wake_writer.send(b"!")
-        assert done.wait(ORDER_TIMEOUT), "the ways' thread has ended"
+        assert done.wait(ORDER_TIMEOUT), "the proxies' thread has ended"
 
     # In the thread of its own
 
