--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""One file of helpers: an imagined deployment, a relay to drive, and one to start among stand-ins."""
+"""Shared helpers: settings of a small deployment, a driver of one balancer, and a relay among stand-ins."""
 
 import contextlib
 import json
@@ -70,36 +70,36 @@
 )
 
 
-class Relay:
-    """Drives one balancer and keeps the clock."""
+class BalancerDriver:
+    """Drives one balancer, and keeps its clock."""
 
     def __init__(self, **changed: object) -> None:
         self.now, self.made = 100 * SECOND, 0
-        self.one = Balancer(SETTINGS._replace(**changed), 7, self.now)
-        self.first = self.one.start(self.now)
+        self.balancer = Balancer(SETTINGS._replace(**changed), 7, self.now)
+        self.first = self.balancer.start(self.now)
 
     def list(
         self, *units: tuple[int, str, int, int], how: str = face.FULL_LIST, health: str = face.READY
     ) -> None:
-        """Units as (number, zone, build, seconds since its start)."""
+        """Sends a list. Units are (number, zone, build, seconds since the start)."""
         entries = [
             face.Listed(unit, zone, 0, build, health, 1.0, self.now - int(age * SECOND))
             for unit, zone, build, age in units
         ]
-        self.one.directory(self.now, how, entries)
+        self.balancer.directory(self.now, how, entries)
 
     def news(self, build: int, stage: int = 0, standing: int = 0, cap: float = 0.1, since: int = 0) -> list:
-        return self.one.stage(self.now, build, stage, standing, False, face.COUNTED, cap, since)
+        return self.balancer.stage(self.now, build, stage, standing, False, face.COUNTED, cap, since)
 
     def req(self, route: str = "read", left: int = 2 * SECOND) -> list:
         self.made += 1
-        return self.one.new_req(self.now, f"r{self.made}", route, "", None, left, False)
+        return self.balancer.new_req(self.now, f"r{self.made}", route, "", None, left, False)
 
     def end(
         self, sent: tuple, number: int, status: str, lag: int = 100_000, last: bool | None = None
     ) -> list:
         self.now += lag
-        return self.one.outcome(
+        return self.balancer.outcome(
             self.now, sent[1], number, sent[2], status, lag, status == face.OK if last is None else last, {}
         )
 
@@ -114,20 +114,20 @@
         found = []
         for _ in range(int(seconds * 20)):
             self.now += SECOND // 20
-            found += self.one.timer(self.now, "beat")
+            found += self.balancer.timer(self.now, "beat")
         return found
 
 
 @pytest.fixture
-def relay() -> Callable[..., Relay]:
-    return Relay
+def make_driver() -> Callable[..., BalancerDriver]:
+    return BalancerDriver
 
 
 # A relay's process, and the stand-ins of the package for whom it speaks with.
 
 
 class Served:
-    """A relay's process, started as the deployment's page says, and what stands around it."""
+    """A relay's process, started with the command of the deploy file, and the stand-ins around it."""
 
     def __init__(
         self,
@@ -142,7 +142,7 @@
         memory: int = 192,
         watched: str = "",
     ) -> None:
-        """`watched`: a program that runs the module in the place of `-m`, with an eye on it."""
+        """Starts the relay. `watched` is a program that runs the module in place of `-m`, and observes it."""
         self.units = [UnitStandIn() for _ in range(units)]
         self.directory, self.deployer = DirectoryStandIn(), DeployerStandIn()
         for place, unit in enumerate(self.units):
@@ -193,7 +193,7 @@
         return [query for unit in self.units for query in unit.queries]
 
     def count(self, name: str) -> int:
-        """A counter, as printed on request."""
+        """Returns a counter, as the relay prints it on request."""
 
         def lines() -> list[str]:
             # Whole ones alone: the last may be in the writing.
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: a whole exchange, and plain messages on what is malformed."""
+"""The simulator's adapter: a whole exchange, and plain messages for malformed input."""
 
 import io
 import subprocess
--- a/tests/test_fleet_way.py
+++ b/tests/test_faulty_proxy.py
@@ -1,4 +1,4 @@
-"""The ways between processes in each mode, the script of faults, and real relays that it befalls."""
+"""Faulty proxies in each mode, scripts of faults, and real relays that these befall."""
 
 import contextlib
 import os
@@ -34,7 +34,7 @@
 
 
 class Echo(StandIn):
-    """Gives back what it gets, and keeps it."""
+    """A server that returns what it gets, and keeps it."""
 
     def serve(self, conn: socket.socket, stream: object) -> None:
         self.got = getattr(self, "got", b"")
@@ -44,7 +44,7 @@
 
 
 class Pair:
-    """One process `a` that reaches the echo of `b` over a way."""
+    """A process `a` that reaches the echo server of `b` through a proxy."""
 
     def __init__(self) -> None:
         self.echo, self.ways = Echo(), FaultyProxies()
@@ -54,7 +54,7 @@
         return socket.create_connection(self.address, seconds)
 
     def asks(self, sock: socket.socket, words: bytes = b"hello", seconds: float = 5.0) -> bytes | str:
-        """What comes back: bytes, `reset`, `refused`, or `nothing` in this time."""
+        """Returns what comes back: bytes, `reset`, `refused`, or `nothing` in this time."""
         try:
             sock.settimeout(seconds)
             sock.sendall(words)
@@ -192,7 +192,7 @@
 
 
 def most_down(found: tuple, keepers: dict[str, str]) -> tuple[int, set]:
-    """The most keepers in trouble at once, slow ways and wrong clocks aside, and what had not ended."""
+    """Returns the most keepers down at once, and what had not ended, without slow links and wrong clocks."""
     open_: dict[tuple, str] = {}
     most = 0
     for one in found:
@@ -256,7 +256,7 @@
         "    3.891 s  wake         m1",
         "    3.986 s  slow         k3 k2 delay=40.386ms rate=131072B/s",
     ]
-    assert all("\n" not in one and len(one) < 100 for one in lines)
+    assert all("\n" not in line and len(line) < 100 for line in lines)
 
 
 def test_real_relays_meet_each_fault_and_none_is_left(tmp_path: Path) -> None:
@@ -287,7 +287,7 @@
             }
 
         fleet = reading.read(str(nodes["k1"].operator)).fleet
-        assert [one.address for one in fleet.keepers] == [
+        assert [keeper.address for keeper in fleet.keepers] == [
             host.keeper_addresses["k1"],
             host.proxies.proxies["k1", "k2"].address,
             host.proxies.proxies["k1", "k3"].address,
@@ -317,7 +317,7 @@
         assert kinds() == {("m1", "k2", DEAF, TO_CLIENT)}
         meet(faults.HEAL, "k2", "m1")
         meet(faults.SITE_CUT, "@a")
-        assert {found[:2] for found in kinds()} == {
+        assert {kind[:2] for kind in kinds()} == {
             ("k1", "k2"),
             ("k1", "k3"),
             ("k2", "k1"),
--- a/tests/test_fleet_books.py
+++ b/tests/test_fleet_books.py
@@ -1,4 +1,4 @@
-"""The fleet's books: each rule by a script; any prefix replayed; never more in use than there is."""
+"""The replicated books: each rule by a script, replay of any prefix, and never more in use than there is."""
 
 import json
 import os
@@ -34,8 +34,9 @@
 
 
 def read(step: str) -> f.Command:
-    """`open NAME MARK`, `lapse N`, `define LIST`, `grant SCOPE N:SHARE..`, `close WHO MARK`,
-    `back WHO MARK SCOPE KEEPS`."""
+    """Parses `open NAME MARK`, `lapse N`, `define LIST`, `grant SCOPE N:SHARE..`, `close WHO MARK` or `back
+    WHO MARK SCOPE KEEPS`.
+    """
     match step.split():
         case "open", name, mark:
             return f.Command(None, int(mark), f.Open(name, "east"))
@@ -44,7 +45,7 @@
         case "define", name:
             return f.Command(None, 0, f.Define(LISTS[name]))
         case "grant", scope, *shares:
-            pairs = (one.split(":") for one in shares)
+            pairs = (share.split(":") for share in shares)
             return f.Command(None, 0, f.Grant(scope, tuple((int(one), int(share)) for one, share in pairs)))
         case "close", who, mark:
             return f.Command(WHO[who], int(mark), f.Close())
@@ -54,8 +55,8 @@
 
 
 def do(books: Books, at: int, *steps: str | f.Command) -> list[str]:
-    """What came of each: its code, or its value in words."""
-    commands = tuple(read(one) if type(one) is str else one for one in steps)
+    """Returns the result of each command: its code, or its value as text."""
+    commands = tuple(read(step) if type(step) is str else step for step in steps)
     done = books.apply(books.index + 1, f.Batch(at, 3, commands))
     for one in done:
         assert (
@@ -260,7 +261,7 @@
 
 
 def play(seed: int) -> Iterator[tuple[Books, f.Batch, tuple[f.Done, ...]]]:
-    """Random commands, the leader's and the relays' own, late ones and repeated ones too."""
+    """Applies random commands of the leader and of relays, with late and repeated ones."""
     rng, books, fences, given, at = Prng(seed), Books(), [A], [read("define all")], 0
     for index in range(1, 40):
         at, commands = at + rng.below(400) - 20, []
@@ -300,7 +301,7 @@
 
 
 def test_never_more_in_use_than_there_is() -> None:
-    """Counted from the commands and their outcomes alone, by rules written down here a second time."""
+    """Counted from the commands and their results alone, by an independent implementation of the rules."""
     codes: set[str] = set()
     for seed in range(1000, 1200):
         shares: dict[str, dict[int, int]] = {scope: {} for scope in SCOPES}
@@ -319,7 +320,9 @@
                     assert fits == (not code), (seed, what)
                     mine |= {one: max(share, mine.get(one, 0)) for one, share in what.shares if not code}
                 elif not code and type(what) is f.Define:
-                    divided = {one.name: one.whole - one.relays * one.floor for one in what.budgets}
+                    divided = {
+                        budget.name: budget.whole - budget.relays * budget.floor for budget in what.budgets
+                    }
                 elif not code and type(what) is f.GiveBack and (fence, mark) not in marks:
                     less = [(what.budget, fence.session, what.keeps)]
                 elif not code and type(what) in (f.Lapse, f.Close):
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -1,4 +1,4 @@
-"""Division by demand and the use of a share: rules by tables, all of it in a closed loop by true time."""
+"""Division of budgets by demand and the use of shares: rules by tables, and a closed loop in true time."""
 
 import time
 from collections import deque
@@ -26,7 +26,7 @@
 
 
 def asked(*rows: tuple) -> tuple[SessionDemand, ...]:
-    """Rows of demand beyond the floor, granted, wanted, part used."""
+    """Returns rows of demand beyond the floor, granted, wanted, and the part that is used."""
     return tuple(
         SessionDemand(session, 4 + row[0], *row[1:3], int(row[3] * MILLION) if row[3] >= 0 else -1, "s")
         for session, row in enumerate(rows, 1)
@@ -134,7 +134,7 @@
 
 
 def beats(budget: Budget, held: dict, demands: dict, used: dict, credit: dict, most: int) -> int:
-    """Beats with give-backs in between, `held` and `credit` changed on the way; until nothing is proposed."""
+    """Runs heartbeats with give-backs in between until nothing is proposed; changes `held` and `credit`."""
     for beat in range(most):
         rows = [
             (demand, held[one], held[one], min(1, used.get(one, demand) / held[one]) if held[one] else -1)
@@ -367,8 +367,10 @@
     ],
 )
 def test_demand_by_chance_is_told_without_bias(rate: float, relays: int, beats: int) -> None:
-    """Poisson demand of so much a beat: the mean of what all relays tell, against what there is. Within three
-    of the deviations that the events themselves make, and a hundredth."""
+    """Poisson demand per heartbeat: the mean of what all relays report, against the true rate.
+
+    Within three standard deviations of the events themselves, and one percent.
+    """
     told, true = 0, rate * S / BEAT
     for seed in range(relays):
         rng, use, at = Prng(seed), BudgetUse(TAKEN[0]), 99 * S + seed * 7919
@@ -410,7 +412,7 @@
 
 
 class Fleet:
-    """Relays, each with a clock of its own, and books of the simplest kind; `uses` are seen in true time."""
+    """Relays, each with a clock of its own, and simplified books; `uses` are noted in true time."""
 
     def __init__(self, budget: Budget, relays: int, seed: int) -> None:
         self.budget, self.rng = budget, Prng(seed)
@@ -433,7 +435,7 @@
     def run(
         self, seconds: int, load: float, shift: int, divides: bool = True, stops: int = 0, hot: float = 0
     ) -> None:
-        """`hot`: that one relay has so many times the demand of each other; 0: as 1 / place."""
+        """`hot`: one relay has so many times the demand of each other one; 0: demand falls as 1 / place."""
         weights = [(1 if place else hot) if hot else 1 / (place + 1) for place in range(len(self.relays))]
         for step in range(seconds * 100):
             self.now = step * S // 100
@@ -449,49 +451,52 @@
             if divides and step % 50 == 49:
                 self.leads()
 
-    def works(self, one: SimpleNamespace, mean: float) -> None:
-        while one.open and one.open[0][0] <= self.now:
-            one.open.pop(0)
-            one.loose += 1
+    def works(self, relay: SimpleNamespace, mean: float) -> None:
+        while relay.open and relay.open[0][0] <= self.now:
+            relay.open.pop(0)
+            relay.loose += 1
             self.uses.append((self.now, -1))
-        one.use.release(self.now + one.clock, one.loose)
-        one.loose = 0
+        relay.use.release(self.now + relay.clock, relay.loose)
+        relay.loose = 0
         for _ in range(int(mean * 2 * self.rng.fraction() + self.rng.fraction())):
-            if one.use.consume(self.now + one.clock, usable=True):
+            if relay.use.consume(self.now + relay.clock, usable=True):
                 self.uses.append((self.now, 1))
-                one.open += [(self.now + 2 * S, one.session)] if self.budget.kind == LEVEL else []
+                relay.open += [(self.now + 2 * S, relay.session)] if self.budget.kind == LEVEL else []
 
-    def renews(self, one: SimpleNamespace) -> None:
-        now = self.now + one.clock
-        if one.session not in self.held:
-            one.use.set_share(now, None, 0)
+    def renews(self, relay: SimpleNamespace) -> None:
+        now = self.now + relay.clock
+        if relay.session not in self.held:
+            relay.use.set_share(now, None, 0)
             self.sessions += 1
-            one.session, self.held[self.sessions] = self.sessions, [0, 0]
-        granted, wanted = self.held[one.session]
-        one.renewed, one.told = self.now, (one.use.demand(now), one.use.used_ppm(now))
-        one.use.set_share(now, Share("b", granted, wanted), now + HOLDS)
-        if (keeps := one.use.give_back(now)) is not None:
+            relay.session, self.held[self.sessions] = self.sessions, [0, 0]
+        granted, wanted = self.held[relay.session]
+        relay.renewed, relay.told = self.now, (relay.use.demand(now), relay.use.used_ppm(now))
+        relay.use.set_share(now, Share("b", granted, wanted), now + HOLDS)
+        if (keeps := relay.use.give_back(now)) is not None:
             self.freeing.append((self.now + self.budget.window, granted - keeps, -1))
-            self.held[one.session] = [keeps, min(wanted, keeps)]
-            one.use.give_back_answered(now + HOLDS)
+            self.held[relay.session] = [keeps, min(wanted, keeps)]
+            relay.use.give_back_answered(now + HOLDS)
 
-    def over(self, one: SimpleNamespace) -> bool:
-        return one.session in self.held and self.now >= one.renewed + BINDS
+    def over(self, relay: SimpleNamespace) -> bool:
+        return relay.session in self.held and self.now >= relay.renewed + BINDS
 
     def leads(self) -> None:
-        for one in self.relays:
-            if self.over(one):
+        for relay in self.relays:
+            if self.over(relay):
                 after = self.budget.window + self.budget.freed_after
-                self.freeing.append((self.now + after, self.held.pop(one.session)[0], one.session))
+                self.freeing.append((self.now + after, self.held.pop(relay.session)[0], relay.session))
             gone = [session for at, _, session in self.freeing if at <= self.now]
-            shut = [opened for opened in one.open if opened[1] in gone]  # the unit itself lets go
-            one.open, one.loose = [opened for opened in one.open if opened not in shut], one.loose + len(shut)
+            shut = [opened for opened in relay.open if opened[1] in gone]  # the unit itself lets go
+            relay.open, relay.loose = (
+                [opened for opened in relay.open if opened not in shut],
+                relay.loose + len(shut),
+            )
             self.uses += [(self.now, -1)] * len(shut)
         self.freeing = [freed for freed in self.freeing if freed[0] > self.now]
         told = tuple(
-            SessionDemand(one.session, one.told[0], *self.held[one.session], one.told[1], "s")
-            for one in self.relays
-            if one.session in self.held
+            SessionDemand(relay.session, relay.told[0], *self.held[relay.session], relay.told[1], "s")
+            for relay in self.relays
+            if relay.session in self.held
         )
         others = sum(amount for _, amount, _ in self.freeing)
         self.credit = update_credit(self.budget, told, self.credit)
@@ -503,7 +508,7 @@
 
 
 def beyond_whole(budget: Budget, uses: list, relays: int) -> int:
-    """By how much what was used ever passed what it may, over all relays and whatever stretch of time."""
+    """Returns by how much the use of all relays ever exceeded the limit, in any period."""
     worst = level = last = 0
     window = deque()
     for at, amount in uses:
@@ -549,8 +554,10 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_relays_near_idle_hold_no_tokens_that_another_wants(seed: int) -> None:
-    """Four that ask 0.67 a second and one that asks 40, of a whole of 24 and a floor of 1 each of six: 18 are
-    divided. What a floor's bucket of one lets through of 0.67 is 0.4, so no more than 0.86 can be used."""
+    """Four relays need 0.67 per second and one needs 40, of a total of 24 with a floor of 1 for each of six.
+
+    18 are divided. Of a demand of 0.67 a floor's bucket of one lets 0.4 through, so at most 0.86 can be used.
+    """
     fleet = Fleet(Budget("b", RATE, 24, 1, 6, 0, 0), 5, seed)
     fleet.run(80, 42.7, 80, hot=60)
     used = sum(at >= 5 * S for at, _ in fleet.uses) / (75 * 24)
@@ -560,8 +567,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_what_a_dead_relay_held_is_anothers_within_a_lease_and_a_beat(seed: int) -> None:
-    """As above; the one that asks most dies, and its demand goes to one that was near idle. The books divide
-    with each beat and as a session ends (`Desk`)."""
+    """The relay with the highest demand dies, and its demand goes to one that was nearly idle.
+
+    The books divide with each heartbeat and when a session ends (`Coordinator`).
+    """
     fleet = Fleet(Budget("b", RATE, 24, 1, 6, 0, 0), 6, seed)
     dies, step, took = 2000 + 7 * seed, 0, -1
     while took < 0 and step < dies + 600:
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -1,4 +1,4 @@
-"""What crosses between processes of a fleet: forms, versions, the real server and client, and the mailbox."""
+"""Calls between processes of a fleet: messages, versions, the real server and client, and the mailbox."""
 
 import ast
 import contextlib
@@ -219,7 +219,7 @@
 
 
 def _with_more(message: object) -> object:
-    """The same from a newer version: bytes of a field 900 at its end."""
+    """Returns the message as from a newer version: with bytes of a field 900 at its end."""
     return type(message).FromString(message.SerializeToString() + b"\xa2\x38\x03new")
 
 
@@ -229,7 +229,7 @@
 
 
 def _parts(message: object) -> Iterator[object]:
-    """The message and all messages in it."""
+    """Returns the message and all messages in it."""
     yield message
     for field, value in message.ListFields():
         if field.message_type:
@@ -238,7 +238,7 @@
 
 
 def _lacks(whole: object, less: object) -> bool:
-    """The same, but for what is nothing there."""
+    """Returns the same text without what is empty there."""
     alike = isinstance(whole, tuple) and type(whole) is type(less) and len(whole) == len(less)
     return whole == less or not less or (alike and all(map(_lacks, whole, less)))
 
@@ -247,18 +247,18 @@
 def test_a_field_that_a_former_version_did_not_send_is_read_as_nothing_or_refused(
     kind: type, form: object
 ) -> None:
-    """At any depth, one field at a time; all else is as it was sent."""
+    """At any depth, one field at a time; everything else is as it was sent."""
     whole, read = codec.to_message(form), 0
     for place, part in enumerate(_parts(whole)):
         for field in part.DESCRIPTOR.fields:
             less = type(whole).FromString(whole.SerializeToString())
             list(_parts(less))[place].ClearField(field.name)
             try:
-                found = codec.from_message(kind, less)
+                decoded = codec.from_message(kind, less)
             except errors.UnreadableError:
                 continue
             read += 1
-            assert _lacks(form, found), (part.DESCRIPTOR.name, field.name)
+            assert _lacks(form, decoded), (part.DESCRIPTOR.name, field.name)
     assert read
 
 
@@ -295,7 +295,7 @@
 
 
 def test_no_part_of_a_fleet_reads_the_time_of_day(monkeypatch: pytest.MonkeyPatch) -> None:
-    """And leases are counted by a clock that goes on while the machine sleeps."""
+    """Leases are counted by a clock that goes on while the machine sleeps."""
     clocks, found = {"monotonic", "sleep", "clock_gettime_ns", "CLOCK_BOOTTIME"}, set()
     for one in sorted((ROOT / "laurelcourse" / "fleet").rglob("*.py")):
         for node in ast.walk(ast.parse(one.read_text())):
@@ -318,7 +318,9 @@
 
 
 class Scripted:
-    """Stands in for Keeping: `script` gives an answer, an error or a future for each order."""
+    """Stands in for the member that serves calls: `script` gives an answer, an error or a future for each
+    order.
+    """
 
     def __init__(self, script: Callable[[object], object] = lambda _: RENEWED) -> None:
         self.script, self.talk, self.orders = script, [], []
@@ -346,7 +348,7 @@
 
 
 class Ground:
-    """Servers, clients and half-open listeners of one test, ended with it."""
+    """Servers, clients and half-open listeners of one test, closed with it."""
 
     def __init__(self, ends: contextlib.ExitStack) -> None:
         self.ends, self.held = ends, []
@@ -370,7 +372,7 @@
         return f"127.0.0.3:{listener.getsockname()[1]}"
 
     def mute(self) -> str:
-        """A peer of gRPC (an empty SETTINGS frame: RFC 9113, 6.5) that then says nothing more."""
+        """Runs a gRPC peer that says nothing after an empty SETTINGS frame (RFC 9113, 6.5)."""
         listener = self.ends.enter_context(socket.create_server(("127.0.0.3", 0)))
 
         def serve() -> None:
@@ -408,9 +410,9 @@
 
 
 def told(call: Callable, form: object, seconds: float = 5) -> object:
-    found = Future()
-    call(form, found.set_result)
-    return found.result(seconds)
+    future = Future()
+    call(form, future.set_result)
+    return future.result(seconds)
 
 
 def test_each_order_is_carried_and_the_leaders_hint_is_followed(ground: Ground) -> None:
@@ -432,7 +434,7 @@
             RENEWED,
         ]
         assert told(client.renew, BEAT) == RENEWED and len(others.orders) == hints
-        assert [one for one in leading.orders if one != BEAT] == [SUBMIT, ASKED, VOTERS]
+        assert [order for order in leading.orders if order != BEAT] == [SUBMIT, ASKED, VOTERS]
 
 
 @pytest.mark.parametrize(
@@ -686,8 +688,10 @@
 def test_the_time_of_day_set_while_a_keeper_waits_changes_nothing_of_the_askers_time(
     ground: Ground, monkeypatch: pytest.MonkeyPatch, hours: int
 ) -> None:
-    """gRPC's `time_remaining` is reckoned against `time.time`: set back, an order would be handed on after
-    its asker's time; set forward, not at all."""
+    """gRPC's `time_remaining` is computed from `time.time`.
+
+    Set back, an order would be forwarded after its asker's deadline; set forward, not at all.
+    """
     own, times, handed = Future(), [], []
     service = ground.keeper("b", Scripted(lambda _: own), 0, SLOW, {"a": "127.0.0.1:1"})
     end = time.time() + 20
@@ -721,12 +725,12 @@
         )
     stub = fleet_pb2_grpc.BooksStub(ground.raw(doors["a"]))
     order = {"head": _head(), "what": codec.to_message(BEAT)}
-    found = stub.Renew(wire.RenewOrder(**order, hand_on=True), timeout=5)
-    done = found.answer.done
-    assert (found.by, done.code, done.told[0].value.text) == ("b", "not_leader", "c")
+    answer = stub.Renew(wire.RenewOrder(**order, hand_on=True), timeout=5)
+    done = answer.answer.done
+    assert (answer.by, done.code, done.told[0].value.text) == ("b", "not_leader", "c")
     assert [len(one.orders) for one in asked.values()] == [1, 1, 0]
-    found = stub.Renew(wire.RenewOrder(**order), timeout=5)  # nobody wished for it
-    assert (found.by, found.answer.done.told[0].value.text) == ("", "b")
+    answer = stub.Renew(wire.RenewOrder(**order), timeout=5)  # nobody wished for it
+    assert (answer.by, answer.answer.done.told[0].value.text) == ("", "b")
     assert [len(one.orders) for one in asked.values()] == [2, 1, 0]
 
 
@@ -737,7 +741,7 @@
 def test_an_answer_that_never_came_back_leaves_the_fate_unknown(
     ground: Ground, lost: str, error: type
 ) -> None:
-    """Of an order that went no way but by hand: the relay's own way to the leader brings nothing there."""
+    """The order went only through another keeper: the relay's own connection to the leader does not work."""
     b = ground.keeper("b", Scripted(hinting), others={"a": getattr(ground, lost)()})
     client = ground.client({"a": ground.dead(), "b": at(b)}, LIMITS._replace(order_timeout=SECOND))
     began = now()
@@ -749,16 +753,16 @@
     leading = Scripted(lambda _: Future())
     a = ground.keeper("a", leading, limits=SLOW)
     b = ground.keeper("b", Scripted(hinting), limits=SLOW, others={"a": at(a)})
-    client, found = (
+    client, future = (
         ground.client({"a": ground.dead(), "b": at(b)}, SLOW._replace(order_timeout=SECOND)),
         Future(),
     )
-    client.submit(SUBMIT, found.set_result)
+    client.submit(SUBMIT, future.set_result)
     wait_until(lambda: leading.orders)
     began = now()
     b.stop(0)  # does not wait for the leader's answer
     assert now() - began < SECOND
-    assert type(found.result(5)) is errors.UnknownFateError
+    assert type(future.result(5)) is errors.UnknownFateError
 
 
 def test_a_keeper_that_knows_no_such_wish_is_asked_in_vain_and_another_hands_on(ground: Ground) -> None:
@@ -877,11 +881,13 @@
     bounds = keeper.Bounds(
         SECOND // 4, SECOND, max_batch_bytes=1 << 18, max_in_flight=4, chunk_bytes=1 << 18, max_waiting=100
     )
-    found = limits(orders.Terms("fleet", 10 * SECOND, 1000, SECOND, 200, bounds, VOTERS, (), 1000))
+    limit_values = limits(orders.Terms("fleet", 10 * SECOND, 1000, SECOND, 200, bounds, VOTERS, (), 1000))
     assert (
-        found.message_bytes > 4 * (1 << 18) and found.max_calls >= 200 // 4 and found.keeper_threads >= 2 * 3
+        limit_values.message_bytes > 4 * (1 << 18)
+        and limit_values.max_calls >= 200 // 4
+        and limit_values.keeper_threads >= 2 * 3
     )
-    assert found.keeper_timeout < found.call_timeout < found.order_timeout
+    assert limit_values.keeper_timeout < limit_values.call_timeout < limit_values.order_timeout
 
 
 # The mailbox
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_coordinator.py
@@ -1,4 +1,4 @@
-"""Leases from both sides, a keeper's decisions around the core, and all orders of a small fleet."""
+"""Leases on both sides, a keeper's decisions around the core, and all interleavings of a small fleet."""
 
 import json
 from collections import deque
@@ -40,16 +40,16 @@
 
 
 def opened(at: int = 0, terms: Terms = TERMS) -> Session:
-    one = Session("r", "s", terms, Prng(1), at)
-    one.orders(at)
-    one.answered(at, at, (Done(FENCE),))
-    return one
+    session = Session("r", "s", terms, Prng(1), at)
+    session.orders(at)
+    session.answered(at, at, (Done(FENCE),))
+    return session
 
 
-def renew(one: Session, asked: int, now: int, *shares: Share) -> None:
-    one.next_at = asked
-    assert isinstance(one.orders(asked)[0], Beat)
-    one.answered(now, asked, Renewed(TERMS.lease, shares))
+def renew(session: Session, asked: int, now: int, *shares: Share) -> None:
+    session.next_at = asked
+    assert isinstance(session.orders(asked)[0], Beat)
+    session.answered(now, asked, Renewed(TERMS.lease, shares))
 
 
 @pytest.mark.parametrize(
@@ -78,80 +78,84 @@
     ],
 )
 def test_states_of_a_session(steps: tuple[str, ...], state: str, usable: bool) -> None:
-    one, now = opened(), 0
+    session, now = opened(), 0
     for step in steps:
         verb, *rest = step.split()
         numbers = [int(word) for word in rest if word.isdigit()]
         now = max([now, *numbers])
         match verb:
             case "at":
-                one.is_usable(now)
+                session.is_usable(now)
             case "ask":
-                one.next_at = now
-                assert len(one.orders(now)) == 1
+                session.next_at = now
+                assert len(session.orders(now)) == 1
             case "yes":
-                one.answered(now, numbers[0], Renewed(TERMS.lease, ()))
+                session.answered(now, numbers[0], Renewed(TERMS.lease, ()))
             case "no":
-                one.failed(now, numbers[0], rest[-1])
+                session.failed(now, numbers[0], rest[-1])
             case "done":
-                one.answered(now, numbers[0], (Done(),))
+                session.answered(now, numbers[0], (Done(),))
             case "close":
-                one.close(now)
-    assert (one.state, one.is_usable(now)) == (state, usable)
-    assert bool(one.shares(now)) is False
+                session.close(now)
+    assert (session.state, session.is_usable(now)) == (state, usable)
+    assert bool(session.shares(now)) is False
 
 
 def test_a_state_is_not_left_but_as_stated() -> None:
-    one = opened()
+    session = opened()
     with pytest.raises(AssertionError, match="held can't become away"):
-        one._set_state(side.AWAY)
+        session._set_state(side.AWAY)
 
 
 def test_openings_bear_one_mark_until_refused_and_pause_longer_each_time() -> None:
-    one, now, marks, pauses = Session("r", "s", TERMS, Prng(4), 0), 0, [], []
+    session, now, marks, pauses = Session("r", "s", TERMS, Prng(4), 0), 0, [], []
     for _ in range(8):
-        order = one.orders(now)[0]
+        order = session.orders(now)[0]
         marks.append(order.commands[0].mark)
-        one.failed(now, order.asked_at, "no_quorum")
-        pauses.append(one.due() - now)
-        assert one.orders(one.due() - 1) == []
-        now = one.due()
+        session.failed(now, order.asked_at, "no_quorum")
+        pauses.append(session.due() - now)
+        assert session.orders(session.due() - 1) == []
+        now = session.due()
     longest = [min(TERMS.renew_interval << min(times, 5), TERMS.lease) for times in range(8)]
     assert all(most // 2 <= pause < most for most, pause in zip(longest, pauses, strict=True))
     assert len(set(marks)) == 1
     assert len({pause / most for pause, most in zip(pauses, longest, strict=True)}) > 4
-    order = one.orders(now)[0]
-    one.answered(now, order.asked_at, (Done(code="name_taken"),))
-    assert one.state == side.AWAY and one.orders(one.due())[0].commands[0].mark != marks[0]
+    order = session.orders(now)[0]
+    session.answered(now, order.asked_at, (Done(code="name_taken"),))
+    assert session.state == side.AWAY and session.orders(session.due())[0].commands[0].mark != marks[0]
     # never answered at all: asked again, and the lease counts from the first asking
-    first, now = one.due() - TERMS.lease, one.due()
-    order = one.orders(now)[0]
-    one.answered(now, now, (Done(FENCE),))
-    assert order.commands[0].mark == one.open_mark and one.granted_at == first and not one.is_usable(now)
+    first, now = session.due() - TERMS.lease, session.due()
+    order = session.orders(now)[0]
+    session.answered(now, now, (Done(FENCE),))
+    assert (
+        order.commands[0].mark == session.open_mark
+        and session.granted_at == first
+        and not session.is_usable(now)
+    )
 
 
 def test_unknown_fates_are_asked_again_with_the_same_mark() -> None:
-    one = opened()
-    renew(one, 10, 20, Share("tries", 30, 30))
-    commands = [one.command(GiveBack("tries", keeps), 30) for keeps in (20, 10)]
+    session = opened()
+    renew(session, 10, 20, Share("tries", 30, 30))
+    commands = [session.command(GiveBack("tries", keeps), 30) for keeps in (20, 10)]
     assert [command.mark for command in commands] == [1, 2]
     for command in commands:
-        one.lost(command, "unknown_fate")
-    one.next_at = 40
-    beat, submit = one.orders(40)
+        session.lost(command, "unknown_fate")
+    session.next_at = 40
+    beat, submit = session.orders(40)
     assert submit == Submit(tuple(commands), 40) and beat.fence == FENCE
-    one.answered(50, 40, (Done((20,)), Done(code="not_leader")))
-    assert one.take_results() == [(commands[0], Done((20,)))] and one.take_results() == []
-    one.next_at = 60
-    assert one.orders(60)[1].commands == (commands[1],)
+    session.answered(50, 40, (Done((20,)), Done(code="not_leader")))
+    assert session.take_results() == [(commands[0], Done((20,)))] and session.take_results() == []
+    session.next_at = 60
+    assert session.orders(60)[1].commands == (commands[1],)
     for _ in range(side.REMEMBERED_MARKS - 1):
-        one.command(GiveBack("held", 0), 61)
+        session.command(GiveBack("held", 0), 61)
     with pytest.raises(OverloadedError):  # or its fate would be forgotten by the books
-        one.command(GiveBack("held", 0), 61)
-    one.failed(70, 60, "fenced_off")
-    assert [done.code for _, done in one.take_results()] == ["unknown_fate"]
+        session.command(GiveBack("held", 0), 61)
+    session.failed(70, 60, "fenced_off")
+    assert [done.code for _, done in session.take_results()] == ["unknown_fate"]
     with pytest.raises(LapsedLeaseError):
-        one.command(GiveBack("tries", 0), 80)
+        session.command(GiveBack("tries", 0), 80)
 
 
 @pytest.mark.parametrize(
@@ -163,17 +167,17 @@
     ],
 )
 def test_no_command_is_made_without_a_usable_lease(now: int, closed: bool) -> None:
-    """The look is in the making itself: what is sent after a pause has been made after it."""
-    one = opened()
-    assert one.command(GiveBack("tries", 0), TERMS.holder_lease() - 1) == Command(
+    """The lease is checked as the command is made: what is sent after a pause was made after it."""
+    session = opened()
+    assert session.command(GiveBack("tries", 0), TERMS.holder_lease() - 1) == Command(
         FENCE, 1, GiveBack("tries", 0)
     )
     if closed:
-        one.close(now)
-    before = one.mark
+        session.close(now)
+    before = session.mark
     with pytest.raises(LapsedLeaseError):
-        one.command(GiveBack("tries", 0), now)
-    assert one.mark == before and not one.in_flight
+        session.command(GiveBack("tries", 0), now)
+    assert session.mark == before and not session.in_flight
 
 
 @pytest.mark.parametrize(
@@ -194,51 +198,53 @@
     ],
 )
 def test_a_share_given_back_is_not_used_on_an_older_word(steps: str, granted: int) -> None:
-    one = opened()
-    renew(one, 10, 20, Share("tries", 30, 10))
-    one.next_at = 90
-    one.orders(90)  # asked before anything is given back
+    session = opened()
+    renew(session, 10, 20, Share("tries", 30, 10))
+    session.next_at = 90
+    session.orders(90)  # asked before anything is given back
     now, back = 100, None
     for step in steps.split():
         now += 10
         if step.startswith("back"):
-            command = one.command(GiveBack("tries", int(step[4:] or 10)), now)
+            command = session.command(GiveBack("tries", int(step[4:] or 10)), now)
             back = back or command
         elif step == "known":
-            one.confirmed(now, back)
+            session.confirmed(now, back)
         elif step.startswith("old"):
-            one.answered(now, 90, Renewed(TERMS.lease, (Share("tries", int(step[3:]), 10),)))
+            session.answered(now, 90, Renewed(TERMS.lease, (Share("tries", int(step[3:]), 10),)))
         else:
-            renew(one, now, now + 5, Share("tries", int(step[-2:]), 10))
+            renew(session, now, now + 5, Share("tries", int(step[-2:]), 10))
             now += 5
-    assert one.shares(now + 1)["tries"].granted == granted
+    assert session.shares(now + 1)["tries"].granted == granted
 
 
 # The leader's side
 
 
 def test_leases_as_the_leader_counts_them() -> None:
-    binds, one = TERMS.keeper_lease(), Members(TERMS, 1000, [2, 1])
-    assert one.due() == 1000 + binds and one.take_expired(1000 + binds - 1) == []
+    binds, members = TERMS.keeper_lease(), Members(TERMS, 1000, [2, 1])
+    assert members.due() == 1000 + binds and members.take_expired(1000 + binds - 1) == []
     beats = [
         Beat(FENCE._replace(session=number), (("tries", 7),), 0, (("tries", 5),)) for number in range(10)
     ]
-    assert one.renew(5000, beats[1]) and one.renew(4000, beats[1]._replace(demands=()))
-    assert not one.renew(5000, beats[9])
-    assert (one.used_ppm(1, "tries"), one.used_ppm(2, "tries")) == (5, -1)
-    one.follow(6000, [1, 2, 3])
-    assert one.take_expired(1000 + binds) == [2] and one.take_expired(1000 + binds) == []
-    assert not one.renew(1000 + binds, beats[2]) and one.refuses(2)
-    assert one.demand(6000, 2, "tries", 50) == 0 and one.demand(6000, 1, "tries", 50) == 7
-    assert one.demand(6000, 3, "tries", 50) == 50  # it has told this leader nothing yet
-    assert one.take_expired(5000 + binds - 1) == [] and one.take_expired(5000 + binds) == [1]
-    one.cancel_lapse(1)
-    assert one.due() <= 5000 + binds and one.renew(6000, beats[1]._replace(demands=(("tries", 1000),)))
+    assert members.renew(5000, beats[1]) and members.renew(4000, beats[1]._replace(demands=()))
+    assert not members.renew(5000, beats[9])
+    assert (members.used_ppm(1, "tries"), members.used_ppm(2, "tries")) == (5, -1)
+    members.follow(6000, [1, 2, 3])
+    assert members.take_expired(1000 + binds) == [2] and members.take_expired(1000 + binds) == []
+    assert not members.renew(1000 + binds, beats[2]) and members.refuses(2)
+    assert members.demand(6000, 2, "tries", 50) == 0 and members.demand(6000, 1, "tries", 50) == 7
+    assert members.demand(6000, 3, "tries", 50) == 50  # it has told this leader nothing yet
+    assert members.take_expired(5000 + binds - 1) == [] and members.take_expired(5000 + binds) == [1]
+    members.cancel_lapse(1)
+    assert members.due() <= 5000 + binds and members.renew(
+        6000, beats[1]._replace(demands=(("tries", 1000),))
+    )
     full, gone = 6000 + 2 * TERMS.renew_interval, 6000 + TERMS.lease
-    fading = [one.demand(now, 1, "tries", 0) for now in (full, (full + gone) // 2, gone)]
-    assert fading == [1000, 500, 0] and one.wanted() == {"tries": [1]}
-    one.follow(7000, [2])
-    assert sorted(one.by_session) == [2]
+    fading = [members.demand(now, 1, "tries", 0) for now in (full, (full + gone) // 2, gone)]
+    assert fading == [1000, 500, 0] and members.wanted() == {"tries": [1]}
+    members.follow(7000, [2])
+    assert sorted(members.by_session) == [2]
 
 
 def test_a_leaders_time_goes_on_from_the_books_and_never_back() -> None:
@@ -305,7 +311,9 @@
 
 
 def encode(batch: Batch) -> bytes:
-    told = [[one.fence, one.mark, type(one.what).__name__, one.what] for one in batch.commands]
+    told = [
+        [command.fence, command.mark, type(command.what).__name__, command.what] for command in batch.commands
+    ]
     return json.dumps([batch.at, batch.term, told]).encode()
 
 
@@ -324,14 +332,14 @@
 def what(kind: str, fields: list) -> forms.What:
     match kind:
         case "Define":
-            return forms.Define(tuple(forms.Budget(*one) for one in fields[0]))
+            return forms.Define(tuple(forms.Budget(*field) for field in fields[0]))
         case "Grant":
             return Grant(fields[0], tuple((one, share) for one, share in fields[1]))
     return KINDS[kind](*fields)
 
 
 class Fleet:
-    """Keepers with disks in one thread; messages arrive at once, but from and to those cut off."""
+    """Keepers with disks in one thread; messages arrive at once, except to and from those cut off."""
 
     def __init__(self, names: str = "abc", terms: Terms = TERMS) -> None:
         self.now, self.terms = 0, terms._replace(keepers=Keepers(tuple(names)))
@@ -365,7 +373,7 @@
             self.answers.setdefault(token, []).append(answer)
 
     def call(self, verb: str, asked: object, desk: Coordinator | None = None) -> int:
-        """Its token; what it leads to without any time passing is carried out."""
+        """Returns an order's token; what follows without any time passing is carried out."""
         self.tokens += 1
         desk = desk or self.leader()
         self.carry(desk.name, getattr(desk, verb)(self.now, self.tokens, asked))
@@ -419,7 +427,7 @@
     assert fleet.renew(fence, tries=70) == Renewed(fleet.terms.lease, ())
     fleet.pass_time(fleet.now + 3 * TERMS.renew_interval)
     shares = fleet.renew(fence, tries=70).shares
-    assert [(one.budget, one.granted >= 50) for one in shares] == [("tries", True)]
+    assert [(share.budget, share.granted >= 50) for share in shares] == [("tries", True)]
     kept = fleet.ask(
         "submit", Submit((Command(fence, 1, GiveBack("tries", 5)), Command(fence, 2, GiveBack("held", 1))))
     )
@@ -493,7 +501,7 @@
     codes = [[fleet.answers[token][0].code for token in tokens] for tokens in (beats, opens)]
     assert codes[0] == ["no_quorum"] + ["not_leader"] * (most - 1) + ["overloaded"]
     assert codes[1][0] == "unknown_fate" and set(codes[1]) <= {"unknown_fate", "not_leader", "overloaded"}
-    assert all(len(found) == 1 for found in fleet.answers.values())
+    assert all(len(answer) == 1 for answer in fleet.answers.values())
 
 
 def test_a_silent_session_is_lapsed_and_not_renewed_from_the_proposal_on() -> None:
@@ -517,7 +525,7 @@
 
 @pytest.mark.parametrize("phase", [5, 35, 65])
 def test_what_a_lapsed_session_held_is_divided_anew_at_once(phase: int) -> None:
-    """Not with the next beat, at whatever part of one the lease ends: the wait would come on top of it."""
+    """Waiting for the next heartbeat, at whatever point the lease ends, would delay the division."""
     fleet = Fleet()
     fence, other = fleet.open("r"), fleet.open("s")
     leader = fleet.leader()
@@ -546,7 +554,9 @@
     began, new = fleet.now, fleet.leader()
     fleet.pass_time(began + TERMS.renew_interval)
     # what it holds is its demand, until it has told this leader: nothing is asked back
-    assert [(one.granted, one.wanted) for one in shares] == [one[1:] for one in new.books.shares("tries")]
+    assert [(share.granted, share.wanted) for share in shares] == [
+        share[1:] for share in new.books.shares("tries")
+    ]
     fleet.until(lambda: all(token in fleet.answers for token in beats))
     assert [fleet.answers[token][0].code for token in beats] == ["no_quorum", "unknown_fate"]
     fleet.cut = set()
@@ -582,7 +592,7 @@
     apply, refused = desk.books.apply, []
 
     def refusing(index: int, batch: Batch) -> tuple[Done, ...]:
-        if not any(isinstance(one.what, Grant) for one in batch.commands):
+        if not any(isinstance(command.what, Grant) for command in batch.commands):
             return apply(index, batch)
         refused.append(fleet.now)
         apply(index, batch._replace(commands=()))
@@ -642,33 +652,33 @@
 )
 
 
-def copied(one: Session | Member) -> Session | Member:
-    """Values are never changed in place but the containers that hold them."""
-    new = object.__new__(type(one))
-    for name in getattr(one, "__slots__", None) or vars(one):
-        value = getattr(one, name)
+def copied(original: Session | Member) -> Session | Member:
+    """Returns a copy; only containers are copied, since values are never changed in place."""
+    new = object.__new__(type(original))
+    for name in getattr(original, "__slots__", None) or vars(original):
+        value = getattr(original, name)
         setattr(new, name, value.copy() if isinstance(value, dict | list) else value)
-    if isinstance(one, Session):
+    if isinstance(original, Session):
         new.rng = Prng(0)
-        new.rng.word = one.rng.word
+        new.rng.word = original.rng.word
     return new
 
 
-def plain(one: Session, under_way: set[int], now: int) -> tuple:
-    """All that can make a difference to what it does from now on."""
-    waits = one.state in (side.AWAY, side.OPENING)
+def plain(session: Session, under_way: set[int], now: int) -> tuple:
+    """Returns all that can make a difference to a session's behaviour from now on."""
+    waits = session.state in (side.AWAY, side.OPENING)
     return (
-        one.state,
-        one.fence,
-        one.mark,
-        max(one.next_at, now),
-        waits and (one.failures, one.first_asked),
-        waits and one.open_mark,
-        one.granted_at,
-        *one.held.values(),
-        *sorted(one.given_back.items()),
-        *sorted(one.unknown),
-        *sorted(item for item in one.in_flight.items() if item[0] in under_way),
+        session.state,
+        session.fence,
+        session.mark,
+        max(session.next_at, now),
+        waits and (session.failures, session.first_asked),
+        waits and session.open_mark,
+        session.granted_at,
+        *session.held.values(),
+        *sorted(session.given_back.items()),
+        *sorted(session.unknown),
+        *sorted(item for item in session.in_flight.items() if item[0] in under_way),
     )
 
 
@@ -711,7 +721,7 @@
 
     def key(self) -> tuple:
         asked = [
-            {one.asked_at for one in requests}
+            {request.asked_at for request in requests}
             | {asked for asked, _ in answers}
             | ({heard[0].asked_at} if heard else set())
             for requests, answers, heard in zip(self.requests, self.answers, self.heard, strict=True)
@@ -732,7 +742,7 @@
             *self.answers,
             self.paused,
             self.left,
-            *(one.fence for one in self.books.sessions()),
+            *(session.fence for session in self.books.sessions()),
         )
 
     def members(self) -> Members:
@@ -744,13 +754,13 @@
     def apply(self, *commands: Command) -> tuple[Done, ...]:
         self.books = Books.from_snapshot(self.books.snapshot())
         dones = self.books.apply(self.books.index + 1, Batch(self.now, 1, commands))
-        self.members().follow(self.now, [one.number for one in self.books.sessions()])
+        self.members().follow(self.now, [session.number for session in self.books.sessions()])
         if grant := self.grant():  # as soon as may be: that is the hardest for what is in use
             self.books.apply(self.books.index + 1, Batch(self.now, 1, (grant,)))
         return dones
 
     def act(self) -> None:
-        """Relays that run do what is due; an order unanswered is as good as lost then."""
+        """Has relays that run do what is due; an order without an answer counts as lost then."""
         for place in (0, 1):
             if not (place == 0 and self.paused) and self.relays[place].due() <= self.now:
                 relay = self.relay(place)
@@ -808,7 +818,7 @@
         answer: Answer = Done(code="lapsed_lease")
         if self.books.fence_refusal(beat.fence) is None and self.members().renew(heard, beat):
             shares = self.books.session_shares(beat.fence.session)
-            answer = Renewed(SMALL.lease, tuple(Share(*one) for one in shares))
+            answer = Renewed(SMALL.lease, tuple(Share(*share) for share in shares))
         self.answers[place] = ((beat.asked_at, answer),)  # one that did not come by now is lost
 
     def answer(self, place: int = 0) -> None:
@@ -834,7 +844,7 @@
 
     def grant(self) -> Command | None:
         granted = {one: (has, wants) for one, has, wants in self.books.shares("x")}
-        live = [one.number for one in self.books.sessions()]
+        live = [session.number for session in self.books.sessions()]
         free, changes = WHOLE - sum(has for has, _ in granted.values()), []
         for session in live:
             has, wants = granted.get(session, (0, 0))
@@ -849,7 +859,7 @@
         self.lapses = tuple(self.members().take_expired(self.now))
 
     def counted_anew(self) -> dict[int, Member]:
-        return Members(SMALL, self.now, [one.number for one in self.books.sessions()]).by_session
+        return Members(SMALL, self.now, [session.number for session in self.books.sessions()]).by_session
 
     def pause(self) -> None:
         self.left, self.paused = tuple(one for one in self.left if one != "pause"), True
@@ -858,7 +868,7 @@
         self.paused = False
 
     def fault(self) -> str:
-        """What the relays that run may use now, looked at as each use looks at it."""
+        """Returns what running relays may use now, as each use checks it."""
         used = 0
         for place, relay in enumerate(self.relays):
             if not (place == 0 and self.paused):
@@ -870,7 +880,9 @@
 
 
 def explored(until: int, prompt: bool) -> tuple[int, list[str]]:
-    """Breadth first: how many states there are, and the shortest way to a fault, if there is one."""
+    """Explores breadth first; returns the number of states, and the shortest path to a fault, if there is
+    one.
+    """
     first = World(prompt, until)
     came: dict[tuple, tuple[tuple | None, str]] = {first.key(): (None, "")}
     todo = deque([first])
@@ -906,7 +918,7 @@
 
 
 def not_counted_anew(self: World) -> dict[int, Member]:
-    return {one.number: Member(0) for one in self.books.sessions()}
+    return {session.number: Member(0) for session in self.books.sessions()}
 
 
 RENEWED = Session._on_renewed
@@ -930,9 +942,11 @@
 
 
 def pair(seed: int, holder: int, keeper: int, handed_on: bool = False) -> int:
-    """How often the relay thought its lease usable when the books no longer had its session. Clocks run
-    `holder` and `keeper` parts of a million fast; messages take their time or get lost, both sides pause.
-    `handed_on`: orders go by a third, twice, and it sleeps on each for up to a lease."""
+    """Returns how often the relay considered its lease usable when the books no longer had its session.
+
+    Clocks run fast by `holder` and `keeper` parts per million; messages are late or lost, both sides pause.
+    With `handed_on`, orders are forwarded by a third keeper, twice, which sleeps on each for up to a lease.
+    """
     rng, terms, faults, true = Prng(seed), TERMS, 0, 0
     fleet, relay = Fleet("a", terms), Session("r", "", terms, Prng(seed + 1), 0)
     start, resumes, under_way, asked = fleet.now, [0, 0], [], {}
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -1,7 +1,7 @@
-"""The keepers' log in memory: each hard case of Raft by hand, then seeded runs with faults of every kind.
+"""The keepers' log in memory: each hard case of Raft by hand, then seeded runs with all kinds of faults.
 
-`Fleet` carries out what cores return, holds disks in memory, and checks at every step what must always hold:
-one leader a term, one entry an index among all that were ever committed, no word before its write.
+`Fleet` carries out what cores return, keeps disks in memory, and checks the invariants at every step: one
+leader per term, one entry per index among all that were ever committed, no message before its write.
 """
 
 from collections.abc import Callable
@@ -34,22 +34,24 @@
 
 
 def written(kept: Kept, write: messages.Write) -> Kept:
-    """In the order that `Write` names, as a store has to keep it."""
+    """Applies a write in the order that `Write` names, as a store has to."""
     entries, snap = kept.entries, write.snapshot or kept.snapshot
     if write.snapshot:
-        entries = () if write.snapshot_whole else tuple(one for one in entries if one.index > snap.index)
+        entries = (
+            () if write.snapshot_whole else tuple(entry for entry in entries if entry.index > snap.index)
+        )
     if write.cut:
-        entries = tuple(one for one in entries if one.index < write.cut)
+        entries = tuple(entry for entry in entries if entry.index < write.cut)
     entries += write.entries
     first = snap.index if snap else 0
-    assert [one.index for one in entries] == list(range(first + 1, first + 1 + len(entries)))
+    assert [entry.index for entry in entries] == list(range(first + 1, first + 1 + len(entries)))
     assert write.term > kept.term or kept.vote in ("", write.vote), "voted twice in a term"
     marks = kept.marks if write.marks is None else write.marks
     return Kept(kept.disk, write.term, write.vote, snap, entries, marks)
 
 
 class Fleet:
-    """With `faults`: messages late, lost, twice and out of order, and keepers that die around a write."""
+    """With `faults`, messages are late, lost, duplicated and reordered, and keepers die around writes."""
 
     def __init__(
         self, keepers: Keepers = ABC, seed: int = 1, names: str = "", disks: dict[str, Kept] | None = None
@@ -67,7 +69,7 @@
             self.start(name)
 
     def start(self, name: str, kept: Kept | None = None) -> None:
-        """From `kept`, else from what its disk holds, else with an empty one."""
+        """Starts a keeper from `kept`, else from its disk, else with an empty one."""
         kept = self.disks[name] = kept or self.disks.get(name) or disk(name)
         rng = Prng(self.rng.below(1 << 30))
         self.cores[name] = Core(name, BOUNDS, rng, kept, self.keepers, self.now)
@@ -112,7 +114,7 @@
         return {name for name, until in self.asleep.items() if until > self.now}
 
     def step(self) -> None:
-        """On to the next moment at which something happens."""
+        """Goes on to the next moment at which something happens."""
         awake = sorted(set(self.cores) - self.sleepers())
         dues = [self.cores[name].due() for name in awake] + [one[0] for one in self.wire if one[3] in awake]
         self.now = max(self.now, min([*dues, self.now + BOUNDS.heartbeat]))
@@ -140,7 +142,7 @@
         return max(found, key=lambda name: self.cores[name].term, default="")
 
     def lead(self, name: str = "a") -> Core:
-        """That keeper comes to lead, and all know it."""
+        """Has a keeper become leader, and all others know it."""
         self.run(self.leading)
         self.rest()
         self.carry(self.leading(), self.cores[self.leading()].hand_over(self.now, name))
@@ -149,7 +151,7 @@
         return self.cores[name]
 
     def propose(self, name: str, token: int) -> str:
-        """The code it was refused with, or ''."""
+        """Returns the code with which a proposal was refused, or ''."""
         self.carry(name, self.cores[name].propose(self.now, token, BOOKS, b"%d" % token))
         return self.refused.get(token, "")
 
@@ -168,12 +170,12 @@
         self.carry(name, self.cores[name].compact(self.now, self.cores[name].applied, books))
 
     def part(self, *names: str) -> None:
-        """Nothing passes between these and the others."""
+        """Cuts these keepers off from the others."""
         every = {*self.disks}
         self.cut = {(one, other) for one in every for other in every if (one in names) != (other in names)}
 
     def same(self) -> bool:
-        """One leads, and all that it sends the log to have applied all of it."""
+        """Waits until one leads, and all that it replicates to have applied the whole log."""
         if not (lead := self.leading()):
             return False
         inside = [self.cores[name] for part in self.cores[lead].keepers for name in part]
@@ -185,7 +187,7 @@
 
 
 def begun(kept: Kept, keepers: Keepers = ABC) -> tuple[Fleet, Core]:
-    """The keeper `b` by itself, proved, with that disk; what it says is looked at by hand."""
+    """Returns the keeper `b` alone, admitted, with that disk; the test reads its messages."""
     fleet = Fleet(keepers, disks={"b": kept}, names="b")
     for other in "acde":
         fleet.say(other, "b", messages.Known(0, kept.disk, False, messages.Mark("", 0, 0)))
@@ -280,7 +282,11 @@
     out = fleet.say("a", "b", messages.Append(term, *before, entries, known, 7))
     said = [messages.Appended(core.term, *answer, 7 if term == core.term else 0)] if answer else []
     assert [message for _, message in out.send] == said
-    assert (tuple(one.term for one in core.log.entries), core.commit, core.applied) == (left, commit, commit)
+    assert (tuple(entry.term for entry in core.log.entries), core.commit, core.applied) == (
+        left,
+        commit,
+        commit,
+    )
 
 
 def test_what_is_committed_is_never_cut_and_counts_as_held() -> None:
@@ -343,10 +349,10 @@
 
 def test_a_word_to_a_leader_gone_by_confirms_no_read_of_the_term_in_which_it_leads_again() -> None:
     word = begun(disk("c", 1, term=2))[0].say("a", "b", messages.Append(1, 1, 1, (), 1, 1_000)).send[0][1]
-    lead, one = elected(disk("b", 1))
+    lead, core = elected(disk("b", 1))
     lead.say("a", "b", messages.Appended(2, True, 3, 1))
     lead.read("b", 1)
-    assert word.term == one.term and not lead.say("c", "b", word).reads
+    assert word.term == core.term and not lead.say("c", "b", word).reads
 
 
 def test_a_leader_cut_off_answers_nothing_and_steps_down_and_disturbs_nobody_when_it_returns() -> None:
@@ -546,8 +552,11 @@
 
 
 def test_a_leader_whose_disk_is_put_back_is_found_out_though_no_heartbeat_of_its_term_came() -> None:
-    """It was elected and committed by the one other that hears it, which is alive; its first heartbeat, which
-    names what it holds, was lost. Let in, it would elect the third in the same term, without that entry."""
+    """It was elected and committed by the one other keeper that hears it, which is alive.
+
+    Its first heartbeat, which names what it holds, was lost. If admitted, it would elect the third keeper in
+    the same term, without that entry.
+    """
     fleet = Fleet()
     fleet.lead("a")
     former = fleet.disks["c"]
@@ -581,7 +590,7 @@
 
 
 def told_of_disk(message: messages.Message, core: Core) -> messages.Mark:
-    """What a message shows that its sender holds: its term, and an entry of that term."""
+    """Returns what a message shows that its sender holds: its term, and an entry of that term."""
     if getattr(message, "trial", False):
         return stale_disk.NO_MARK
     last = message.before_index + len(message.entries) if isinstance(message, messages.Append) else 0
@@ -591,8 +600,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_disk_from_before_what_its_keeper_has_told_is_known_to_who_heard_it_at_once(seed: int) -> None:
-    """Votes asked for and entries sent are told, too: a candidate counts its own vote, and a leader what it
-    holds itself."""
+    """Requests for votes and entries count too: a candidate counts its own vote, a leader what it holds
+    itself.
+    """
     fleet, moments, told, refused = Fleet(seed=seed), [], [stale_disk.NO_MARK], 0
     carry, say = fleet.carry, fleet.say
 
@@ -700,7 +710,7 @@
 
 
 def fault(fleet: Fleet, token: int) -> None:
-    """Something that operators, relays or machines do to a keeper."""
+    """Injects something that operators, relays or machines do to a keeper."""
     every, rng, lead = sorted(fleet.disks), fleet.rng, fleet.leading()
     one, what = every[rng.below(len(every))], rng.below(60)
     if one not in fleet.cores:
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -1,5 +1,6 @@
-"""Every error of the fleet: its sentences, its way between processes, its row for the people on call; and bad
-input of each kind at a keeper that goes on."""
+"""Every error of the fleet: its text, its encoding between processes, its row on the on-call page; and
+invalid input of each kind at a keeper, which goes on.
+"""
 
 import re
 import string
@@ -42,13 +43,13 @@
 
 
 def figures(kind: type[FleetError]) -> dict[str, int | str]:
-    """Something for each figure that the two sentences name."""
+    """Returns a value for each figure that an error's two sentences name."""
     names = [name for _, name, _, _ in string.Formatter().parse(kind.problem) if name]
     return {name: f"a {name}" if name in WORDS else 7 + place for place, name in enumerate(names)}
 
 
 def rows() -> dict[str, tuple[str, str]]:
-    """Of the page's table of errors: what happened and what to do, by code."""
+    """Returns the page's table of errors: what happened and what to do, by code."""
     table = DOC.read_text().partition("## All errors")[2].partition("\n## ")[0]
     found = re.findall(r"^\| `(\w+)` \| (.+?) \| (.+?) \|(?: .*\|)?$", table, re.M)
     assert len(found) == len({code for code, _, _ in found}), "a code has two rows"
@@ -183,7 +184,7 @@
     before = keeper.hash()
     own = [("grpc.use_local_subchannel_pool", 1)]
     stranger = grpc.insecure_channel(f"127.0.0.1:{keeper.service.port}", own)
-    for name in ("Keepers", "Books"):  # Flows has a port of its own: tests/test_fleet_flows.py
+    for name in ("Keepers", "Books"):  # Flows has a port of its own: tests/test_fleet_workflow_processes.py
         service = wire.DESCRIPTOR.services_by_name[name]
         for method in service.methods:
             try:
--- a/tests/test_fleet_plain.py
+++ b/tests/test_fleet_plain.py
@@ -1,5 +1,6 @@
-"""The plain relay without operators' settings: it brings in nothing of the fleet's, and its Balancer hears
-exactly what comes from outside and is answered as if it stood alone."""
+"""The plain relay without operators' settings: it loads no module of the fleet, and its balancer gets exactly
+what comes from outside and is answered as if it were alone.
+"""
 
 import signal
 from collections.abc import Callable
@@ -52,7 +53,7 @@
 
 
 class Still:
-    """A scheduler whose clock stands where the script puts it; timers wait for the script."""
+    """A scheduler whose clock the script sets; timers wait for the script."""
 
     def __init__(self) -> None:
         self.time = 100 * SECOND
@@ -71,7 +72,7 @@
 
 
 class Heard:
-    """Stands before a Balancer and keeps each call with its results."""
+    """A proxy of a balancer that records each call with its results."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer, self.calls = balancer, []
@@ -86,8 +87,10 @@
 
 
 def played(seed: int) -> tuple[list[tuple], list[tuple], list[tuple]]:
-    """A script of reqs, lists, news and time through `Choices`: what came from outside, by call; what the
-    Balancer heard and gave; what was carried out."""
+    """Plays a script of reqs, lists, news and time through `Choices`.
+
+    Returns what came from outside, by call; what the balancer got and returned; and what was carried out.
+    """
     scheduler, rng, carried, outside = Still(), Prng(seed), [], []
     choices = Dispatcher(scheduler, SETTINGS, seed, Counters())
     choices.balancer = heard = Heard(choices.balancer)
@@ -155,6 +158,6 @@
     alone = Balancer(SETTINGS, seed, 100 * SECOND)
     again = [getattr(alone, name)(now, *args) for name, now, args, _ in calls]
     assert again == [results for *_, results in calls]
-    given = [one for results in again for one in results if one[0] != face.WAKE]
+    given = [result for results in again for result in results if result[0] != face.WAKE]
     assert carried == given and {face.SEND, face.SHED, face.TELL} <= {one[0] for one in given}
     assert len(calls) > 400
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of one fleet with faults between them: waits are on conditions, each with a deadline."""
+"""Real processes of one fleet with faults between them. Waits are on conditions, each with a deadline."""
 
 import contextlib
 import queue
@@ -47,7 +47,7 @@
 
 
 class Seen:
-    """A fleet, looked at over a gRPC client of the tests' own that no fault meets."""
+    """A fleet, observed by a gRPC client of the tests that no fault befalls."""
 
     def __init__(self, host: Cluster) -> None:
         self.host, self.guests = host, 0
@@ -75,7 +75,7 @@
         return wait_until(once, seconds).value
 
     def give(self, fence: Fence | None, mark: int, what: object) -> Done:
-        """A whole order may be refused before any of its commands is looked at."""
+        """Returns a command's result; a whole order may be refused before any of its commands is applied."""
         came = self.answered(self.client.submit, Submit((Command(fence, mark, what),)))
         return came[0] if type(came) is tuple else came
 
@@ -91,7 +91,7 @@
         return self.client.leader
 
     def guest(self) -> Fence:
-        """A session that nobody renews."""
+        """Opens a session that nobody renews."""
         self.guests += 1
 
         def opened() -> tuple:
@@ -112,7 +112,7 @@
         return self.said(name, '"session is now"')[-1].partition("state=")[2]
 
     def settled(self, *names: str) -> None:
-        """All processes run, and books and relays agree on who holds which session."""
+        """Waits until all processes run, and books and relays agree on who holds which session."""
 
         def agreed(name: str) -> bool:
             fence = self.fence(name)
@@ -125,7 +125,7 @@
             wait_until(lambda name=name: agreed(name), HELD)
 
     def whole(self) -> None:
-        """What is on each keeper's disk comes to the same books, and nothing broke."""
+        """Checks that each keeper's disk replays to the same books, and that no log shows a fault."""
         index, found = self.ask("hash")
         for name in KEEPERS:
             wait_until(lambda name=name: self.replayed(name, index) == found, HELD)
@@ -323,9 +323,12 @@
 
 
 def moved(fleet: Seen) -> tuple[str, str, dict[str, Fence | None]]:
-    """Stops the leader until another leads: the former, which is stopped still, the new, and the sessions
-    before. By the logs: whoever asked would wait for the one that is stopped. A move that took as long as a
-    lease may cost sessions by right, and is made anew."""
+    """Pauses the leader until another one leads.
+
+    Returns the former leader, which is still paused, the new one, and the sessions from before. This is read
+    from logs, since a call might wait for the paused one. A change that took as long as a lease may cost
+    sessions, and is repeated.
+    """
 
     def times() -> dict[str, int]:
         return {name: len(fleet.said(name, '"keeper is now"', "role=leader")) for name in KEEPERS}
@@ -387,7 +390,7 @@
 def test_a_rollout_with_one_process_of_another_version(
     fleet: Seen, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The former one lacks fields that the others send, the newer one sends fields that they don't know."""
+    """The older process lacks fields that others send; the newer one sends fields that they don't know."""
     leader = fleet.leader()
     node = fleet.host.nodes[leader]
     runner = node.folder / "runner.py"
--- a/tests/test_fleet_handing.py
+++ b/tests/test_fleet_routing.py
@@ -1,4 +1,4 @@
-"""Orders handed on, the pure half: when a keeper does so and for how long, and whom an asker turns to."""
+"""Forwarding of orders, without I/O: when a keeper forwards and for how long, and whom a relay asks next."""
 
 import sys
 import threading
@@ -43,9 +43,12 @@
 
 
 def played(steps: str, turn: int = 2) -> list[str]:
-    """Whom an order goes to, by name, with '>' where that one is to hand it on. Steps: 'x' not heard, '-b'
-    not leader but b ('--': nobody), '!' overloaded, '?' another refusal, 'a>' an answer that a gave to the
-    one who handed on, '=' an answer; '+' time passes until leaders rest no more."""
+    """Returns whom an order goes to, by name, with '>' where that keeper is to forward it.
+
+    Steps: 'x' no answer, '-b' not leader but b is ('--': nobody), '!' overloaded, '?' another refusal, 'a>'
+    an answer that a gave to the one who forwarded, '=' an answer; '+' time passes until leaders are asked
+    again.
+    """
     routes, now, told = LeaderRoutes(("a", "b", "c"), turn, REST), 0, []
     tried = routes.first(now)
     for step in (*steps.split(), None):
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -1,4 +1,4 @@
-"""The fleet's settings: what is taken, and what is said with file and line of what is not."""
+"""The fleet's settings: what is accepted, and the file, line and reason of what is not."""
 
 import re
 from pathlib import Path
@@ -47,7 +47,7 @@
     )
     assert terms.address_of(fleet, "r-2") == ("127.0.0.2", 7402) and terms.address_of(fleet, "r-9") is None
     assert terms.site_of(fleet, "r-3", "x") == "c" and terms.site_of(fleet, "r-9", "x") == "x"
-    assert [(one.scope, one.when_used_up) for one in fleet.budgets] == [
+    assert [(budget.scope, budget.when_used_up) for budget in fleet.budgets] == [
         ("fleet", "shed"),
         ("unit", "other"),
         ("unit", "other"),
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -1,4 +1,4 @@
-"""A keeper's disk and its thread: what was told is kept, damage is refused, nothing is told unkept."""
+"""A keeper's disk and its thread: what was acknowledged is kept, and damage is refused."""
 
 import itertools
 import json
@@ -59,9 +59,9 @@
 
 
 def kept(folder: Path) -> Kept:
-    one = opened(folder)
-    one.close()
-    return one.kept
+    store = opened(folder)
+    store.close()
+    return store.kept
 
 
 def entry(index: int, term: int, size: int = 5) -> Entry:
@@ -69,10 +69,10 @@
 
 
 def filled(folder: Path) -> Store:
-    """Entries 11 to 30 after a snapshot, of terms 3 to 7."""
-    one = opened(folder)
-    one.save(Write(1, "b", 0, tuple(entry(at, 1, 300) for at in range(1, 11))))
-    one.save(
+    """Returns a store with entries 11 to 30 after a snapshot, of terms 3 to 7."""
+    store = opened(folder)
+    store.save(Write(1, "b", 0, tuple(entry(at, 1, 300) for at in range(1, 11))))
+    store.save(
         Write(
             7,
             "c",
@@ -82,23 +82,23 @@
             marks={"b": Mark("d", 7, 9), "c": Mark("e", 2, 3)},
         )
     )
-    return one
+    return store
 
 
-def kept_by(one: Store) -> Kept:
-    """As it would be read now, but that the folder is this store's."""
+def kept_by(store: Store) -> Kept:
+    """Returns what would be read now; the folder is this store's."""
     return Kept(
-        one.head.disk,
-        one.head.term,
-        one.head.vote,
-        read_snapshot(one.db, one.head),
-        read_log(one.db, one.head),
-        read_marks(one.db, one.head),
+        store.head.disk,
+        store.head.term,
+        store.head.vote,
+        read_snapshot(store.db, store.head),
+        read_log(store.db, store.head),
+        read_marks(store.db, store.head),
     )
 
 
 def test_any_sequence_of_writes_is_read_as_it_was_given(tmp_path: Path) -> None:
-    rng, one, term, snapshot, marks = Prng(3), opened(tmp_path), 1, None, {}
+    rng, store, term, snapshot, marks = Prng(3), opened(tmp_path), 1, None, {}
     entries: list[Entry] = []
     for step in range(150):
         first = snapshot.index if snapshot else 0
@@ -119,12 +119,12 @@
         more = tuple(entry(last + 1 + at, term, rng.below(3000)) for at in range(rng.below(4)))
         entries += more
         marks = {f"k{rng.below(5)}": Mark("d", term, step)} | marks if rng.below(3) == 0 else marks
-        one.save(Write(term, f"v{term}", cut, more, new, whole, marks))
+        store.save(Write(term, f"v{term}", cut, more, new, whole, marks))
         if step % 10 == 9:
-            one.close()
-            one = opened(tmp_path)
-            assert one.kept == Kept(one.kept.disk, term, f"v{term}", snapshot, tuple(entries), marks)
-    one.close()
+            store.close()
+            store = opened(tmp_path)
+            assert store.kept == Kept(store.kept.disk, term, f"v{term}", snapshot, tuple(entries), marks)
+    store.close()
 
 
 @pytest.mark.parametrize(
@@ -146,11 +146,11 @@
     ],
 )
 def test_a_write_that_no_log_could_go_on_with_changes_nothing(tmp_path: Path, write: Write) -> None:
-    one = filled(tmp_path)
+    store = filled(tmp_path)
     with pytest.raises(ValueError):
-        one.save(write)
-    one.save(Write(8, "a", 0, (entry(31, 8),)))
-    one.close()
+        store.save(write)
+    store.save(Write(8, "a", 0, (entry(31, 8),)))
+    store.close()
     assert kept(tmp_path).vote == "a" and [e.index for e in kept(tmp_path).entries] == [*range(11, 32)]
 
 
@@ -210,13 +210,15 @@
 
 
 def test_a_last_write_torn_at_any_byte_is_refused_or_wholly_there_or_not(tmp_path: Path) -> None:
-    """Without its journal: as on a disk that said that it had written, and had not. From the front and from
-    the end on, so that either page may be the one that is there."""
-    one, hurt, refused = filled(tmp_path / "a"), tmp_path / "hurt", 0
+    """Without its journal, as on a disk that reported a write that it had not done.
+
+    From the front and from the end on, so that either page may be the one that is there.
+    """
+    store, hurt, refused = filled(tmp_path / "a"), tmp_path / "hurt", 0
     old = (tmp_path / "a" / FILE_NAME).read_bytes()
-    before = kept_by(one)
-    one.save(LAST)
-    one.close()
+    before = kept_by(store)
+    store.save(LAST)
+    store.close()
     new, after = (tmp_path / "a" / FILE_NAME).read_bytes(), kept(tmp_path / "a")
     assert (after.term, after.vote, after.entries[-1:]) == (8, "a", LAST.entries) and len(old) == len(new)
     hurt.mkdir()
@@ -253,15 +255,16 @@
 
 
 def test_a_write_that_a_crash_cut_off_is_taken_back_wherever_it_stood(tmp_path: Path) -> None:
-    """With its journal, some of its pages written, the last of them to any length; and a journal cut off, as
-    no disk that keeps its word leaves it."""
-    one, rng = filled(tmp_path / "a"), Prng(9)
-    old, before = (tmp_path / "a" / FILE_NAME).read_bytes(), kept_by(one)
-    real, one.db = one.db, Amid(one.db, tmp_path / "a", tmp_path / "amid")
+    """With its journal, some of its pages written, the last of them to any length; and a journal cut short,
+    as no correct disk leaves it.
+    """
+    store, rng = filled(tmp_path / "a"), Prng(9)
+    old, before = (tmp_path / "a" / FILE_NAME).read_bytes(), kept_by(store)
+    real, store.db = store.db, Amid(store.db, tmp_path / "a", tmp_path / "amid")
     real.execute("PRAGMA cache_size = 1")  # pages go to the file before the end
-    one.save(Write(8, "a", 25, tuple(entry(at, 8, 3000) for at in range(25, 40))))
-    one.db = real
-    one.close()
+    store.save(Write(8, "a", 25, tuple(entry(at, 8, 3000) for at in range(25, 40))))
+    store.db = real
+    store.close()
     amid, journal = ((tmp_path / "amid" / name).read_bytes() for name in (FILE_NAME, f"{FILE_NAME}-journal"))
     assert amid[: len(old)] != old and len(amid) > len(old) and any(journal[:8])
     hurt, refused = tmp_path / "hurt", 0
@@ -280,10 +283,10 @@
 
 
 def test_folders_that_are_not_this_keepers(tmp_path: Path) -> None:
-    one = opened(tmp_path / "a")
+    store = opened(tmp_path / "a")
     with pytest.raises(errors.FolderInUseError):
         opened(tmp_path / "a")
-    one.close()
+    store.close()
     for fleet, keeper in (("g", "a"), ("f", "b")):
         with pytest.raises(errors.ForeignBooksError):
             Store.open(tmp_path / "a", fleet, keeper, 1)
@@ -297,21 +300,21 @@
 
 
 def test_a_full_disk_leaves_the_state_before_and_is_gone_on_from(tmp_path: Path) -> None:
-    one = filled(tmp_path)
-    most = one.db.execute("PRAGMA page_count").fetchone()[0] + 2
-    one.db.execute(f"PRAGMA max_page_count = {most}")
+    store = filled(tmp_path)
+    most = store.db.execute("PRAGMA page_count").fetchone()[0] + 2
+    store.db.execute(f"PRAGMA max_page_count = {most}")
     write = Write(9, "b", 25, tuple(entry(at, 9, 9000) for at in range(25, 35)))
     for _ in range(3):
         with pytest.raises(errors.DiskFullError):
-            one.save(write)
-    one.save(Write(8, "a"))
-    one.db.execute("PRAGMA max_page_count = 1000000")
-    one.save(write)
+            store.save(write)
+    store.save(Write(8, "a"))
+    store.db.execute("PRAGMA max_page_count = 1000000")
+    store.save(write)
     for only in ("ON", "OFF"):  # a disk that failed once is not trusted again
-        one.db.execute(f"PRAGMA query_only = {only}")
+        store.db.execute(f"PRAGMA query_only = {only}")
         with pytest.raises(errors.DiskFailedError):
-            one.save(Write(10, "c"))
-    one.close()
+            store.save(Write(10, "c"))
+    store.close()
     assert (kept(tmp_path).vote, kept(tmp_path).entries[-10:]) == ("b", write.entries)
 
 
@@ -342,7 +345,7 @@
 
 
 class Scripted:
-    """A desk and a store in one: what is done to them is in `seen`, what they say comes from `says`."""
+    """A coordinator and a store in one: calls are in `seen`, results come from `says`."""
 
     def __init__(self, **says: object) -> None:
         self.name, self.role, self.seen, self.says = "a", "follower", [], says
@@ -408,23 +411,23 @@
     caplog.set_level(logging.INFO)
     desk = Scripted(submit=ACTS, save=errors.DiskFullError("d"))
     desk.free.clear()
-    one = desk.begin()
-    first = one.submit(ORDER)
+    future = desk.begin()
+    first = future.submit(ORDER)
     until(lambda: desk.seen)
-    second = one.submit(ORDER)
+    second = future.submit(ORDER)
     desk.free.set()
     until(lambda: desk.seen.count(("save", WRITE)) > 2)
     assert isinstance(second.exception(10), errors.DiskFullError)
     assert {what for what, *_ in desk.seen} == {"submit", "save"} and not first.done()
-    assert isinstance(one.renew(None).exception(10), errors.DiskFullError)
-    one.heard("b", TakeOver(1))
+    assert isinstance(future.renew(None).exception(10), errors.DiskFullError)
+    future.heard("b", TakeOver(1))
     del desk.says["save"]
     assert first.result(10) == Done("yes")
-    assert one.submit(ORDER).result(10) == Done("yes")
+    assert future.submit(ORDER).result(10) == Done("yes")
     tail = [("save", WRITE), ("send", "b", TakeOver(3)), ("send", "c", TakeOver(3))]
     assert [seen for seen in desk.seen if seen[0] != "submit"][-6:] == tail + tail and desk.saved == 2
     assert not [seen for seen in desk.seen if seen[0] == "hear"]
-    assert one.stop(1_000_000) and desk.closed
+    assert future.stop(1_000_000) and desk.closed
     assert [record.message for record in caplog.records] == [
         "keeper steps out",
         "keeper goes on, there is room again",
@@ -471,50 +474,50 @@
 
     desk.submit = desk.renew = desk.ask = desk.change = desk.hear = noted
     came = [0]
-    one = Replica(desk, desk, desk.send, lambda: next(ticks), desk.log)
+    replica = Replica(desk, desk, desk.send, lambda: next(ticks), desk.log)
     for turn in range(40):  # nearly always it waits for the next one by then
-        for ask in (one.submit, one.renew, one.ask, one.change):
+        for ask in (replica.submit, replica.renew, replica.ask, replica.change):
             came[0] = next(ticks)
             assert ask(None).result(10) == Done("yes")
         came[0] = next(ticks)
-        one.heard("b", TakeOver(1))
+        replica.heard("b", TakeOver(1))
         until(lambda: len(seen) == 5 * (turn + 1))  # noqa: B023
     assert all(now > after for now, after in seen)
-    assert one.stop(1_000_000)
+    assert replica.stop(1_000_000)
 
 
 def test_queues_are_bounded_and_a_stop_waits_for_another_to_lead() -> None:
     desk = Scripted(submit=Acts(answers=((0, Done("yes")),)))
     desk.core.role = "leader"
-    one = desk.begin()
+    future = desk.begin()
     desk.free.clear()
-    one.heard("b", TakeOver(1))
+    future.heard("b", TakeOver(1))
     until(lambda: desk.seen)
-    futures = [one.submit(ORDER) for _ in range(4)]
-    assert futures[1].cancel() and isinstance(one.submit(ORDER).exception(10), errors.OverloadedError)
+    futures = [future.submit(ORDER) for _ in range(4)]
+    assert futures[1].cancel() and isinstance(future.submit(ORDER).exception(10), errors.OverloadedError)
     for _ in range(5):
-        one.heard("c", TakeOver(1))
-    assert one.messages_lost == 1
+        future.heard("c", TakeOver(1))
+    assert future.messages_lost == 1
     desk.free.set()
     assert [futures[at].result(10) for at in (0, 2, 3)] == [Done("yes")] * 3
-    ended = threading.Thread(target=one.stop, args=(5_000_000,))
+    ended = threading.Thread(target=future.stop, args=(5_000_000,))
     ended.start()
     until(lambda: ("stop",) in desk.seen)
-    assert isinstance(one.submit(ORDER).exception(10), errors.StoppingError)
-    one.heard("d", TakeOver(1))
+    assert isinstance(future.submit(ORDER).exception(10), errors.StoppingError)
+    future.heard("d", TakeOver(1))
     until(lambda: ("hear", "d") in desk.seen)
     desk.core.role = "follower"
-    one.heard("d", TakeOver(1))
+    future.heard("d", TakeOver(1))
     ended.join(3)
-    assert desk.closed and not one.thread.is_alive()
+    assert desk.closed and not future.thread.is_alive()
 
 
 def test_a_stop_does_not_wait_for_room_for_ever() -> None:
     desk = Scripted(submit=ACTS, save=errors.DiskFullError("d"))
-    one = desk.begin()
-    first = one.submit(ORDER)
+    future = desk.begin()
+    first = future.submit(ORDER)
     until(lambda: desk.seen.count(("save", WRITE)))
-    assert one.stop(20_000) or one.stop(1_000_000)
+    assert future.stop(20_000) or future.stop(1_000_000)
     assert isinstance(first.exception(10), errors.UnknownFateError) and desk.closed
 
 
@@ -525,7 +528,9 @@
     terms = Terms("f", 60_000_000, 1000, 20_000, 8, bounds, Keepers(("a",)), (), 4)
 
     def encode(batch: Batch) -> bytes:
-        return json.dumps([batch.at, batch.term, [[one.mark, *one.what] for one in batch.commands]]).encode()
+        return json.dumps(
+            [batch.at, batch.term, [[command.mark, *command.what] for command in batch.commands]]
+        ).encode()
 
     def decode(data: bytes) -> Batch:
         at, term, opens = json.loads(data)
@@ -544,11 +549,11 @@
         )
 
     for boot in range(1, 6):
-        one = begun()
-        until(lambda: one.coordinator.core.role == "leader" and one.coordinator.leader_state)  # noqa: B023
-        done = one.submit(Submit((Command(None, boot, Open(f"r{boot}", "s")),))).result(10)
+        replica = begun()
+        until(lambda: replica.coordinator.core.role == "leader" and replica.coordinator.leader_state)  # noqa: B023
+        done = replica.submit(Submit((Command(None, boot, Open(f"r{boot}", "s")),))).result(10)
         assert isinstance(done[0].value, Fence) and done[0].value.session == boot
-        assert one.stop(2_000_000)
+        assert replica.stop(2_000_000)
     for _ in range(2):  # the folder is let go of when no desk can be made
         with pytest.raises(AttributeError):
             open_replica(
@@ -557,8 +562,8 @@
     raw = (tmp_path / FILE_NAME).read_bytes()
     (tmp_path / FILE_NAME).write_bytes(raw[: len(raw) // 2])
     caplog.clear()
-    one = begun()
-    assert isinstance(one, DisabledReplica) and isinstance(
-        one.renew(None).exception(10), errors.DamagedBooksError
+    replica = begun()
+    assert isinstance(replica, DisabledReplica) and isinstance(
+        replica.renew(None).exception(10), errors.DamagedBooksError
     )
-    assert [record.message for record in caplog.records] == ["keeper takes no part"] and one.stop(0)
+    assert [record.message for record in caplog.records] == ["keeper takes no part"] and replica.stop(0)
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_transfer_processes.py
@@ -1,4 +1,4 @@
-"""Transfers between real relay processes: whole copies, deaths at either end, streams that are refused."""
+"""Transfers between real relay processes: whole copies, deaths at either end, refused streams."""
 
 import os
 import zlib
@@ -55,7 +55,7 @@
         self.client = Client(
             "lab",
             "test",
-            {one.name: join_address(one.address) for one in settings.keepers},
+            {keeper.name: join_address(keeper.address) for keeper in settings.keepers},
             self.limits,
             clock,
             Prng(1),
@@ -150,7 +150,7 @@
 
 def test_a_killed_senders_job_goes_on_elsewhere_from_the_byte_proven(fleet: Fleet) -> None:
     data = fleet.lay("killed", 3 * MIB)
-    wait_until(lambda: any(one.proven > MIB // 2 for one in fleet.look("killed").views), 12)
+    wait_until(lambda: any(view.proven > MIB // 2 for view in fleet.look("killed").views), 12)
     dead = fleet.look("killed").views[0].owner.name
     fleet.nodes[dead].kill()
     wait_until(fleet.copy("killed").exists, 20)
--- a/tests/test_fleet_transfers.py
+++ b/tests/test_fleet_transfers.py
@@ -1,4 +1,4 @@
-"""Transfers: what is reserved against an independent count, plans against the solver's, pacing."""
+"""Transfers: reservations against an independent count, plans against the solver's, rate limits."""
 
 from collections import Counter
 
@@ -38,7 +38,7 @@
 
 
 class Play:
-    """Random commands; what is reserved is counted here from the commands that were taken alone."""
+    """Random commands; reservations are counted here from the accepted commands alone."""
 
     def __init__(self, seed: int) -> None:
         self.rng, self.books, self.at, self.index, self.mark = Prng(seed), Books(), 0, 0, 0
@@ -80,14 +80,14 @@
         )
 
     def book(self, job: Job, pieces: tuple, proven: int, owner: int) -> None:
-        self.wrong["nobodys_bytes"] += any(one.way != (job.origin, job.to) for one in pieces)
+        self.wrong["nobodys_bytes"] += any(piece.way != (job.origin, job.to) for piece in pieces)
         points = [(name, at) for name in ON for at in range(self.at // S, self.at // S + AHEAD + 61)]
         before = {point: self.used(*point) for point in points}
         self.jobs[job.name] = [job, pieces, proven, owner, False]
         for name, at in points:
             if self.used(name, at) > max(self.cap[name][at], before[name, at]):
                 self.wrong["over_link" if ">" in name else "over_compute"] += 1
-        if sum(one.rate * (one.until - one.first) for one in pieces) < job.size - proven:
+        if sum(piece.rate * (piece.until - piece.first) for piece in pieces) < job.size - proven:
             self.wrong["half_reserved"] += 1
 
     def compare(self) -> None:
@@ -120,7 +120,7 @@
         name = sorted(self.jobs)[below(len(self.jobs))] if self.jobs else "none"
         there = self.jobs.get(name)
         if there and below(4):
-            fence = next((one for one in self.fences if one.session == there[3]), fence)
+            fence = next((fence for fence in self.fences if fence.session == there[3]), fence)
         if kind < 30:
             x = below(3)
             job = Job(
@@ -150,7 +150,9 @@
                 there[4] = there[3] > 0
                 there[1] = there[1] if there[3] else ()
         elif kind < 41:
-            live = next(one for one in reversed(self.fences) if self.books.session(one.name).fence == one)
+            live = next(
+                fence for fence in reversed(self.fences) if self.books.session(fence.name).fence == fence
+            )
             self.give(None, forms.Lapse(live.session))
             for one in self.jobs.values():
                 if one[3] == live.session:
@@ -353,7 +355,7 @@
         f"{x}>{y}": (10_000_000 + rng.below(20_000_000),) * grains for x in SITES for y in SITES if x != y
     }
     room = plan.Capacity(0, grain, S, links, {site: (8,) * grains for site in SITES})
-    mean = sum(sum(one) for one in links.values()) * grain * load // 100 // jobs
+    mean = sum(sum(link) for link in links.values()) * grain * load // 100 // jobs
     made = []
     for number in range(jobs):
         x, size = rng.below(3), mean * (50 + rng.below(100)) // 100
@@ -376,7 +378,7 @@
 
 
 def unfit(room: plan.Capacity, wants: list[plan.JobRequest], made: plan.Plan) -> list[str]:
-    """Held against the books themselves: every job of the plan is taken by them."""
+    """Returns what of a plan the books themselves refuse."""
     books, by_name = Books(), {want.job.name: want.job for want in wants}
     links = tuple(Link(*name.split(">"), free[0], 0) for name, free in room.links.items())
     sites = tuple(Site(name, free[0]) for name, free in room.sites.items())
@@ -394,15 +396,15 @@
     pytest.importorskip("ortools")
     room, wants = instance(seed, 16, 6, 80)
     greedy = plan.make_plan(room, wants)
-    found = solver.solve(room, wants, 5, 1, greedy)
-    assert found.is_optimal and len(greedy) > 8
-    assert not unfit(room, wants, greedy) and not unfit(room, wants, found.plan)
-    assert plan.total_earnings(wants, greedy) >= 0.85 * found.bound
+    solved = solver.solve(room, wants, 5, 1, greedy)
+    assert solved.is_optimal and len(greedy) > 8
+    assert not unfit(room, wants, greedy) and not unfit(room, wants, solved.plan)
+    assert plan.total_earnings(wants, greedy) >= 0.85 * solved.bound
     assert plan.total_earnings(wants, greedy) >= plan.total_earnings(wants, plan.first_come_plan(room, wants))
     assert plan.total_earnings(wants, solver.choose_plan(room, wants, 2)) >= plan.total_earnings(
         wants, greedy
     )
-    assert solver.solve_relaxed(room, wants, 2)[0] >= plan.total_earnings(wants, found.plan)
+    assert solver.solve_relaxed(room, wants, 2)[0] >= plan.total_earnings(wants, solved.plan)
 
 
 def test_many_jobs_keep_more_deadlines_than_first_come_first_served() -> None:
@@ -469,25 +471,25 @@
     books, told, earnings = played.books, [], 0
     assert books.over_reserved()
     for _ in range(4):
-        seen = plan.capacity_from(books.resources(), books.free_capacity, 600, 300, S, 10)
+        capacity = plan.capacity_from(books.resources(), books.free_capacity, 600, 300, S, 10)
         there = tuple(
             plan.reserved_job(
-                seen, one.job, one.proven, one.pieces, played.at // S, one.state == reservations.RECALLED
+                capacity, job.job, job.proven, job.pieces, played.at // S, job.state == reservations.RECALLED
             )
-            for one in books.jobs()
+            for job in books.jobs()
         )
-        changes = plan.replan(plan.without_reservations(seen, there), there, ())
-        for one in books.jobs():
-            if one.state == reservations.RECALLED and one.job.name not in changes.plan:
-                played.give(played.fences[0], Free(one.job.name))
-                earnings += one.job.earnings
-            elif one.state == reservations.RECALLED:
-                new = Move(one.job.name, plan.to_stretches(seen, changes.plan[one.job.name]))
+        changes = plan.replan(plan.without_reservations(capacity, there), there, ())
+        for job in books.jobs():
+            if job.state == reservations.RECALLED and job.job.name not in changes.plan:
+                played.give(played.fences[0], Free(job.job.name))
+                earnings += job.job.earnings
+            elif job.state == reservations.RECALLED:
+                new = Move(job.job.name, plan.to_stretches(capacity, changes.plan[job.job.name]))
                 assert played.give(played.fences[0], new).code in ("", "capacity_taken")
         told += (now := played.give(None, Recall(changes.recall)).value)
         assert not any(played.give(played.fences[0], Move(name, ())).code for name in now)
     assert not books.over_reserved() and told and len(told) == len(set(told))
-    assert all(one.state == reservations.RESERVED for one in books.jobs())
+    assert all(job.state == reservations.RESERVED for job in books.jobs())
     all_of_it = sum(want.job.earnings for want in wants if want.job.name in made)
     assert earnings < all_of_it // 2, (earnings, all_of_it, len(told))
 
@@ -510,7 +512,7 @@
 
 
 def test_nobody_lets_go_for_a_plan_over_a_third_site() -> None:
-    """One job has all of the link, which earns less than one that comes; the way over c is free."""
+    """One job has all of the link, and earns less than one that comes; the route over c is free."""
     play = Play(1)
     links = tuple(Link(x, y, 110 * MIB, 10 * MIB) for x, y in ("ab", "ac", "cb"))
     play.give(None, Places(links, PLACES.sites))
@@ -560,7 +562,7 @@
 
 
 def test_who_is_late_by_what_is_not_told_yet_alone_is_not_recalled() -> None:
-    """All that was due by slice 4 has come; the books have heard of what came until slice 3, not more."""
+    """All that was due by slice 4 has arrived; the books know of what arrived until slice 3, not more."""
     play, moving = Play(1), TransferPlanner()
     play.give(None, Places((Link("a", "b", 110 * MIB, 10 * MIB),), PLACES.sites))
     for name, first, size in (("x", 2, 300 * MIB), ("y", 5, 900 * MIB)):
@@ -592,8 +594,10 @@
 
 
 class Closed:
-    """18 jobs between three sites as they come, planned by the leader, moved as reserved and late by up to 15
-    ms a message: beats, proofs and orders as relays have them, in simulated time."""
+    """18 jobs between three sites as they come, planned by the leader and moved as reserved.
+
+    Messages are late by up to 15 ms; renewals, proofs and orders are as relays send them, in simulated time.
+    """
 
     RATE, SLOTS, STEP = 256 << 10, 2, 50_000
 
@@ -646,7 +650,7 @@
             self.sends[name][2] = when
 
     def beat(self, site: str) -> None:
-        kept = {one.job.name: one for one in self.books.jobs()}
+        kept = {job.job.name: job for job in self.books.jobs()}
         for name, job in self.jobs.items():
             if job.origin != site or job.earliest > self.now or self.books.job_end(name):
                 continue
@@ -677,7 +681,7 @@
                 ]
 
     def run(self) -> float:
-        """What was earned of what a plan made with all known beforehand earns."""
+        """Returns the earnings, as a share of those of a plan that knows all jobs beforehand."""
         while self.now < max(job.deadline for job in self.jobs.values()) + S:
             self.now += self.STEP
             for name in list(self.sends):
--- a/tests/test_fleet_flows.py
+++ b/tests/test_fleet_workflow_processes.py
@@ -1,4 +1,4 @@
-"""Workflows on real relays: three keepers and two members before units that remember what took effect."""
+"""Workflows on real relays: three keepers and two members before units that record effects."""
 
 import copy
 import itertools
@@ -11,7 +11,7 @@
 
 import grpc
 import pytest
-import test_fleet_desk
+import test_fleet_coordinator
 from click.testing import CliRunner
 from conftest import ROOT
 
@@ -71,7 +71,7 @@
         return thread, told
 
     def effects(self, mark: str) -> list[str]:
-        """In the order in which units came to them."""
+        """Returns effects in the order in which they came to the units."""
         found = [
             (one.at, f"{one.kind} {one.thing.partition('.')[0]}")
             for one in self.ledger.effects
@@ -168,7 +168,7 @@
     effects = fleet.effects(mark)
     assert effects.count(f"notice r-{mark}") == (told[0].answer == DONE)
     if told[0].answer == UNDONE:
-        assert [one for one in effects if "free" in one][-1] == "free room"
+        assert [effect for effect in effects if "free" in effect][-1] == "free room"
 
 
 def test_the_owner_that_was_paused_sends_nothing_more(fleet: Fleet) -> None:
@@ -249,7 +249,10 @@
 
 
 def seen(words: str) -> dict[str, workflow_checks.Observations]:
-    """Of one mark: `hold.room`, and so on, in order; one with a `?` came without effect."""
+    """Returns the observations of one workflow from words such as `hold.room`, in order.
+
+    A word with a `?` came without effect.
+    """
     ones = [
         (Effect(at, *word.strip("?").split("."), "", ""), word[-1] != "?")
         for at, word in enumerate(words.split())
@@ -305,22 +308,22 @@
 def test_the_lead_sets_limits_and_takes_no_word_of_the_leaders_from_outside(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(test_fleet_desk, "encode", codec.encode_batch)
-    monkeypatch.setattr(test_fleet_desk, "decode", codec.decode_batch)
+    monkeypatch.setattr(test_fleet_coordinator, "encode", codec.encode_batch)
+    monkeypatch.setattr(test_fleet_coordinator, "decode", codec.decode_batch)
     limits = f.Limits(9, 8, 7, 6)
-    desks = test_fleet_desk.Fleet(terms=test_fleet_desk.TERMS._replace(limits=limits))
+    desks = test_fleet_coordinator.Fleet(terms=test_fleet_coordinator.TERMS._replace(limits=limits))
     fence = desks.open("r")
     desks.until(lambda: desks.leader().books.workflow_limits() == limits)
     for what in (limits, f.Adopt(1, 2, fence.session)):
-        assert desks.ask("submit", test_fleet_desk.submit(None, what)).code == "out_of_order"
+        assert desks.ask("submit", test_fleet_coordinator.submit(None, what)).code == "out_of_order"
     assert desks.ask("ask", Question("flows", str(fence.session))) == f.Done(((), (), ()))
     assert desks.ask("ask", Question("flow", "1,x,2")) == f.Done(((), ()))
 
 
 def test_check_holds_workflows_against_the_platforms_routes(tmp_path: Path) -> None:
     for effect, code, words in (("deduplicated", 0, "1 workflows"), ("at_most_once", 2, "may not be")):
-        told = copy.deepcopy(PLATFORM_SETTINGS)
-        told["classes"][1]["effect"] = effect
+        settings_copy = copy.deepcopy(PLATFORM_SETTINGS)
+        settings_copy["classes"][1]["effect"] = effect
         path = tmp_path / "config.json"
         path.write_text(
             json.dumps(
@@ -330,7 +333,7 @@
                     UNREACHABLE_ADDRESS,
                     UNREACHABLE_ADDRESS,
                     {"revision": 1, "complete": True, "members": []},
-                    told,
+                    settings_copy,
                 )
             )
         )
@@ -362,7 +365,7 @@
 
 
 def test_a_steps_lease_is_its_own_sessions_and_looked_at_as_it_is_sent() -> None:
-    """A session that followed may be usable while the step's intent is its former one's."""
+    """A later session may be usable while the step's intent belongs to the former one."""
     looks, sent, lease = [], [], [True]
 
     def usable(now: int) -> bool:
--- a/tests/test_fleet_flows_service.py
+++ b/tests/test_fleet_workflow_service.py
@@ -1,4 +1,4 @@
-"""The service for clients of workflows by itself: many that wait, one that leaves, an end in the middle."""
+"""The service for clients of workflows alone: many that wait, one that leaves, a stop in the middle."""
 
 import os
 import threading
@@ -23,7 +23,7 @@
 
 
 class Flows:
-    """In the place of a relay's workflows: it keeps who is to be told, and tells when the test says so."""
+    """In place of a relay's workflows: it keeps the callbacks, and answers when the test says so."""
 
     def __init__(self) -> None:
         self.definitions: dict = {}
@@ -72,7 +72,7 @@
 
 
 def threads() -> int:
-    """Of this process, those of gRPC's core with them."""
+    """Returns the number of threads of this process, with those of gRPC's core."""
     return len(os.listdir("/proc/self/task"))
 
 
@@ -83,14 +83,14 @@
         wait_until(lambda: len(flows.asked) == 1)
         before = threads()
         calls += [stub.Start.future(order(mark), timeout=30) for mark in range(1, MANY)]
-        wait_until(lambda: len(flows.asked) == MANY or any(one.done() for one in calls))
-        assert len(flows.asked) == MANY, next(one for one in calls if one.done()).exception()
+        wait_until(lambda: len(flows.asked) == MANY or any(call.done() for call in calls))
+        assert len(flows.asked) == MANY, next(call for call in calls if call.done()).exception()
         assert threads() <= before + 16
-        assert not any(one.done() for one in calls)
+        assert not any(call.done() for call in calls)
         for mark in reversed(range(MANY)):
             flows.tell(str(mark))
-        assert [one.result(10).number for one in calls] == list(range(MANY))
-        assert {one.result().answer for one in calls} == {"done"} and not flows.gone
+        assert [call.result(10).number for call in calls] == list(range(MANY))
+        assert {call.result().answer for call in calls} == {"done"} and not flows.gone
 
 
 def test_a_client_that_leaves_is_told_of_and_no_other() -> None:
@@ -111,7 +111,7 @@
         wait_until(lambda: len(flows.asked) == 9)
         stopper = threading.Thread(target=service.stop, args=(GRACE,))
         stopper.start()
-        assert {one.result(5).refused.code for one in calls} == {"stopping"} and not flows.gone
+        assert {call.result(5).refused.code for call in calls} == {"stopping"} and not flows.gone
         # Not by polling `is_alive` of a thread that another one joins: Python 3.11 may fail by that.
         stopper.join(10)
         assert not stopper.is_alive() and not service.thread.is_alive()
--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -1,4 +1,4 @@
-"""The workflows of the fleet's settings: what is taken, and what is said with file and line of what not."""
+"""The workflows of the fleet's settings: what is accepted, and the file, line and reason of what is not."""
 
 import re
 from pathlib import Path
@@ -81,7 +81,7 @@
         d.Send("hold", ASK % "hold.{device}", 2_000_000, NON_RETRIABLE),
         d.Send("keyed", ASK % "free.{device}", 1_000_000, DEDUPED, 3_250_000),
     )
-    assert [(one.effect, one.no_return, one.fails) for one in found.steps] == [
+    assert [(step.effect, step.no_return, step.fails) for step in found.steps] == [
         (True, False, "may"),
         (False, False, "may"),
         (True, False, "may"),
@@ -186,7 +186,7 @@
 
 
 def begun(found: d.Definition, values: tuple[tuple[str, str], ...]) -> str:
-    """The code with which a Start is refused, empty if it is not."""
+    """Returns the code with which a Start is refused, empty if it is not."""
     fault = statements.find_unfit(found, values)
     if fault:
         return fault.code
@@ -204,7 +204,11 @@
     path.write_text(EXAMPLE.replace(old, new, 1))
     ran = CliRunner().invoke(cli.main, ["check", "-o", str(path)])
     line = EXAMPLE[: EXAMPLE.index(old)].count("\n") + 1
-    said = [one for one in ran.output.splitlines() if one.startswith(f"{path}:{line}: workflow booking: ")]
+    said = [
+        splitline
+        for splitline in ran.output.splitlines()
+        if splitline.startswith(f"{path}:{line}: workflow booking: ")
+    ]
     # What is begun with settings that nobody checked is refused then, and nothing else is.
     monkeypatch.setattr(reading.validation, "find_faults", lambda *_: [])
     found = workflows.to_definitions(reading.read(str(path)).fleet, ROUTES)["booking"]
--- a/tests/test_fleet_workflows.py
+++ b/tests/test_fleet_workflows.py
@@ -1,4 +1,4 @@
-"""Workflows: the books' rules by script; an owner that dies, sleeps and wakes at every point; takeovers."""
+"""Workflows: the books' rules by script, and owners that die, pause and wake at every point."""
 
 from collections.abc import Callable
 from functools import partial
@@ -295,7 +295,7 @@
         if not relay.fence:
             return
         me = relay.fence.session
-        live = tuple(one.number for one in self.books.sessions())
+        live = tuple(session.number for session in self.books.sessions())
         owned = self.books.workflows_owned_by(me)
         if self.usable(relay):
             for adopt in relay.takeover.requests(
@@ -358,8 +358,8 @@
         self.reqs.append(Req(at, send, what, relay, run, fate, runs, not lost))
 
     def arrive(self) -> None:
-        due = sorted((one for one in self.reqs if one.at <= self.now), key=lambda one: one.at)
-        self.reqs = [one for one in self.reqs if one.at > self.now]
+        due = sorted((req for req in self.reqs if req.at <= self.now), key=lambda one: one.at)
+        self.reqs = [req for req in self.reqs if req.at > self.now]
         for one in due:
             if one.runs:
                 self.effect(one.what)
@@ -531,9 +531,9 @@
     for beat in range(30):
         for me, takeover in relays.items():
             for _ in range(2):
-                took = takeover.requests(beat * PACE.interval, tuple(herd.items()), live, me, held[me])
-                assert len(took) <= PACE.max_requests
-                for one in took:
+                requests = takeover.requests(beat * PACE.interval, tuple(herd.items()), live, me, held[me])
+                assert len(requests) <= PACE.max_requests
+                for one in requests:
                     assert one.former == herd.pop(one.workflow)
                     held[me] += 1
     assert not herd and min(held.values()) > 30 and max(held.values()) <= PACE.max_owned, held
@@ -576,7 +576,7 @@
 
 def scripted(kind: str, *orders: str) -> Script:
     it = Script(kind)
-    assert not [one for one in orders if it.say(one) in ERRORS_BY_CODE]
+    assert not [order for order in orders if it.say(order) in ERRORS_BY_CODE]
     return it
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""Labs as they are run, and each of their checks with the guard taken out that it watches."""
+"""Labs as they are run, and each of their checks with the guard removed that it watches."""
 
 import contextlib
 import json
@@ -63,7 +63,7 @@
 
 
 def ended(pid: int) -> bool:
-    """Gone, or not yet reaped by whoever it was left to (Linux, /proc/PID/stat)."""
+    """Returns whether a process is gone, or a zombie (Linux, /proc/PID/stat)."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] in "ZX"
     except OSError:
@@ -71,7 +71,7 @@
 
 
 def test_a_lab_that_is_killed_leaves_no_relay_behind(tmp_path: Path) -> None:
-    """One runs, one is stopped by a script of faults, as a lab is ended that can clean up nothing."""
+    """One relay runs and one is paused by a script of faults as the lab is killed, which can't clean up."""
     with subprocess.Popen(
         [sys.executable, "-c", KILLED, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE, text=True
     ) as one:
--- a/tests/test_fleet_budgets_lab.py
+++ b/tests/test_lab_budgets.py
@@ -1,4 +1,4 @@
-"""The lab of budgets: what it counts, and the lab itself whole and with each guard taken out."""
+"""The lab of budgets: what it counts, and the lab itself, whole and with each guard removed."""
 
 import json
 import subprocess
--- a/tests/test_fleet_sim.py
+++ b/tests/test_lab_keepers.py
@@ -123,7 +123,7 @@
 
 
 def broken(seed: int, kind: str) -> set[str]:
-    return {one.check for one in keepers.simulate(seed, kind, 3_000_000, SETTLES).breaches}
+    return {breache.check for breache in keepers.simulate(seed, kind, 3_000_000, SETTLES).breaches}
 
 
 @pytest.mark.parametrize("check", keepers.CHECKS)
@@ -137,6 +137,6 @@
 
 def test_the_lab_reports_its_checks_and_figures() -> None:
     report = keepers.run(3, 2.5, relay_counts=(30,), cores=2)
-    assert report.holds and {one.name for one in report.checks} == set(keepers_guards.GUARDS)
+    assert report.holds and {check.name for check in report.checks} == set(keepers_guards.GUARDS)
     assert report.figures["runs"] >= 2 and report.figures["steps"] > 0
     assert report.figures["bytes_a_relay_a_second_30"] < 1024 and report.figures["commands_a_second_30"] > 0
--- a/tests/test_fleet_transfers_lab.py
+++ b/tests/test_lab_transfers.py
@@ -1,4 +1,4 @@
-"""What `lab transfers` judges by, without its processes: yardstick, ratio of reqs, what is left reserved."""
+"""What `lab transfers` judges by, without processes: the best plan, latency ratios, leaked reservations."""
 
 from collections.abc import Callable
 from types import SimpleNamespace
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""Parsers with input split at every byte; the scheduler's waits."""
+"""Parsers with input split at every byte, the scheduler's waits, and the life of a req."""
 
 import json
 import os
@@ -44,11 +44,11 @@
 def test_an_answer_is_the_same_however_it_is_split(raw: bytes, status: int, body: bytes) -> None:
     for cut in range(len(raw) + 1):
         for pieces in ((raw[:cut], raw[cut:]), [raw[at : at + 1] for at in range(len(raw))]):
-            found = http.Response(100)
+            response = http.Response(100)
             for piece in pieces:
-                found.feed(piece)
-            found.end_of_stream()
-            assert found.done and found.head.status == status and found.take() == body
+                response.feed(piece)
+            response.end_of_stream()
+            assert response.done and response.head.status == status and response.take() == body
 
 
 @pytest.mark.parametrize(
@@ -237,14 +237,14 @@
 def test_a_statement_passes_on_but_for_its_time() -> None:
     text = build_query("mark", 480, ",r=1,novel=7")
     for words in (text, text.replace("/* id", "/*d=480,id").replace(",d=480,r", ",r").replace(" */", "*/")):
-        found = postgres.parse_statement(words.encode())
-        assert (found.route, found.left_ms, found.mark, found.repeated) == (
+        statement = postgres.parse_statement(words.encode())
+        assert (statement.route, statement.left_ms, statement.mark, statement.repeated) == (
             "mark",
             480,
             "5c0f6e1a2b3d4c59",
             True,
         )
-        assert found.with_wait(17) == pack_message(b"Q", words.replace("d=480", "d=17").encode() + b"\0")
+        assert statement.with_wait(17) == pack_message(b"Q", words.replace("d=480", "d=17").encode() + b"\0")
     for words in (text.replace(",r=1", ",d=1"), text.replace(",r=1", ",r"), text.replace(",r=1", ", d=1")):
         with pytest.raises(postgres.ProtocolError):
             postgres.parse_statement(words.encode())
@@ -372,7 +372,7 @@
 
 
 class Decided:
-    """What a module that retries decides; it hears what the life of a req tells it."""
+    """A module that retries by a script, and records what the req's lifecycle tells it."""
 
     def __init__(self, box: Mailbox) -> None:
         self.box, self.open, self.ended = box, 0, False
@@ -417,7 +417,7 @@
 
 
 class Bound:
-    """Budgets of one connection to each unit, as a relay's holder answers; `waits`: reqs wait for room."""
+    """Budgets of one connection to each unit, as a relay's holder answers; `waits`: reqs wait for one."""
 
     def __init__(self, waits: bool) -> None:
         self.held, self.waits_when_exhausted = [], lambda _: waits
@@ -442,8 +442,12 @@
     scheduler: Scheduler, waits: bool, gives_back: bool, status: str, connections: int
 ) -> None:
     stand = UnitStandIn()
-    found = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS}))
-    pool = Pool(scheduler, found, Exchange(scheduler, found, True, Counters()).greet, Counters())
+    limit_values = limits(
+        SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS})
+    )
+    pool = Pool(
+        scheduler, limit_values, Exchange(scheduler, limit_values, True, Counters()).greet, Counters()
+    )
     pool.budgets, ends = Bound(waits), []
 
     def work() -> None:
@@ -461,7 +465,7 @@
     scheduler.run(lambda: task.dead)
     stand.close()
     assert ends[:2] == [face.OK, status] and len(stand.connections) == connections
-    assert (ends[2] > found.settle_time) is waits and ends[2] < 2 * found.connect_timeout
+    assert (ends[2] > limit_values.settle_time) is waits and ends[2] < 2 * limit_values.connect_timeout
     assert pool.budgets.held == []
 
 
@@ -531,7 +535,7 @@
     ],
 )
 def test_a_stop_goes_through_its_states(steps: list[tuple[int, int | None, int, str]]) -> None:
-    """Steps as (time, last connection or None for a signal, open clients, state); quiet 300, most 600."""
+    """Steps: time, last connection or None for a signal, open clients, state; quiet time 300, limit 600."""
     stop, signals = Shutdown(300, 600), 0
     for now, accepted, clients, state in steps:
         if accepted is None:
@@ -544,7 +548,7 @@
 
 def told(revision: int, whole: bool = True, since: int = 0, **phases: str) -> payloads.UnitList:
     entries = [face.Listed(int(unit[1:]), "a", 0, 1, health, 1.0, since) for unit, health in phases.items()]
-    return payloads.UnitList(revision, whole, [(one, ("h", 1)) for one in entries])
+    return payloads.UnitList(revision, whole, [(entry, ("h", 1)) for entry in entries])
 
 
 R, D, G = face.READY, face.DRAINING, face.GONE
@@ -567,7 +571,7 @@
     ],
 )
 def test_an_older_list_takes_back_no_drain(lists: list[payloads.UnitList], found: dict[int, str]) -> None:
-    """Lists come one a second; the patience is six."""
+    """Lists come one a second; the timeout is six seconds."""
     one, now = MembershipFilter(told(1, u1=R, u2=R), 6_000_000), 0
     for news in lists:
         taken = one.filter(now, news)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' settings: what is taken, and what is said with file and line of what is not."""
+"""The operators' settings: what is accepted, and the file, line and reason of what is not."""
 
 import re
 import subprocess
@@ -40,7 +40,7 @@
         "m-2",
         "m-3",
     ]
-    assert [(one.name, one.objective, one.timeout) for one in front.routes] == [
+    assert [(route.name, route.objective, route.timeout) for route in front.routes] == [
         ("metadata", 500_000, 3_000_000),
         ("target", 2_000_000, 120_000_000),
         ("manifest", 1_000_000, 5_000_000),
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports reserved for processes that bind them later."""
+"""Ports that are reserved for processes which bind them later."""
 
 import socket
 import subprocess
--- a/tests/test_crossing_clients.py
+++ b/tests/test_race_clients.py
@@ -1,4 +1,4 @@
-"""Clients that leave: a close that comes while their req waits, behind others, or unread."""
+"""Clients that disconnect while their req waits, behind other reqs, or before it is read."""
 
 import contextlib
 import json
@@ -29,12 +29,12 @@
 
 
 def large(route: str = "mark") -> bytes:
-    """A statement that fills more than a buffer's usual size."""
+    """Returns a statement that fills more than a buffer's usual size."""
     return asked(build_query(route).replace("9f03", "9f" * 4096))
 
 
 def leave(client: PgClient, how: str) -> float:
-    """Closes a client's connection and tells when."""
+    """Closes a client's connection, and returns when."""
     client.stream.close()
     return hang_up(client.sock, how)
 
@@ -50,7 +50,7 @@
 
 
 def stopped(process: subprocess.Popen) -> None:
-    """The process stands still, so that what comes meanwhile comes between two of its lines."""
+    """Stops the process, so that what comes meanwhile comes between two of its statements."""
     os.kill(process.pid, signal.SIGSTOP)
     path = Path(f"/proc/{process.pid}/stat")
     wait_until(lambda: path.read_text().rsplit(") ", 1)[1][0] == "T")
@@ -122,7 +122,7 @@
 
 @WAYS
 def test_answers_that_cross_a_close_send_nothing_on_behind_it(serve: Callable[..., Served], how: str) -> None:
-    """Closes at every point of a row of answers."""
+    """Closes the connection at every point of a sequence of answers."""
     served, left = serve(), []
     for turn in range(12):
         client = served.client()
@@ -145,7 +145,7 @@
 
 @pytest.fixture
 def kiosks(tmp_path: Path) -> Iterator[TufRig]:
-    """A relay for kiosks: files of two repositories, and a director that drops repeated manifests."""
+    """Starts a relay with files of two repositories, and a director that drops repeated manifests."""
     image, director = TufRepository(consistent=False), TufRepository()
     for one in (image, director):
         one.add("first.bin", b"first" * 100)
@@ -187,10 +187,10 @@
 
 def asked_since(rig: TufRig, words: str, since: float) -> list[float]:
     return [
-        round(one.at - since, 2)
+        round(request.at - since, 2)
         for mirror in rig.mirrors
-        for one in mirror.requests
-        if words in one.path and one.at > since + LATE
+        for request in mirror.requests
+        if words in request.path and request.at > since + LATE
     ]
 
 
@@ -203,18 +203,18 @@
 def test_a_kiosks_close_is_seen_behind_more_than_a_buffer_of_what_it_asked_ahead(
     kiosks: TufRig, how: str, first: bytes, path: str, route: str
 ) -> None:
-    """Its file or manifest is with a mirror that says nothing: no other is asked, nor for what is behind."""
+    """The mirror does not answer: no other mirror is asked, and nothing that was pipelined is sent on."""
     assert kiosks.request(FILES + "next.bin")[0] == 200
     for mirror in kiosks.mirrors:
         mirror.modes[route] = "silent"
     sock = kiosk(kiosks)
     sock.sendall(first + wanted("next.bin", 3000) * 3)
-    wait_until(lambda: kiosks.asked(path))
+    wait_until(lambda: kiosks.count_mirror_requests(path))
     left = hang_up(sock, how)
     time.sleep(2.5)  # enough for its try to be given up and made elsewhere, or for its answer
     assert [asked_since(kiosks, words, left) for words in (path, "next.bin")] == [[], []]
-    assert kiosks.count(f"reqs.{route}.withdrawn") == kiosks.count("clients_left") == 1
-    assert kiosks.count("module_faults") == kiosks.count("tasks_died") == 0
+    assert kiosks.counter(f"reqs.{route}.withdrawn") == kiosks.counter("clients_left") == 1
+    assert kiosks.counter("module_faults") == kiosks.counter("tasks_died") == 0
 
 
 @WAYS
@@ -236,7 +236,7 @@
 
 @WAYS
 def test_no_manifest_is_sent_on_for_a_kiosk_whose_close_came_with_it(kiosks: TufRig, how: str) -> None:
-    """It is not held to be under way, or taken, either: its next asking goes on."""
+    """The manifest is not recorded as under way or taken either, so it can be posted again."""
     sock, process = kiosk(kiosks), kiosks.relays[0].process
     assert kiosks.request(MANIFESTS, "POST", report(1))[0] == 200
     stopped(process)
--- a/tests/test_crossing_floods.py
+++ b/tests/test_race_floods.py
@@ -1,4 +1,4 @@
-"""Floods of one relay: good clients lose nothing meanwhile, and descriptors hold."""
+"""Floods of connections at one relay: well-behaved clients lose nothing, and file descriptors suffice."""
 
 import contextlib
 import os
@@ -26,8 +26,10 @@
 
 
 class Good:
-    """A client of the kind that the page describes: it keeps its connection, and a req that crosses the
-    closing of one that was used before goes on a new one, once."""
+    """A well-behaved client: it keeps its connection.
+
+    A req that crosses the close of a connection that was used before is sent again on a new one, once.
+    """
 
     def __init__(self, served: Served, keeps: bool) -> None:
         self.served, self.keeps, self.client = served, keeps, None
@@ -56,7 +58,7 @@
 
 
 def bad(served: Served, first: bytes, over: threading.Event, how: str) -> None:
-    """One that comes, sends, and stays, drips, or goes and comes again."""
+    """Runs a client that connects, sends, and then stays, sends slowly, or reconnects again and again."""
     while not over.is_set():
         with contextlib.suppress(OSError), socket.create_connection((RELAY_HOST, served.port)) as raw:
             raw.settimeout(1)
@@ -120,7 +122,7 @@
 
 
 def test_encryption_is_asked_for_once_each_way(serve: Callable[..., Served]) -> None:
-    """Thousands in a row, answered one by one, held up whoever else had sent something."""
+    """Thousands of such requests in a row, answered one by one, used to delay all other clients."""
     served = serve()
     with socket.create_connection((RELAY_HOST, served.port)) as raw:
         raw.settimeout(5)
@@ -146,7 +148,9 @@
 
 
 def test_room_is_not_made_of_one_whose_req_is_in_the_machine(serve: Callable[..., Served]) -> None:
-    """A crowd comes while the process stands still; so do the statements of those that would give way."""
+    """Many clients connect while the process is stopped, as statements arrive on connections that would be
+    closed.
+    """
     served = serve(sockets=60)
     ready = [PgClient(served.port) for _ in range(6)]
     idle = [served.client() for _ in range(4)]
--- a/tests/test_crossing_lists.py
+++ b/tests/test_race_lists.py
@@ -1,4 +1,4 @@
-"""Lists and news that fall silent, break, come again or come late, each crossing forced over loopback."""
+"""Unit lists and release news that stop, break, repeat or come late, with each race forced over loopback."""
 
 import contextlib
 import json
@@ -13,7 +13,7 @@
 
 import conftest
 import pytest
-from conftest import SECOND, Relay, Served
+from conftest import SECOND, BalancerDriver, Served
 
 from laurelcourse import interface as face
 from laurelcourse.net import payloads
@@ -38,7 +38,7 @@
 
 
 class Agent(DirectoryStandIn):
-    """A directory that answers each call by its script, and as usual once that is through."""
+    """A directory that answers calls by a script, and as usual after it."""
 
     def __init__(self, port: int = 0) -> None:
         self.script: list[str] = []
@@ -75,7 +75,7 @@
 
 
 class Asker:
-    """Asks a relay again and again, so that it is seen where its reqs go at each moment."""
+    """Sends reqs again and again, so that it is seen where they go at each moment."""
 
     def __init__(self, served: Served) -> None:
         self.served, self.over = served, threading.Event()
@@ -95,8 +95,8 @@
 
 @pytest.fixture
 def started(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., Served]]:
-    """Relays with other settings, each with a directory that has a script."""
-    monkeypatch.setattr(conftest, "DirectoryStand", Agent)
+    """Starts relays with other settings, each with a directory that has a script."""
+    monkeypatch.setattr(conftest, "DirectoryStandIn", Agent)
     with contextlib.ExitStack() as stack:
 
         def start(discovery: str = "push", units: int = 1, **kinds: object) -> Served:
@@ -123,7 +123,7 @@
 
 
 def drain(agent: Agent, served: Served) -> UnitStandIn:
-    """Lists the relay's one unit as leaving, and another in its place: reqs go there once that is heeded."""
+    """Lists the relay's one unit as leaving and another in its place: reqs go there once that is applied."""
     late = UnitStandIn()
     agent.put("s-1", late.address)
     agent.put("s-0", served.units[0].address, phase="leaving")
@@ -131,7 +131,7 @@
 
 
 def left_at(served: Served, late: UnitStandIn, seconds: float) -> float:
-    """When the drained unit got its last req, seen once the other got some behind that."""
+    """Returns when the drained unit got its last req, once the other one has got several after it."""
     drained = served.units[0]
     wait_until(lambda: len([at for at in late.times if at > last_at(drained)]) > 9, seconds)
     return last_at(drained)
@@ -157,7 +157,7 @@
 
 
 def silent_watch(started: Callable[..., Served], discovery: str, script: list[str]) -> Callable[[], None]:
-    """Begins a watch that falls silent at once, as what it misses changes; the check of what comes of it."""
+    """Begins a watch that gets no answer while the list changes; returns the check of what follows."""
     served = started(discovery=discovery)
     wait_until(lambda: served.directory.log)
     served.directory.script = list(script)
@@ -178,7 +178,7 @@
 
 
 def test_what_the_agent_has_at_its_return_is_heard_within_the_grace(started: Callable[..., Served]) -> None:
-    """It counts at once, watch or none: a relay that has met many failures asks as soon."""
+    """The list counts at once, with or without a watch: a relay that has seen many failures asks as soon."""
     served = started()
     wait_until(lambda: served.directory.log)
     served.directory.script = ["error"] * 8
@@ -191,7 +191,7 @@
 
 
 def test_a_whole_list_that_stays_out_after_a_move_is_asked_for_again(started: Callable[..., Served]) -> None:
-    """What the new agent has counts 4 s after SIGHUP, though its first call fell silent."""
+    """What the new directory has counts 4 s after SIGHUP, though its first call got no answer."""
     served, agent = started(), Agent()
     with contextlib.closing(agent), contextlib.closing(Asker(served)):
         wait_until(lambda: served.directory.log)
@@ -219,7 +219,7 @@
 
 
 def test_a_watch_goes_on_though_the_agent_closes_behind_each_answer(started: Callable[..., Served]) -> None:
-    """The next call comes within 200 ms, else the watch is a new one."""
+    """The next call comes within 200 ms; otherwise the watch would be a new one."""
     for how in ("closed", "ended"):
         served = started()
         wait_until(lambda served=served: served.directory.log)
@@ -245,7 +245,7 @@
 def test_a_move_takes_hold_at_each_step_of_a_watch(
     started: Callable[..., Served], step: str, discovery: str
 ) -> None:
-    """What the new agent has counts 4 s later; the old one's word no more."""
+    """What the new directory has counts 4 s later, and nothing that the old one says any more."""
     served, agent, jam = started(discovery=discovery), Agent(), Jam()
     old = served.directory
     with contextlib.closing(agent), contextlib.closing(jam), contextlib.closing(Asker(served)):
@@ -270,7 +270,7 @@
 
 
 class Jam:
-    """A listener whose queue is full: whoever connects waits until it opens, then is noted and heard."""
+    """A listener with a full backlog: connections wait until it opens, and are then noted and served."""
 
     def __init__(self) -> None:
         self.sock = socket.socket()
@@ -279,10 +279,10 @@
         self.at = "{}:{}".format(*self.sock.getsockname())
         self.own, self.conns, self.heard, self.ended = [], [], [], []
         for _ in range(8):
-            one = socket.socket()
-            one.setblocking(False)
-            one.connect_ex(self.sock.getsockname())
-            self.own.append(one)
+            sock = socket.socket()
+            sock.setblocking(False)
+            sock.connect_ex(self.sock.getsockname())
+            self.own.append(sock)
 
     def open(self) -> None:
         threading.Thread(target=self.accept, daemon=True).start()
@@ -308,7 +308,7 @@
 
 
 class Platform(DeployerStandIn):
-    """A deployer whose streams begin by a script, and whose votes' answers wait until they are let go."""
+    """A deployer whose streams begin by a script, and whose answers to votes wait until they are released."""
 
     def __init__(self, port: int = 0) -> None:
         self.script: list[str] = []
@@ -357,13 +357,13 @@
 
 @pytest.fixture
 def rolling(started: Callable[..., Served], monkeypatch: pytest.MonkeyPatch) -> Callable[..., Served]:
-    """Relays with a machine of each build, the later on trial for as many reqs as come."""
-    monkeypatch.setattr(conftest, "DeployerStand", Platform)
+    """Starts relays with a machine of each build; the later build is on trial without an effective cap."""
+    monkeypatch.setattr(conftest, "DeployerStandIn", Platform)
     return lambda **kinds: started(units=2, builds=(1, 2), news=TRIAL, **kinds)
 
 
 def stays_away(served: Served, since: float) -> None:
-    """Nothing goes to the later build from then on, though many reqs come."""
+    """Checks that nothing goes to the later build from then on, though many reqs come."""
     earlier, later = served.units
     wait_until(lambda: len([at for at in earlier.times if at > since]) > 20)
     assert not [at - since for at in later.times if at > since], served.deployer.opened
@@ -373,7 +373,7 @@
 
 
 def silent_stream(rolling: Callable[..., Served], script: list[str]) -> Callable[[], None]:
-    """Begins a stream that falls silent, or is held while another is; the check of what comes of it."""
+    """Begins a stream that falls silent or is held back; returns the check of what follows."""
     served = rolling()
     deployer, later = served.deployer, served.units[1]
     wait_until(lambda: deployer.streams)
@@ -396,9 +396,9 @@
             else:
                 wait_until(lambda: len(deployer.opened) > 2)
                 assert deployer.opened[2][0] - deployer.opened[1][0] < 3.5, script
-            told = time.monotonic()
-            wait_until(lambda: last_at(served.units[0]) > told + 0.2)
-            assert not [at - told for at in later.times if at > told + LEAST_GRACE], script
+            start = time.monotonic()
+            wait_until(lambda: last_at(served.units[0]) > start + 0.2)
+            assert not [at - start for at in later.times if at > start + LEAST_GRACE], script
             stays_away(served, time.monotonic())
 
     return check
@@ -407,7 +407,7 @@
 def test_watches_and_streams_that_fall_silent_are_opened_anew_in_time(
     started: Callable[..., Served], rolling: Callable[..., Served]
 ) -> None:
-    """What a watch misses counts 2 s after its wait. All relays wait it out side by side."""
+    """What a watch misses counts 2 s after its wait. All relays wait at the same time."""
     watches = [silent_watch(started, *one) for one in SILENT]
     for check in [*(silent_stream(rolling, script) for script in LOST), *watches]:
         check()
@@ -436,7 +436,7 @@
 
 
 def test_a_stream_left_behind_while_it_connects_is_not_heard(rolling: Callable[..., Served]) -> None:
-    """The old address answers late: what it says then must not count, for nobody looks after that stream."""
+    """The old address answers late: its news must not count, since nobody watches that stream any more."""
     served, jam, new = rolling(), Jam(), Platform()
     with contextlib.closing(jam), contextlib.closing(new):
         wait_until(lambda: served.deployer.streams)
@@ -450,7 +450,7 @@
 
 
 class Breaking(DeployerStandIn):
-    """Each stream tells its state and breaks, so many seconds of signs of life behind it."""
+    """A deployer whose streams tell the state and then break, after some seconds of heartbeats."""
 
     def __init__(self, lasts: list[float]) -> None:
         self.lasts, self.opened, self.broken = lasts, [], []
@@ -468,7 +468,7 @@
 
 
 def test_a_stream_that_breaks_behind_each_state_is_opened_ever_more_slowly() -> None:
-    """One break costs a first pause alone, also behind a stream that has stood for a while."""
+    """A single break costs only the first pause, also after a stream that has lasted for a while."""
     stand, scheduler, told = Breaking([0.0] * 6 + [0.6, 0.0]), Scheduler(Clock(), lambda: None), []
     found = limits(
         SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS})
@@ -498,7 +498,7 @@
 
 
 def test_a_vote_answered_behind_newer_news_takes_nothing_back(rolling: Callable[..., Served]) -> None:
-    """The answer's state is from before the build was called back: the cap told since is the one to keep."""
+    """The answer's state is older than the rollback: the cap that was told since must be kept."""
     served = rolling()
     served.deployer.older = TRIAL
     wait_until(lambda: served.deployer.streams)
@@ -518,8 +518,11 @@
 def test_a_notice_read_behind_a_newer_votes_answer_lifts_no_cap(
     rolling: Callable[..., Served], news: str
 ) -> None:
-    """A line from before is held back on the stream, while a vote is told that the build goes back. What a
-    stream tells that is opened behind that answer holds, whatever it is: no relay stays deaf."""
+    """A line is held back on the stream while a vote's answer says that the build is rolled back.
+
+    Whatever a stream says that was opened after that answer counts again, so that no relay stays without
+    news.
+    """
     served = rolling()
     deployer, (_, later) = served.deployer, served.units
 
@@ -528,7 +531,7 @@
         return True
 
     def voted() -> bool:
-        """Told that the build goes back, it takes its vote back: no other follows until there is news."""
+        """Checks that a relay told of a rollback withdraws its vote, and casts no other until news."""
         cast = [vote["verdict"] for vote in deployer.votes]
         return len(cast) > earlier and cast[-1] == "blank" and served.count("votes.counted") == len(cast)
 
@@ -541,19 +544,19 @@
         later.mode, deployer.news, deployer.mode = "ok", news, "limit"  # no later vote is told anything
         before, opened = served.count("notices"), served.count("notices_opened")
         deployer.send_notices(f"event: progress\ndata: {TRIAL}\n\n")
-        told = time.monotonic()
+        start = time.monotonic()
         wait_until(lambda: served.count("notices") > before)
         if news == BACK:
-            stays_away(served, told + LEAST_GRACE)
+            stays_away(served, start + LEAST_GRACE)
         else:
-            wait_until(lambda: alive() and last_at(later) > told + LEAST_GRACE)
+            wait_until(lambda: alive() and last_at(later) > start + LEAST_GRACE)
     # The state that opens a stream goes to all that stand: the one that was held may read it first.
     assert 1 <= served.count("notices_overtaken") <= (1 if news == BACK else 2)
     assert 1 <= served.count("notices_opened") - opened <= 2
 
 
 def test_a_lower_cap_told_again_binds_no_later() -> None:
-    """A stream opened anew tells the state once more: the grace runs from when it was told first."""
+    """A new stream repeats the state: the grace runs from when it was first told."""
     cap = ExposureCap(1.0)
     cap.update(0.1, 500)
     cap.update(0.1, 900)
@@ -572,21 +575,27 @@
         {"drain_grace": SECOND // 2, "tick": 400_000},
     ],
 )
-def test_a_broken_watch_is_asked_for_within_the_grace(relay: Callable[..., Relay], changed: dict) -> None:
-    """However many fell silent before: what it misses counts 1 s after its wait and grace are over."""
-    one = relay(must_poll=True, **changed)
+def test_a_broken_watch_is_asked_for_within_the_grace(
+    make_driver: Callable[..., BalancerDriver], changed: dict
+) -> None:
+    """However many watches failed before, what this one misses counts 1 s after its wait and the grace."""
+    driver = make_driver(must_poll=True, **changed)
     for _ in range(9):
-        broken = one.now
-        one.one.directory(one.now, face.WATCH_BROKEN, [])
+        broken = driver.now
+        driver.balancer.directory(driver.now, face.WATCH_BROKEN, [])
         found = []
         while (face.WATCH,) not in found:
-            one.now = one.one.next_wake_at
-            found = one.one.timer(one.now, "beat")
-        assert 0 < one.now - broken <= max(one.one.settings.drain_grace, 2 * one.one.settings.tick)
+            driver.now = driver.balancer.next_wake_at
+            found = driver.balancer.timer(driver.now, "beat")
+        assert (
+            0
+            < driver.now - broken
+            <= max(driver.balancer.settings.drain_grace, 2 * driver.balancer.settings.tick)
+        )
 
 
 def test_an_entry_that_lacks_fields_hides_none_of_the_others(started: Callable[..., Served]) -> None:
-    """A unit without locality is served; one without build gets nothing; `left` needs its id alone."""
+    """A unit without a zone is used; one without a build gets nothing; for `left` the id is enough."""
     served = started(units=4)
     agent, first, bare, gone, later = served.directory, *served.units
     with contextlib.closing(Asker(served)):
@@ -596,14 +605,14 @@
         agent.entries["s-2"] = {"id": "s-2", "phase": "left"}
         del agent.entries["s-3"]["locality"]
         agent.revision += 1
-        told = time.monotonic()
-        wait_until(lambda: len([at for at in later.times if at > told + LEAST_GRACE]) > 50)
-        assert max(map(last_at, (first, bare, gone))) < told + LEAST_GRACE
+        start = time.monotonic()
+        wait_until(lambda: len([at for at in later.times if at > start + LEAST_GRACE]) > 50)
+        assert max(map(last_at, (first, bare, gone))) < start + LEAST_GRACE
         wait_until(lambda: f"from={agent.revision}&" in agent.log[-1][2])
         agent.revision += 1  # told once more: counted again, logged no more
         wait_until(lambda: f"from={agent.revision}&" in agent.log[-1][2])
         agent.put("s-1", bare.address, build=1)
-        wait_until(lambda: last_at(bare) > told + LEAST_GRACE)
+        wait_until(lambda: last_at(bare) > start + LEAST_GRACE)
     assert served.count("directory_failed") == 0 and served.count("directory_held_back") == 2
     assert served.log.read_text().count("an entry without build or address") == 1
 
@@ -625,10 +634,10 @@
 @pytest.mark.parametrize("absent", [True, False])
 @pytest.mark.parametrize("changed, health", SPARSE.values(), ids=SPARSE)
 def test_what_an_entry_lacks_is_unknown(
-    relay: Callable[..., Relay], changed: dict, health: str, absent: bool
+    make_driver: Callable[..., BalancerDriver], changed: dict, health: str, absent: bool
 ) -> None:
-    """No list is refused for it, nothing known of a unit is lost by it, and no older list undoes it."""
-    since, one = 90_000, relay()
+    """The list is not refused, nothing that is known of a unit is lost, and no older list undoes that."""
+    since, driver = 90_000, make_driver()
     usual = {
         "id": "s-1",
         "host_port": "h:1",
@@ -641,15 +650,15 @@
     ready = [usual, other | {"phase": "active"}]
     before = payloads.parse_unit_list({"revision": 40, "complete": True, "members": ready})
     lists = MembershipFilter(before, 6 * SECOND)
-    one.one.directory(one.now, face.FULL_LIST, [entry for entry, _ in before.entries])
-    unit, fellow = one.one.state.units.values()
-    unit.begin_try(one.now, 0)
+    driver.balancer.directory(driver.now, face.FULL_LIST, [entry for entry, _ in before.entries])
+    unit, fellow = driver.balancer.state.units.values()
+    unit.begin_try(driver.now, 0)
     entry = {name: value for name, value in (usual | changed).items() if value is not None or not absent}
-    found = lists.filter(
+    matching = lists.filter(
         0, payloads.parse_unit_list({"revision": 41, "complete": False, "members": [entry, other]})
     )
-    assert found.incomplete == (("s-1",) if health == face.DRAINING and "phase" not in changed else ())
-    one.one.directory(one.now, face.CHANGES, [listed for listed, _ in found.entries])
+    assert matching.incomplete == (("s-1",) if health == face.DRAINING and "phase" not in changed else ())
+    driver.balancer.directory(driver.now, face.CHANGES, [listed for listed, _ in matching.entries])
     assert (unit.health, fellow.health) == (health, face.DRAINING)
     assert (unit.build, unit.started_at, unit.sends_since_start) == (7, 1000 * since, 1)
     older = lists.filter(
@@ -658,12 +667,14 @@
     assert older.entries[0][0].health == health
 
 
-def test_a_unit_of_no_known_locality_shares_its_memory_with_no_other(relay: Callable[..., Relay]) -> None:
-    """What may have run is repeated within its unit's zone (rule 2): two unknown ones may be different."""
-    one = relay()
-    one.list((1, "", 5, 90), (2, "", 5, 90))
-    sent = one.req("mark")[-1]
-    again = one.end(sent, 0, face.FAILED)[-1]
+def test_a_unit_of_no_known_locality_shares_its_memory_with_no_other(
+    make_driver: Callable[..., BalancerDriver],
+) -> None:
+    """A try that may have run is repeated only in its unit's zone (rule 2); two unknown zones may differ."""
+    driver = make_driver()
+    driver.list((1, "", 5, 90), (2, "", 5, 90))
+    sent = driver.req("mark")[-1]
+    again = driver.end(sent, 0, face.FAILED)[-1]
     assert again[0] == face.ERROR or again[2] == sent[2]
 
 
@@ -672,14 +683,17 @@
 
 def told(revision: int, **health: str) -> payloads.UnitList:
     entries = [face.Listed(int(unit[1:]), "a", 0, 1, how, 1.0, 1) for unit, how in health.items()]
-    return payloads.UnitList(revision, True, [(one, ("h", 1)) for one in entries])
+    return payloads.UnitList(revision, True, [(entry, ("h", 1)) for entry in entries])
 
 
 def test_a_complete_list_of_a_directory_that_numbers_anew_brings_units_and_takes_back_no_drain() -> None:
     lists = MembershipFilter(told(90, u1=READY, u2=READY), 6 * SECOND)
     lists.filter(0, told(91, u1=LEFT, u2=READY))
-    found = lists.filter(SECOND, told(2, u1=READY, u3=READY))
-    assert found.complete and {entry.unit: entry.health for entry, _ in found.entries} == {1: LEFT, 3: READY}
+    matching = lists.filter(SECOND, told(2, u1=READY, u3=READY))
+    assert matching.complete and {entry.unit: entry.health for entry, _ in matching.entries} == {
+        1: LEFT,
+        3: READY,
+    }
     # Changes by the new numbers count from the first on, when they are for the worse.
     worse = lists.filter(2 * SECOND, told(3, u3=LEFT)._replace(complete=False))
     assert worse.entries[0][0].health == LEFT
@@ -709,12 +723,12 @@
     )
     whole = payloads.parse_unit_list(json.loads(body))
     for cut in range(len(raw)):
-        found = Response(1 << 18)
-        found.feed(raw[:cut])
-        found.end_of_stream()
-        assert not found.done
-        found.feed(raw[cut:])
-        assert found.done and payloads.parse_unit_list(payloads.parse_json(found.take())) == whole
+        response = Response(1 << 18)
+        response.feed(raw[:cut])
+        response.end_of_stream()
+        assert not response.done
+        response.feed(raw[cut:])
+        assert response.done and payloads.parse_unit_list(payloads.parse_json(response.take())) == whole
 
 
 ORDER = [
--- a/tests/test_crossing_news.py
+++ b/tests/test_race_news.py
@@ -1,4 +1,4 @@
-"""Lists, news and keys that come late, fall silent twice or go back: each crossing forced."""
+"""Unit lists, release news and sticky keys that come late, stop twice or go back, with each race forced."""
 
 import contextlib
 import socket
@@ -8,8 +8,8 @@
 
 import conftest
 import pytest
-from conftest import SECOND, Relay, Served
-from test_crossing_lists import Agent, Asker, drain, left_at
+from conftest import SECOND, BalancerDriver, Served
+from test_race_lists import Agent, Asker, drain, left_at
 
 from laurelcourse import interface as face
 from laurelcourse.net import payloads
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def started(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., Served]]:
-    monkeypatch.setattr(conftest, "DirectoryStand", Agent)
+    monkeypatch.setattr(conftest, "DirectoryStandIn", Agent)
     with contextlib.ExitStack() as stack:
 
         def start(discovery: str, grace: float = GRACE) -> Served:
@@ -46,7 +46,7 @@
 
 
 def silenced(served: Served, script: list[str]) -> float:
-    """Calls fall silent by the script from now on; when the first of them came."""
+    """Has calls get no answer, by the script, from now on; returns when the first of them came."""
     agent = served.directory
     wait_until(lambda: agent.log and "hold_ms=5000" in agent.log[-1][2])
     before = len(agent.log)
@@ -57,7 +57,7 @@
 
 
 def test_silence_on_end_where_lists_are_asked_for_has_one_clock(started: Callable[..., Served]) -> None:
-    """A change that the first watch misses counts 2 s after that one's wait, though the next is mute too."""
+    """A change that the first watch misses counts 2 s after its wait, though the next watch fails as well."""
     ways = []
     for script in (["mute", "mute"], ["half a body", "mute"]):
         served = started("ask")
@@ -71,7 +71,7 @@
 
 
 def test_what_a_silent_agent_has_at_its_return_counts_at_once(started: Callable[..., Served]) -> None:
-    """Calls from before its return stay silent: the next one has to come within the grace."""
+    """Earlier calls stay without an answer: the next one has to come within the grace."""
     served = started("push")
     agent = served.directory
     silenced(served, ["mute"] * 4)
@@ -83,7 +83,7 @@
 
 
 class Silent(Agent):
-    """An agent that has no answer to a relay's first call: discovery is down as the relay starts."""
+    """A directory that does not answer a relay's first call, as if it were down when the relay starts."""
 
     def __init__(self, port: int = 0) -> None:
         super().__init__(port)
@@ -93,8 +93,8 @@
 def test_a_new_process_hears_within_the_grace_what_the_agent_has_at_its_return(
     started: Callable[..., Served], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """'From the first moment of a new process': its first call need not be waited out."""
-    monkeypatch.setattr(conftest, "DirectoryStand", Silent)
+    """The grace holds from the first moment of a process: its first call need not time out first."""
+    monkeypatch.setattr(conftest, "DirectoryStandIn", Silent)
     served = started("push")
     wait_until(lambda: served.directory.log)
     with contextlib.closing(Asker(served)):
@@ -104,7 +104,7 @@
 
 
 def test_an_answer_that_came_while_the_relay_stood_still_is_taken() -> None:
-    """Patience with an agent is short: a relay that got no CPU for longer must not call it silent."""
+    """The timeout of a call is short: a relay that got no CPU for longer must not consider it failed."""
     settings = {"classes": [{"deadline": 1000}], "limits": {"connect_timeout": 100, "conn_idle": 1000}}
     few = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 16}, "settings": settings}))
     scheduler = Scheduler(Clock(), lambda: None)
@@ -133,98 +133,111 @@
 
 
 def test_an_older_list_brings_back_nothing_that_a_newer_one_left_out() -> None:
-    """A unit absent from a complete list has been removed: an agent that lags behind must not undo that."""
+    """A unit that a full list leaves out has been removed, and a directory that lags must not undo that."""
     lists = MembershipFilter(payloads.UnitList(40, True, [heard(1), heard(2)]), 6 * SECOND)
     lists.filter(0, payloads.UnitList(50, True, [heard(2)]))
-    found = lists.filter(SECOND, payloads.UnitList(45, True, [heard(1), heard(2)]))
-    assert {entry.unit: entry.health for entry, _ in found.entries} == {1: face.GONE, 2: face.READY}
+    matching = lists.filter(SECOND, payloads.UnitList(45, True, [heard(1), heard(2)]))
+    assert {entry.unit: entry.health for entry, _ in matching.entries} == {1: face.GONE, 2: face.READY}
     # One that starts anew is another life, and so is what a newer list names again.
     again = payloads.UnitList(51, False, [heard(1)])
     assert lists.filter(2 * SECOND, again) == again
 
 
-def ask(one: Relay, key: int | None = 9, route: str = "read") -> tuple:
+def ask(one: BalancerDriver, key: int | None = 9, route: str = "read") -> tuple:
     one.made += 1
-    return one.one.new_req(one.now, f"r{one.made}", route, "", key, 2 * SECOND, False)[-1]
+    return one.balancer.new_req(one.now, f"r{one.made}", route, "", key, 2 * SECOND, False)[-1]
 
 
-def test_a_key_that_a_later_build_has_answered_goes_to_no_lower_one_on_trial(relay: type) -> None:
-    """Machines of the next build come before its news: the build of the last news is a lower one then."""
-    one = relay(sticky_keys=True, stage_caps=(1.0, 1.0), cap_free_tries=99)
-    one.list((1, "a", 5, 90), (2, "a", 6, 90), (3, "a", 7, 90))
-    one.news(6, cap=1.0)
-    one.one.state.sticky_builds[9] = 7
+def test_a_key_that_a_later_build_has_answered_goes_to_no_lower_one_on_trial(
+    make_driver: Callable[..., BalancerDriver],
+) -> None:
+    """Machines of the next build are listed before its news, while the last news is of a lower build."""
+    driver = make_driver(sticky_keys=True, stage_caps=(1.0, 1.0), cap_free_tries=99)
+    driver.list((1, "a", 5, 90), (2, "a", 6, 90), (3, "a", 7, 90))
+    driver.news(6, cap=1.0)
+    driver.balancer.state.sticky_builds[9] = 7
     for _ in range(40):
-        sent = ask(one)
+        sent = ask(driver)
         assert sent[:3:2] == (face.SEND, 3)
-        one.end(sent, 0, face.OK)
+        driver.end(sent, 0, face.OK)
 
 
-def test_a_key_stays_with_the_highest_build_that_has_answered_it(relay: type) -> None:
-    """A lower build's answer may come last, of a try sent before the higher one answered."""
-    one = relay(sticky_keys=True, stage_caps=(1.0, 1.0), cap_free_tries=99)
-    one.list((2, "a", 6, 90))
-    one.news(6, cap=1.0)
-    slow = ask(one)
-    one.list((3, "a", 7, 90))
-    quick = ask(one)
+def test_a_key_stays_with_the_highest_build_that_has_answered_it(
+    make_driver: Callable[..., BalancerDriver],
+) -> None:
+    """A lower build may answer last, to a try that was sent before the higher one answered."""
+    driver = make_driver(sticky_keys=True, stage_caps=(1.0, 1.0), cap_free_tries=99)
+    driver.list((2, "a", 6, 90))
+    driver.news(6, cap=1.0)
+    slow = ask(driver)
+    driver.list((3, "a", 7, 90))
+    quick = ask(driver)
     assert (slow[2], quick[2]) == (2, 3)
-    one.end(quick, 0, face.OK)
-    one.end(slow, 0, face.OK)
-    assert one.one.state.sticky_builds == {9: 7}
+    driver.end(quick, 0, face.OK)
+    driver.end(slow, 0, face.OK)
+    assert driver.balancer.state.sticky_builds == {9: 7}
 
 
 def test_a_key_answered_by_a_build_that_was_withdrawn_is_served_while_the_next_is_on_trial(
-    relay: type,
+    make_driver: Callable[..., BalancerDriver],
+) -> None:
+    """Keys stay only with the build on trial; otherwise such a key could go nowhere but to the next build."""
+    driver = make_driver(sticky_keys=True, cap_free_tries=0, stage_caps=(0.0, 1.0))
+    driver.list((1, "a", 5, 90), (3, "a", 7, 90))
+    driver.balancer.state.sticky_builds[9] = 6
+    driver.news(6, standing=face.WITHDRAWN, cap=0.0)
+    assert ask(driver)[:3:2] == (face.SEND, 1)
+    driver.news(7, cap=0.0)
+    assert ask(driver)[:3:2] == (face.SEND, 1)
+
+
+def test_a_key_that_a_released_build_answers_goes_to_no_earlier_machine_that_is_left(
+    make_driver: Callable[..., BalancerDriver],
 ) -> None:
-    """'That build' is the one on trial: else such a key has nowhere to go but to the next one's places."""
-    one = relay(sticky_keys=True, cap_free_tries=0, stage_caps=(0.0, 1.0))
-    one.list((1, "a", 5, 90), (3, "a", 7, 90))
-    one.one.state.sticky_builds[9] = 6
-    one.news(6, standing=face.WITHDRAWN, cap=0.0)
-    assert ask(one)[:3:2] == (face.SEND, 1)
-    one.news(7, cap=0.0)
-    assert ask(one)[:3:2] == (face.SEND, 1)
-
-
-def test_a_key_that_a_released_build_answers_goes_to_no_earlier_machine_that_is_left(relay: type) -> None:
-    """'While the phase is 0 or 2': what the build answers once it is released counts as well."""
-    one = relay(sticky_keys=True)
-    one.list((1, "a", 5, 90), (2, "a", 6, 90))
-    one.news(6, standing=face.RELEASED, cap=1.0)
+    """Keys stay in phases 0 and 2, so what the build answers once it is released counts as well."""
+    driver = make_driver(sticky_keys=True)
+    driver.list((1, "a", 5, 90), (2, "a", 6, 90))
+    driver.news(6, standing=face.RELEASED, cap=1.0)
     answered = False
     for _ in range(40):
-        sent = ask(one)
+        sent = ask(driver)
         assert not (answered and sent[2] == 1)
         answered |= sent[2] == 2
-        one.end(sent, 0, face.OK)
+        driver.end(sent, 0, face.OK)
     assert answered
 
 
 @pytest.mark.parametrize("sizes", [(0.25, 1.0), (1.0, 1.0), (4.0, 1.0), (0.0, 0.0)])
-def test_a_small_cold_machine_is_sent_by_its_size(relay: type, sizes: tuple[float, float]) -> None:
-    """What falls is judged by what 'warm units of like size take' (WIRE 15.4). The warm ones are busy, so
-    that the guard alone bounds what the cold one gets; all relays in one, at 60% of what the fleet can do."""
+def test_a_small_cold_machine_is_sent_by_its_size(
+    make_driver: Callable[..., BalancerDriver], sizes: tuple[float, float]
+) -> None:
+    """The load of a cold unit is judged by what warm units of its size take (WIRE 15.4).
+
+    The warm ones are busy, so that only the guard limits the cold one; one relay has the load of all, at 60%
+    of what the fleet can do.
+    """
     rate, fellows = 1000, 9
-    one = relay(relay_count=1, may_message_peers=False)
+    driver = make_driver(relay_count=1, may_message_peers=False)
     entries = [
         face.Listed(unit, "a", 0, 1, face.READY, sizes[unit > 1], face.START_UNKNOWN_US)
         for unit in range(1, fellows + 2)
     ]
-    one.one.directory(one.now, face.FULL_LIST, entries)
+    driver.balancer.directory(driver.now, face.FULL_LIST, entries)
     for _ in range(5 * rate):
-        one.now += SECOND // rate
-        one.one.state.recent_answers.add(one.now)
-    one.one.directory(one.now, face.CHANGES, [entries[0]._replace(started_at=one.now)])
+        driver.now += SECOND // rate
+        driver.balancer.state.recent_answers.add(driver.now)
+    driver.balancer.directory(driver.now, face.CHANGES, [entries[0]._replace(started_at=driver.now)])
     for unit in range(2, fellows + 2):
-        one.one.state.units[unit].open_tries += 50
-    began, sent = one.now, 0
-    while one.now < began + SECOND:
-        one.now += SECOND // rate
-        one.one.state.recent_answers.add(one.now)
-        asked = ask(one, None)
+        driver.balancer.state.units[unit].open_tries += 50
+    began, sent = driver.now, 0
+    while driver.now < began + SECOND:
+        driver.now += SECOND // rate
+        driver.balancer.state.recent_answers.add(driver.now)
+        asked = ask(driver, None)
         sent += asked[2] == 1
-        one.one.outcome(one.now, asked[1], 0, asked[2], face.OK, 5000, True, {})
+        driver.balancer.outcome(driver.now, asked[1], 0, asked[2], face.OK, 5000, True, {})
     part = sizes[0] / (sizes[0] + fellows * sizes[1]) if sizes[0] else 1 / (fellows + 1)
-    may = one.one.settings.overload_factor * rate / 0.6 * part * 0.3  # the least that it can do as it starts
+    may = (
+        driver.balancer.settings.overload_factor * rate / 0.6 * part * 0.3
+    )  # the least that it can do as it starts
     assert 2 <= sent <= may + 2 * may**0.5 + 2, (sent, may)
--- a/tests/test_crossing_restarts.py
+++ b/tests/test_race_restarts.py
@@ -1,4 +1,4 @@
-"""Reqs that are open, or half read, as the relay stops, stands still or runs short of something."""
+"""Reqs that are open or read in part as the relay stops, is paused, or runs short of a resource."""
 
 import copy
 import signal
@@ -12,8 +12,8 @@
 import conftest
 import pytest
 from conftest import Served
-from test_crossing_clients import WAYS, asked, goes_on, leave, stopped
-from test_crossing_units import Rig
+from test_race_clients import WAYS, asked, goes_on, leave, stopped
+from test_race_units import Rig
 
 from laurelcourse import interface as face
 from laurelcourse.net.scheduler import Mailbox
@@ -38,23 +38,23 @@
 
 
 def test_large_reqs_that_came_together_are_all_answered(serve: Callable[..., Served]) -> None:
-    """Written whole as the relay reads them all in parts: none gives way for the memory of the others."""
+    """They arrive while all are read in parts: none is refused for the memory that the others take."""
     served = serve(memory=16)
     clients = [served.client() for _ in range(16)]
-    for one in clients:
-        assert one.ask(build_query())[:2] == COMPLETED
-        one.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * LARGEST)
+    for client in clients:
+        assert client.ask(build_query())[:2] == COMPLETED
+        client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * LARGEST)
     stopped(served.process)
-    for one in clients:
-        one.sock.sendall(largest())
+    for client in clients:
+        client.sock.sendall(largest())
     goes_on(served.process)
     # A burst may be shed in part; a connection that closes says nothing.
-    assert [one.answer()[0] in ("TDCZ", "EZ") for one in clients] == [True] * 16
+    assert [client.answer()[0] in ("TDCZ", "EZ") for client in clients] == [True] * 16
     assert served.count("clients_over_memory") == 0
 
 
 class HeldUnit(UnitStandIn):
-    """Connections come up at once, but nobody is greeted until the test says so."""
+    """A unit whose connections come up at once, but are greeted only when the test releases them."""
 
     def __init__(self) -> None:
         self.go = threading.Event()
@@ -72,16 +72,16 @@
     settings = copy.deepcopy(PLATFORM_SETTINGS)
     settings["limits"]["connect_timeout"] = 3000.0
     monkeypatch.setattr(conftest, "PLATFORM_SETTINGS", settings)
-    monkeypatch.setattr(conftest, "UnitStand", HeldUnit)
+    monkeypatch.setattr(conftest, "UnitStandIn", HeldUnit)
     served = serve(units=1)
     clients, unit = [served.client() for _ in range(4)], served.units[0]
-    for one in clients:
-        one.send(build_query("once"))
+    for client in clients:
+        client.send(build_query("once"))
     wait_until(lambda: len(unit.conns) == 4)
     served.count("notices")
     stopped(served.process)
-    for one in clients:
-        leave(one, how)
+    for client in clients:
+        leave(client, how)
     time.sleep(0.2)  # an attempt that begins more than 0.1 s after the close is a break
     unit.go.set()
     time.sleep(0.2)  # the greetings are in the relay's machine
@@ -94,12 +94,15 @@
 def test_a_stop_finds_reqs_in_each_state_and_answers_all(
     serve: Callable[..., Served], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Waiting for a connection, unread, in halves, asked ahead, answered in part: all of it while
-    the process stands still, so that the signal, the reqs and the answers come between two of its lines."""
+    """Reqs wait for a connection, are unread, read in part, pipelined, or answered in part.
+
+    All of this happens while the process is stopped, so that the signal, reqs and answers come between two of
+    its statements.
+    """
     settings = copy.deepcopy(PLATFORM_SETTINGS)
     settings["limits"]["connect_timeout"] = 3000.0
     monkeypatch.setattr(conftest, "PLATFORM_SETTINGS", settings)
-    monkeypatch.setattr(conftest, "UnitStand", HeldUnit)
+    monkeypatch.setattr(conftest, "UnitStandIn", HeldUnit)
     served = serve(units=1, modes="drip")
     unit, clients = served.units[0], [served.client() for _ in range(6)]
     waits, unread, halves, ahead, gone, idle = clients
@@ -138,7 +141,7 @@
 
 
 def test_an_answer_that_came_in_time_is_none_out_of_time() -> None:
-    """The relay has other things to do from before the answer until past its try's time."""
+    """The relay is busy from before the answer until after the try's timeout."""
     unit, found = UnitStandIn(), []
     unit.mode, rig = "slow0.1", Rig(unit)
 
@@ -157,20 +160,20 @@
 
 
 def test_a_relay_whose_connections_are_all_in_use_blames_no_unit(serve: Callable[..., Served]) -> None:
-    """Tries of clients that have gone hold them: that no new one is to be had tells nothing of a unit."""
+    """Tries of clients that have left hold all connections: that none is free says nothing about a unit."""
     served, most = serve(sockets=40, modes="silent"), (40 - 40 // 8 - 16) * 9 // 20
     for taken in range(most):
-        one = served.client()
-        one.send(build_query("once", 3000))
+        client = served.client()
+        client.send(build_query("once", 3000))
         wait_until(lambda count=taken + 1: len(served.queries()) == count)
-        leave(one, "fin")
+        leave(client, "fin")
     told = served.client().ask(build_query())[:2]
     assert told == ("EZ", "53300") and served.count("units_no_descriptor") > 0
     assert served.count("tries.unreached") == 0 and len(served.queries()) == most
 
 
 class FailsLate(UnitStandIn):
-    """Each query fails once the test says so."""
+    """A unit that fails each query once the test releases it."""
 
     def __init__(self) -> None:
         self.go = threading.Event()
@@ -189,16 +192,16 @@
 def test_a_failure_and_its_clients_close_begin_no_further_try(
     serve: Callable[..., Served], monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """A req that may be repeated, to a relay that hears of both in one turn."""
-    monkeypatch.setattr(conftest, "UnitStand", FailsLate)
+    """The req may be repeated, and the relay learns of the failure and of the close in one turn."""
+    monkeypatch.setattr(conftest, "UnitStandIn", FailsLate)
     served = serve(units=2)
     clients = [served.client() for _ in range(4)]
-    for one in clients:
-        one.send(build_query())
+    for client in clients:
+        client.send(build_query())
     wait_until(lambda: len(served.queries()) == 4)
     stopped(served.process)
-    for one in clients:
-        leave(one, how)
+    for client in clients:
+        leave(client, how)
     for unit in served.units:
         unit.go.set()
     time.sleep(0.2)  # the answers are in the relay's machine, and the closes over 0.1 s old
--- a/tests/test_crossing_settings.py
+++ b/tests/test_race_settings.py
@@ -1,4 +1,4 @@
-"""Another customer's settings: drawn from the ranges of the bench's page, odd ones, and their ends."""
+"""Settings of other deployments: drawn from the documented ranges, unusual ones, and the ends of ranges."""
 
 import copy
 import heapq
@@ -39,7 +39,7 @@
         return values[self.below(len(values))]
 
     def between(self, low: float, high: float) -> float:
-        """Log-uniform, as the bench draws a wide range."""
+        """Returns a log-uniform value."""
         return low * (high / low) ** self.fraction()
 
     def chance(self, share: float) -> bool:
@@ -47,7 +47,7 @@
 
 
 def drawn(c: Draw) -> Settings:
-    """Legal settings from the ranges' ends and between: objectives of 50 ms to 20 s, ticks of 1 to 10 ms."""
+    """Draws valid settings: objectives of 50 ms to 20 s, ticks of 1 to 10 ms."""
 
     def route(name: str) -> Route:
         objective = int(c.between(50 * MS, 20 * SECOND))
@@ -115,14 +115,14 @@
         self.tries: list[list] = []  # sent, unit, status or "" while it is out
 
     def out(self) -> list[list]:
-        return [one for one in self.tries if not one[2]]
+        return [one_try for one_try in self.tries if not one_try[2]]
 
     def ran(self) -> list[list]:
-        return [one for one in self.tries if RAN.get(one[2], True)]
+        return [one_try for one_try in self.tries if RAN.get(one_try[2], True)]
 
 
 class Rules:
-    """What an instance was told, and the five rules as the wire's page words them."""
+    """What an instance was told, and the five rules as the protocol's page words them."""
 
     def __init__(self, s: Settings) -> None:
         self.settings, self.reqs = s, {}
@@ -136,7 +136,7 @@
         self.keys: dict[int, int] = {}
 
     def listed(self, now: int, whole: bool, entries: list[face.Listed]) -> None:
-        told = {one.unit: one for one in entries}
+        told = {entry.unit: entry for entry in entries}
         for name, one in self.units.items() if whole else ():
             told.setdefault(name, one._replace(health=face.GONE))
         for name, one in told.items():
@@ -153,7 +153,7 @@
         return build > named or (build == named and standing != face.RELEASED)
 
     def cap(self, now: int) -> float:
-        """The cap last told; one that is lower than those told within the grace does not bind yet."""
+        """Returns the cap in force: one that is lower than those told within the grace does not bind yet."""
         before = [cap for at, cap in self.caps if at <= now - self.settings.drain_grace]
         return max(before[-1:] + [cap for at, cap in self.caps if at > now - self.settings.drain_grace])
 
@@ -167,7 +167,7 @@
         self.news = (build, stage, standing)
 
     def settle(self, now: int) -> None:
-        """Notes when a lower cap began to bind: attempts are counted anew from then."""
+        """Notes when a lower cap began to bind: tries are counted anew from then."""
         for at in sorted(at + self.settings.drain_grace for at, _ in self.caps if at > -math.inf):
             if self.counted_from < at <= now and self.cap(at) < self.cap(at - 1):
                 self.counted_from = at
@@ -191,7 +191,7 @@
         s, ran, listed = self.settings, rq.ran(), self.units[unit]
         assert not rq.final, "rule 1: sent after the final answer"
         # An attempt counts once its last byte has come.
-        written = [one for one in rq.tries if one[2] != face.UNSENT]
+        written = [one_try for one_try in rq.tries if one_try[2] != face.UNSENT]
         assert len(written) < s.max_tries, "over the most tries"
         assert now < rq.due, "sent when the time is over"
         assert not ran or rq.route.repeat_policy != NON_RETRIABLE, "rule 2: may run twice"
@@ -219,13 +219,13 @@
 
 
 class World:
-    """One instance under drawn settings, and all that happens to it, in simulated time."""
+    """One instance with drawn settings, and all that happens to it, in simulated time."""
 
     def __init__(self, seed: int) -> None:
         self.c = Draw(seed)
         self.settings = drawn(self.c)
         self.now, self.heap, self.made, self.seen = 1000 * SECOND, [], 0, set()
-        self.one, self.rules = Balancer(self.settings, seed, self.now), Rules(self.settings)
+        self.balancer, self.rules = Balancer(self.settings, seed, self.now), Rules(self.settings)
         self.build, self.stage, self.standing, self.share = 6, 0, face.ON_TRIAL, self.settings.stage_caps[0]
         self.fleet = {
             name: face.Listed(
@@ -251,7 +251,7 @@
         heapq.heappush(self.heap, (self.now + int(delay), self.made, work, args))
 
     def call(self, name: str, *args: object) -> None:
-        for verb, *rest in getattr(self.one, name)(self.now, *args):
+        for verb, *rest in getattr(self.balancer, name)(self.now, *args):
             self.seen.add(verb)
             getattr(self, verb)(*rest)
         self.live = [rq for rq in self.live if not rq.final]
@@ -370,7 +370,7 @@
             self.call("stage", 0, 0, 0, True, status, 0.0, 0)
 
     def moves(self, on: bool) -> None:
-        """The platform goes a step on or back; going back the cap falls, at once or by and by."""
+        """Moves the release a step on or back; going back, the cap falls at once or gradually."""
         if self.standing in (face.RELEASED, face.WITHDRAWN) and on:
             self.build, self.stage, self.standing = self.build + 1, 0, face.ON_TRIAL
         elif self.standing == face.ROLLING_BACK:
@@ -393,13 +393,13 @@
         how = face.WATCH_BROKEN if broken else self.c.one_of(face.CHANGES, face.FULL_LIST, face.CACHED)
         entries = [one for one in self.fleet.values() if how != face.CHANGES or self.c.chance(0.4)]
         if how in (face.FULL_LIST, face.CACHED):
-            entries = [one for one in entries if one.health != face.GONE]
+            entries = [entry for entry in entries if entry.health != face.GONE]
         if how != face.WATCH_BROKEN:
             self.rules.listed(self.now, how != face.CHANGES, entries)
         self.call("directory", how, [] if how == face.WATCH_BROKEN else entries)
 
     def shifts(self) -> None:
-        """A unit drains, leaves, comes back or starts anew, perhaps with another build."""
+        """Has a unit drain, leave, return or restart, perhaps with another build."""
         name = self.c.one_of(*self.fleet)
         health = self.c.one_of(face.READY, face.READY, face.DRAINING, face.GONE)
         build = self.c.one_of(self.fleet[name].build, self.build, self.build + 1)
@@ -486,7 +486,7 @@
 
 
 def root(*changes: tuple[str, object]) -> dict:
-    """A configuration with fields set by their paths, or taken away."""
+    """Returns a configuration with fields set by their paths, or removed."""
     made = copy.deepcopy(
         written(
             "n0",
@@ -578,20 +578,20 @@
     ],
 )
 def test_a_configuration_that_is_served(changes: list) -> None:
-    found = configuration.decode(root(*changes))
-    one, now = Balancer(found.settings, found.seed, 100 * SECOND), 100 * SECOND
-    one.start(now)
-    one.directory(now, face.CACHED, [entry for entry, _ in found.known.entries])
-    one.stage(now, *found.news[:3], False, face.COUNTED, *found.news[3:])
+    decoded = configuration.decode(root(*changes))
+    balancer, now = Balancer(decoded.settings, decoded.seed, 100 * SECOND), 100 * SECOND
+    balancer.start(now)
+    balancer.directory(now, face.CACHED, [entry for entry, _ in decoded.known.entries])
+    balancer.stage(now, *decoded.news[:3], False, face.COUNTED, *decoded.news[3:])
     for number in range(40):
         now += SECOND // 10
-        for route in found.settings.routes:
-            results = one.new_req(now, f"{route.name}/{number}", route.name, "", None, SECOND, False)
+        for route in decoded.settings.routes:
+            results = balancer.new_req(now, f"{route.name}/{number}", route.name, "", None, SECOND, False)
             assert [verb for verb, *_ in results if verb in (face.SEND, face.SHED, face.ERROR)]
             for verb, *rest in results:
                 if verb == face.SEND:
-                    one.outcome(now, rest[0], 0, rest[1], face.OK, 1, True, {})
-        assert all(len(rest[-1]) <= 256 for verb, *rest in one.timer(now, "beat") if verb == face.TELL)
+                    balancer.outcome(now, rest[0], 0, rest[1], face.OK, 1, True, {})
+        assert all(len(rest[-1]) <= 256 for verb, *rest in balancer.timer(now, "beat") if verb == face.TELL)
 
 
 @pytest.mark.parametrize(
@@ -660,9 +660,9 @@
 @pytest.mark.parametrize("name", ["q", LONG_NAME, "r\u00e4ttning", "prix/\u00e9t\u00e9", "a.b:c"])
 def test_a_routes_name_is_found_in_a_statement(name: str) -> None:
     words = build_query("read").replace("c=read", f"c={name}").encode()
-    found = wire.parse_statement(words)
-    assert (found.route, found.left_ms) == (name, 2000)
-    assert found.with_wait(7)[5:-1] == words.replace(b"2000", b"7")
+    statement = wire.parse_statement(words)
+    assert (statement.route, statement.left_ms) == (name, 2000)
+    assert statement.with_wait(7)[5:-1] == words.replace(b"2000", b"7")
 
 
 def test_a_configuration_as_large_as_any_keeps_its_messages_short() -> None:
@@ -723,8 +723,8 @@
 
 
 def test_a_relay_tells_more_complaints_than_a_field_holds() -> None:
-    """As before: what it counted of reqs, and each beat's other work, are not lost for them."""
-    one, other = (balancer(relay_index=me, relay_count=2) for me in (0, 1))
+    """The counts of reqs and the rest of a heartbeat's work are not lost because of them."""
+    one, other = (make_balancer(relay_index=me, relay_count=2) for me in (0, 1))
     now, build = 100 * SECOND, 65_535  # the highest that there is (wire, 4)
     for relay in (one, other):
         relay.directory(
@@ -745,10 +745,10 @@
 # numbers that follow a setting: what they are under the reference's settings, and at the ends
 
 
-def balancer(**changed: object) -> Balancer:
+def make_balancer(**changed: object) -> Balancer:
     kept = configuration.decode(root()).settings
     aim = changed.pop("objective", SECOND)
-    routes = tuple(one._replace(objective=aim, timeout=3 * aim) for one in kept.routes)
+    routes = tuple(route._replace(objective=aim, timeout=3 * aim) for route in kept.routes)
     return Balancer(kept._replace(routes=routes, **changed), 7, 100 * SECOND)
 
 
@@ -765,28 +765,32 @@
     ],
 )
 def test_beats_follow_ticks_objectives_and_votes(changed: dict, beat: int, idle: int, few: bool) -> None:
-    one = balancer(**changed)
-    assert (one.timer_interval // MS, one.idle_timer_interval // MS, one.small_fleet) == (beat, idle, few)
+    balancer = make_balancer(**changed)
+    assert (balancer.timer_interval // MS, balancer.idle_timer_interval // MS, balancer.small_fleet) == (
+        beat,
+        idle,
+        few,
+    )
 
 
 @pytest.mark.parametrize("objective, silent_on", [(50 * MS, 6.5), (SECOND, 6.5), (20 * SECOND, 22.25)])
 def test_a_build_goes_on_unheard_only_after_its_reqs_must_have_ended(
     objective: int, silent_on: float
 ) -> None:
-    one, now = (
-        balancer(objective=objective, relay_index=0, relay_count=1, stage_shares=(0.5, 1.0)),
+    balancer, now = (
+        make_balancer(objective=objective, relay_index=0, relay_count=1, stage_shares=(0.5, 1.0)),
         100 * SECOND,
     )
     listed = [
         face.Listed(name, "a", 0, build, face.READY, 1.0, since)
         for name, build, since in ((1, 5, face.START_UNKNOWN_US), (2, 5, face.START_UNKNOWN_US), (3, 6, now))
     ]
-    one.directory(now, face.FULL_LIST, listed)
-    one.stage(now, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.1, 0)
+    balancer.directory(now, face.FULL_LIST, listed)
+    balancer.stage(now, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.1, 0)
     votes = []
     while not votes and now < 200 * SECOND:
         now += 10 * MS
-        votes = [result for result in one.timer(now, "beat") if result[0] == face.VOTE]
+        votes = [result for result in balancer.timer(now, "beat") if result[0] == face.VOTE]
     assert votes == [(face.VOTE, 6, 0, face.VOTE_ADVANCE)]
     assert silent_on <= (now - 100 * SECOND) / SECOND <= silent_on + 1.1
 
@@ -798,10 +802,10 @@
 def test_a_build_is_calm_unheard_however_many_routes_share_its_prior(
     control: str, verdict: int | None, complaint_share: float
 ) -> None:
-    """Where nobody complains, a failing build's prior is the bound itself: rounding must not settle it."""
+    """Without complaints, the prior of a failing build is the bound itself: rounding must not decide."""
     for many in range(1, 21):
-        one, now = (
-            balancer(
+        balancer, now = (
+            make_balancer(
                 relay_index=0,
                 relay_count=1,
                 release_control=control,
@@ -811,17 +815,17 @@
             ),
             100 * SECOND,
         )
-        routes = tuple(one.settings.routes[0]._replace(name=f"r{place}") for place in range(many))
-        one = Balancer(one.settings._replace(routes=routes), 7, now)
-        one.directory(now, face.FULL_LIST, fleet(u1=5, u2=5, u3=6, u4=6))
-        one.stage(now, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.1, 0)
+        routes = tuple(balancer.settings.routes[0]._replace(name=f"r{place}") for place in range(many))
+        balancer = Balancer(balancer.settings._replace(routes=routes), 7, now)
+        balancer.directory(now, face.FULL_LIST, fleet(u1=5, u2=5, u3=6, u4=6))
+        balancer.stage(now, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.1, 0)
         votes = [
             found
             for step in range(1, 100)
-            for found in one.timer(now + step * 100 * MS, "beat")
+            for found in balancer.timer(now + step * 100 * MS, "beat")
             if found[0] == face.VOTE
         ]
-        assert [found[3] for found in votes][:1] == ([] if verdict is None else [verdict]), many
+        assert [vote[3] for vote in votes][:1] == ([] if verdict is None else [verdict]), many
 
 
 @pytest.mark.parametrize(
@@ -831,8 +835,8 @@
 def test_a_machines_fellows_are_as_old_by_the_warm_up_time(
     warm_after: float, beside: float, blamed: bool
 ) -> None:
-    one, now = balancer(warm_up_time=int(warm_after * SECOND)), 100 * SECOND
-    one.directory(
+    balancer, now = make_balancer(warm_up_time=int(warm_after * SECOND)), 100 * SECOND
+    balancer.directory(
         now,
         face.FULL_LIST,
         [
@@ -840,30 +844,37 @@
             face.Listed(2, "a", 0, 6, face.READY, 1.0, now - 50 * SECOND + int(beside * SECOND)),
         ],
     )
-    one.state.units[2].recent_outcomes = 40.0
-    assert one._is_machine_fault(now, one.state.units[1]) is blamed
+    balancer.state.units[2].recent_outcomes = 40.0
+    assert balancer._is_machine_fault(now, balancer.state.units[1]) is blamed
 
 
 def test_a_lower_cap_told_again_binds_no_later() -> None:
-    """News repeats itself: as the answer to a vote, and each time that the platform tells it."""
-    one, now = balancer(cap_free_tries=0.0, cap_window=60 * SECOND, drain_grace=2 * SECOND), 100 * SECOND
-    one.directory(now, face.FULL_LIST, [face.Listed(1, "a", 0, 6, face.READY, 1.0, face.START_UNKNOWN_US)])
-    one.stage(now, 6, 1, face.ON_TRIAL, False, face.COUNTED, 1.0, 0)
+    """News repeats itself: as the answer to a vote, and each time that the platform sends it."""
+    balancer, now = (
+        make_balancer(cap_free_tries=0.0, cap_window=60 * SECOND, drain_grace=2 * SECOND),
+        100 * SECOND,
+    )
+    balancer.directory(
+        now, face.FULL_LIST, [face.Listed(1, "a", 0, 6, face.READY, 1.0, face.START_UNKNOWN_US)]
+    )
+    balancer.stage(now, 6, 1, face.ON_TRIAL, False, face.COUNTED, 1.0, 0)
     sent = []
     for step in range(40):
         now += SECOND // 10
-        one.stage(now, 6, 1, face.ROLLING_BACK, False, face.COUNTED, 0.1, 0)
-        sent.append(one.new_req(now, f"q{step}", "read", "", None, SECOND, False)[-1][0] == face.SEND)
+        balancer.stage(now, 6, 1, face.ROLLING_BACK, False, face.COUNTED, 0.1, 0)
+        sent.append(balancer.new_req(now, f"q{step}", "read", "", None, SECOND, False)[-1][0] == face.SEND)
         if sent[-1]:
-            one.outcome(now, f"q{step}", 0, 1, face.OK, MS, True, {})
+            balancer.outcome(now, f"q{step}", 0, 1, face.OK, MS, True, {})
     assert all(sent[:20]) and sum(sent[20:]) <= 4, "told 0.1 of 40 reqs, two seconds ago and since"
 
 
 Asking = tuple[int, str, int | None, int]  # when, which route, its key, how long the client waits
 
 
-def played(one: Balancer, asked: Iterable[Asking], answers: Callable[[int], tuple[str, int]]) -> list[tuple]:
-    """What a relay does with reqs whose tries end as their units answer: when, the verb, and the rest."""
+def played(
+    balancer: Balancer, asked: Iterable[Asking], answers: Callable[[int], tuple[str, int]]
+) -> list[tuple]:
+    """Returns what a relay does with reqs whose tries end as their units answer: time, action, the rest."""
     heap, found, tries = [], [], Counter()
 
     def heed(now: int, results: list[tuple]) -> None:
@@ -879,15 +890,15 @@
     for step, (at, route, key, left) in enumerate(asked):
         while heap and heap[0][0] <= at:
             now, *ended = heapq.heappop(heap)
-            heed(now, one.outcome(now, *ended, ended[3] == face.OK, {}))
-        if at >= one.next_wake_at:
-            heed(at, one.timer(at, "beat"))
-        heed(at, one.new_req(at, f"{step}/{route}/{key}", route, "", key, left, False))
+            heed(now, balancer.outcome(now, *ended, ended[3] == face.OK, {}))
+        if at >= balancer.next_wake_at:
+            heed(at, balancer.timer(at, "beat"))
+        heed(at, balancer.new_req(at, f"{step}/{route}/{key}", route, "", key, left, False))
     return found
 
 
 def fleet(**builds: int) -> list[face.Listed]:
-    """Units that have run for long, by the names u1, u2 ... with their builds."""
+    """Returns units that have run for long, named u1, u2 and so on, with their builds."""
     return [
         face.Listed(int(name[1:]), "a", 0, build, face.READY, 1.0, face.START_UNKNOWN_US)
         for name, build in builds.items()
@@ -896,63 +907,63 @@
 
 @pytest.mark.parametrize("allowed", [True, False])
 def test_a_silent_units_reqs_are_called_off_only_where_that_is_allowed(allowed: bool) -> None:
-    one = balancer(may_cancel=allowed)
-    one.directory(100 * SECOND, face.FULL_LIST, fleet(u1=5, u2=5, u3=5, u4=5))
-    found = played(
-        one,
+    balancer = make_balancer(may_cancel=allowed)
+    balancer.directory(100 * SECOND, face.FULL_LIST, fleet(u1=5, u2=5, u3=5, u4=5))
+    results = played(
+        balancer,
         [(100 * SECOND + step * 20 * MS, "read", None, 3 * SECOND) for step in range(200)],
         lambda unit: (face.OK, (20 if unit > 1 else 60_000) * MS),
     )
-    assert any(verb == face.CANCEL for _, verb, *_ in found) is allowed
-    assert one.state.units[1].ejected_until > 0
+    assert any(verb == face.CANCEL for _, verb, *_ in results) is allowed
+    assert balancer.state.units[1].ejected_until > 0
 
 
 @pytest.mark.parametrize("longer", [1.2, 3.0])
 def test_a_silent_unit_is_set_aside_whatever_part_of_the_objective_clients_wait(longer: float) -> None:
-    """They wait for a third of the route's time; at ten reqs a second tries at a unit are alone."""
-    one, left = balancer(relay_count=50), int(0.34 * longer * SECOND)
-    one = Balancer(
-        one.settings._replace(
-            routes=tuple(route._replace(timeout=int(longer * SECOND)) for route in one.settings.routes)
+    """Clients wait for a third of the route's time; at ten reqs a second, tries at a unit do not overlap."""
+    balancer, left = make_balancer(relay_count=50), int(0.34 * longer * SECOND)
+    balancer = Balancer(
+        balancer.settings._replace(
+            routes=tuple(route._replace(timeout=int(longer * SECOND)) for route in balancer.settings.routes)
         ),
         7,
         0,
     )
-    one.directory(0, face.FULL_LIST, fleet(u1=5, u2=5, u3=5, u4=5, u5=5))
-    found = played(
-        one,
+    balancer.directory(0, face.FULL_LIST, fleet(u1=5, u2=5, u3=5, u4=5, u5=5))
+    results = played(
+        balancer,
         [(step * 100 * MS, "read", None, left) for step in range(400)],
         lambda unit: (face.OK, (30 if unit > 1 else 60_000) * MS),
     )
-    assert sum(verb == face.SEND and rest[1] == 1 for _, verb, *rest in found) <= 12
+    assert sum(verb == face.SEND and rest[1] == 1 for _, verb, *rest in results) <= 12
 
 
 @pytest.mark.parametrize("worth", [0.0, 0.001, 0.1, 5.0])
 @pytest.mark.parametrize("beside", [0.0, 5.0])
 def test_what_earns_little_is_served_while_there_is_room(worth: float, beside: float) -> None:
-    """A hundred reqs a second, each answered in a tenth of its objective; at first some find no room."""
-    one = balancer()
-    routes = tuple(route._replace(worth=beside) for route in one.settings.routes[1:])
-    one = Balancer(
-        one.settings._replace(routes=(one.settings.routes[0]._replace(worth=worth), *routes)), 7, 0
+    """A hundred reqs a second, each answered in a tenth of its objective; at first some are shed."""
+    balancer = make_balancer()
+    routes = tuple(route._replace(worth=beside) for route in balancer.settings.routes[1:])
+    balancer = Balancer(
+        balancer.settings._replace(routes=(balancer.settings.routes[0]._replace(worth=worth), *routes)), 7, 0
     )
-    one.directory(0, face.FULL_LIST, fleet(**{f"u{unit}": 5 for unit in range(1, 11)}))
-    names = [route.name for route in one.settings.routes]
-    found = played(
-        one,
+    balancer.directory(0, face.FULL_LIST, fleet(**{f"u{unit}": 5 for unit in range(1, 11)}))
+    names = [route.name for route in balancer.settings.routes]
+    results = played(
+        balancer,
         [(step * 10 * MS, names[step % 3], None, 3 * SECOND) for step in range(600)],
         lambda unit: (face.OK, 100 * MS),
     )
-    sent = sum(verb == face.SEND and "read" in rest[0] for _, verb, *rest in found)
+    sent = sum(verb == face.SEND and "read" in rest[0] for _, verb, *rest in results)
     assert sent > 0.8 * 600 / 3
 
 
 @pytest.mark.parametrize("keys", [30, 100])
 def test_keys_that_stay_with_a_build_are_no_more_than_its_cap_bears(keys: int) -> None:
-    """One machine of 34 is on trial, at a cap of twice its part; each key's further reqs stay there."""
+    """One machine of 34 is on trial, at a cap of twice its part; a key's further reqs stay there."""
     refused, there = 0, 0
     for me in range(6):
-        one = balancer(
+        balancer = make_balancer(
             sticky_keys=True,
             relay_count=50,
             relay_index=me,
@@ -960,30 +971,32 @@
             cap_free_tries=3.0,
             may_message_peers=False,
         )
-        one.directory(0, face.FULL_LIST, fleet(**{f"u{unit}": 5 + (unit == 34) for unit in range(1, 35)}))
-        one.stage(0, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.06, 0)
+        balancer.directory(
+            0, face.FULL_LIST, fleet(**{f"u{unit}": 5 + (unit == 34) for unit in range(1, 35)})
+        )
+        balancer.stage(0, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.06, 0)
         c = Draw(me)
-        found = played(
-            one,
+        results = played(
+            balancer,
             [(step * 10 * MS, "read", int(keys ** c.fraction()), 3 * SECOND) for step in range(1000)],
             lambda unit: (face.OK, 20 * MS),
         )
-        refused += sum(verb == face.SHED for _, verb, *_ in found)
-        there += sum(verb == face.SEND and rest[1] == 34 for _, verb, *rest in found)
+        refused += sum(verb == face.SHED for _, verb, *_ in results)
+        there += sum(verb == face.SEND and rest[1] == 34 for _, verb, *rest in results)
     assert refused <= 0.08 * 6000 and there >= 0.01 * 6000
 
 
 def test_keys_served_by_a_released_build_stay_with_it_too() -> None:
     """The earlier machines are listed for a while after the release."""
-    one, at = balancer(sticky_keys=True), {}
-    one.directory(0, face.FULL_LIST, fleet(u1=5, u2=5, u3=6))
-    one.stage(0, 6, 1, face.RELEASED, False, face.COUNTED, 1.0, 0)
-    found = played(
-        one,
+    balancer, at = make_balancer(sticky_keys=True), {}
+    balancer.directory(0, face.FULL_LIST, fleet(u1=5, u2=5, u3=6))
+    balancer.stage(0, 6, 1, face.RELEASED, False, face.COUNTED, 1.0, 0)
+    results = played(
+        balancer,
         [(step * 50 * MS, "read", step % 10, 3 * SECOND) for step in range(200)],
         lambda unit: (face.OK, 20 * MS),
     )
-    for _, verb, *rest in found:
+    for _, verb, *rest in results:
         if verb == face.SEND:
             key = rest[0].rpartition("/")[-1]
             assert rest[1] == 3 or at.get(key) != 3
@@ -999,59 +1012,65 @@
 ) -> None:
     voted = Counter()
     for me in range(9):
-        one = balancer(
+        balancer = make_balancer(
             relay_count=9,
             relay_index=me,
             votes_to_advance=votes_to_advance,
             votes_to_roll_back=votes_to_roll_back,
             stage_caps=(1.0, 1.0),
         )
-        one.directory(0, face.FULL_LIST, fleet(u1=5, u2=5, u3=6, u4=6))
-        one.stage(0, 6, 0, face.ON_TRIAL, False, face.COUNTED, 1.0, 0)
-        found = played(
-            one,
+        balancer.directory(0, face.FULL_LIST, fleet(u1=5, u2=5, u3=6, u4=6))
+        balancer.stage(0, 6, 0, face.ON_TRIAL, False, face.COUNTED, 1.0, 0)
+        results = played(
+            balancer,
             [(step * 20 * MS, "read", None, 3 * SECOND) for step in range(250)],
             lambda unit: (face.FAILED if bad and unit > 2 else face.OK, 20 * MS),
         )
-        voted.update({rest[-1] for _, verb, *rest in found if verb == face.VOTE})
+        voted.update({rest[-1] for _, verb, *rest in results if verb == face.VOTE})
     need = max(votes_to_advance, votes_to_roll_back)
     assert voted[face.VOTE_ROLL_BACK if bad else face.VOTE_ADVANCE] == (3 if need == 1 else 9)
 
 
 @pytest.mark.parametrize("warm_after", [0.5, 4.5, 20, 30])
 def test_a_build_that_fails_goes_back_however_long_machines_warm(warm_after: float) -> None:
-    one = balancer(warm_up_time=int(warm_after * SECOND), stage_caps=(1.0, 1.0), relay_count=1, relay_index=0)
+    balancer = make_balancer(
+        warm_up_time=int(warm_after * SECOND), stage_caps=(1.0, 1.0), relay_count=1, relay_index=0
+    )
     young = [unit._replace(started_at=0) if unit.unit > 2 else unit for unit in fleet(u1=5, u2=5, u3=6, u4=6)]
-    one.directory(0, face.FULL_LIST, young)
-    one.stage(0, 6, 0, face.ON_TRIAL, False, face.COUNTED, 1.0, 0)
-    found = played(
-        one,
+    balancer.directory(0, face.FULL_LIST, young)
+    balancer.stage(0, 6, 0, face.ON_TRIAL, False, face.COUNTED, 1.0, 0)
+    results = played(
+        balancer,
         [(step * 20 * MS, "read", None, 3 * SECOND) for step in range(1000)],
         lambda unit: (face.FAILED if unit > 2 else face.OK, 20 * MS),
     )
-    assert next(rest[-1] for _, verb, *rest in found if verb == face.VOTE) == face.VOTE_ROLL_BACK
+    assert next(rest[-1] for _, verb, *rest in results if verb == face.VOTE) == face.VOTE_ROLL_BACK
 
 
 def test_limits_follow_the_settings() -> None:
-    found = limits(SettingsTree(root()))
-    assert (found.write_timeout, found.max_idle, found.connect_timeout) == (5 * SECOND, 29 * SECOND, 250 * MS)
+    limit_values = limits(SettingsTree(root()))
+    assert (limit_values.write_timeout, limit_values.max_idle, limit_values.connect_timeout) == (
+        5 * SECOND,
+        29 * SECOND,
+        250 * MS,
+    )
     slow = [(f"settings.classes.{place}.deadline", 20_000.0) for place in range(3)]
-    found = limits(SettingsTree(root(*slow, ("settings.limits.conn_idle", 1000.0))))
-    assert found.write_timeout > 20 * SECOND and found.max_idle == 900 * MS
+    limit_values = limits(SettingsTree(root(*slow, ("settings.limits.conn_idle", 1000.0))))
+    assert limit_values.write_timeout > 20 * SECOND and limit_values.max_idle == 900 * MS
 
 
 # and a process of each kind that answers
 
 
 def settings_of(change: dict) -> dict:
-    found = copy.deepcopy(PLATFORM_SETTINGS)
+    settings_copy = copy.deepcopy(PLATFORM_SETTINGS)
     for path, value in change.items():
-        branch = found
+        branch = settings_copy
         *steps, last = path.split(".")
         for step in steps:
             branch = branch[int(step) if step.isdecimal() else step]
         branch[last] = value
-    return found
+    return settings_copy
 
 
 @pytest.fixture
@@ -1176,7 +1195,7 @@
 def test_a_client_that_reads_late_is_waited_for_as_long_as_its_time_lasts(
     customer: Callable[..., "Served"],
 ) -> None:
-    """What it has asked is taken: closing before its time is over would lose it."""
+    """Its req has been taken: closing the connection before its deadline would lose the answer."""
     served = customer(timed(8000.0, 12_000.0), modes="larger")
     client, asked = served.client(), 30
     for _ in range(asked):
