--- a/tests/test_crossing_signals.py
+++ b/tests/test_race_signals.py
@@ -1,4 +1,4 @@
-"""Signals at any moment of a relay's life: before it can hear them, twice, over a file that is not whole."""
+"""Signals at any moment of a relay's life: before it has handlers, twice, or while a file is incomplete."""
 
 import contextlib
 import json
@@ -32,7 +32,7 @@
 
 
 class Started:
-    """A further relay's process among the stand-ins of another, from its first moment on."""
+    """One more relay's process among the stand-ins of another, from its first moment on."""
 
     def __init__(self, shared: Served, where: Path, ignored: tuple = (), **changed: object) -> None:
         self.path, self.log, self.port = where / "config.json", where / "log", reserve_port()
@@ -58,7 +58,7 @@
         return self.process
 
     def hold(self) -> int:
-        """Starts it, and holds it where it reads its configuration, until something is written there."""
+        """Starts the relay, and holds it where it reads its configuration until something is written."""
         os.mkfifo(self.path)
         self.start()
 
@@ -69,7 +69,9 @@
         return wait_until(writer)
 
     def go_on(self, writer: int) -> None:
-        """The configuration as it was at the start, for who is held; the path may lead to another by now."""
+        """Lets a held relay read the configuration as it was at the start; the path may lead elsewhere by
+        now.
+        """
         os.write(writer, json.dumps(self.config).encode())
         os.close(writer)
 
@@ -84,14 +86,14 @@
         assert self.process.poll() is None, self.log.read_text()
 
     def caught(self, number: int) -> bool:
-        """Whether a handler of the program's own stands for a signal."""
+        """Returns whether the program has a handler of its own for a signal."""
         with contextlib.suppress(OSError):
             words = Path(f"/proc/{self.process.pid}/status").read_text().split("SigCgt:")[1].split()[0]
             return bool(int(words, 16) >> number - 1 & 1)
         return False
 
     def ignores(self, number: int) -> bool:
-        """Whether a signal is ignored, as whoever started the program may have it."""
+        """Returns whether a signal is ignored, as whoever started the program may have it."""
         with contextlib.suppress(OSError):
             words = Path(f"/proc/{self.process.pid}/status").read_text().split("SigIgn:")[1].split()[0]
             return bool(int(words, 16) >> number - 1 & 1)
@@ -107,9 +109,9 @@
     with contextlib.ExitStack() as stack:
 
         def make(**kinds: object) -> Started:
-            one = Started(shared, tmp_path, **kinds)
-            stack.callback(one.close)
-            return one
+            started = Started(shared, tmp_path, **kinds)
+            stack.callback(started.close)
+            return started
 
         yield make
 
@@ -118,19 +120,19 @@
 def test_a_move_told_while_the_configuration_is_read_is_not_lost(
     further: Callable[..., Started], times: int
 ) -> None:
-    one, directory = further(), DirectoryStandIn()
-    directory.entries = {entry["id"]: entry for entry in one.config["known"]["members"]}
-    writer = one.hold()
-    later = one.path.with_name("later")
-    later.write_text(json.dumps(one.config | {"discovery": directory.address}))
-    later.replace(one.path)
+    started, directory = further(), DirectoryStandIn()
+    directory.entries = {entry["id"]: entry for entry in started.config["known"]["members"]}
+    writer = started.hold()
+    later = started.path.with_name("later")
+    later.write_text(json.dumps(started.config | {"discovery": directory.address}))
+    later.replace(started.path)
     for _ in range(times):
-        one.process.send_signal(HUP)
-    one.go_on(writer)
-    one.ready()
+        started.process.send_signal(HUP)
+    started.go_on(writer)
+    started.ready()
     wait_until(lambda: directory.calls)
-    assert one.said("configuration taken") >= 1
-    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
+    assert started.said("configuration taken") >= 1
+    assert PgClient(started.port).ask(build_query())[:2] == COMPLETED
     directory.close()
 
 
@@ -138,70 +140,74 @@
 def test_a_stop_while_the_configuration_is_read_ends_with_zero_before_it_serves(
     further: Callable[..., Started], number: int
 ) -> None:
-    one = further()
-    writer = one.hold()
-    one.process.send_signal(number)
+    started = further()
+    writer = started.hold()
+    started.process.send_signal(number)
     # One that came just before the program waits for the pipe is heard as that wait ends.
     with contextlib.suppress(BrokenPipeError):
-        one.go_on(writer)
-    assert one.process.wait(5) == 0 and one.log.read_text() == ""
+        started.go_on(writer)
+    assert started.process.wait(5) == 0 and started.log.read_text() == ""
 
 
 def test_counters_asked_for_while_the_configuration_is_read_come_once_it_serves(
     further: Callable[..., Started],
 ) -> None:
-    one = further()
-    writer = one.hold()
-    one.process.send_signal(USR1)
-    one.go_on(writer)
-    one.ready()
-    wait_until(lambda: one.said("msg=counters") == 1)
-    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
+    started = further()
+    writer = started.hold()
+    started.process.send_signal(USR1)
+    started.go_on(writer)
+    started.ready()
+    wait_until(lambda: started.said("msg=counters") == 1)
+    assert PgClient(started.port).ask(build_query())[:2] == COMPLETED
 
 
 @pytest.mark.parametrize("ignored", [(), (HUP, USR1)], ids=["", "ignored"])
 def test_signals_all_through_a_start_end_nothing(further: Callable[..., Started], ignored: tuple) -> None:
-    """From when the program has the word on; from the first moment, where whoever starts it has them ignored
-    until then, as a shell's trap does."""
+    """Signals come from when the program has handlers, or from the first moment if whoever starts it ignores
+    them until then, as a shell's trap does.
+    """
     for _ in range(5):  # a start in which this test itself got no CPU had few
-        one = further(ignored=ignored)
-        one.path.write_text(json.dumps(one.config))
-        one.start()
-        wait_until(lambda one=one: ignored or one.caught(HUP) or one.process.poll() is not None)
+        started = further(ignored=ignored)
+        started.path.write_text(json.dumps(started.config))
+        started.start()
+        wait_until(lambda one=started: ignored or one.caught(HUP) or one.process.poll() is not None)
         began, sent = time.monotonic(), 0
-        while not one.serving() and time.monotonic() < began + 5:
-            one.process.send_signal(HUP)
-            one.process.send_signal(USR1)
+        while not started.serving() and time.monotonic() < began + 5:
+            started.process.send_signal(HUP)
+            started.process.send_signal(USR1)
             sent += 1
             time.sleep(0.002)  # some hundred of them, all through the imports
-        assert one.process.poll() is None and one.caught(HUP)
+        assert started.process.poll() is None and started.caught(HUP)
         if sent > 5:
             break
     assert sent > 5
-    taken = one.said("configuration taken")
-    one.process.send_signal(HUP)
-    wait_until(lambda: one.said("configuration taken") > taken)
-    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
-    one.process.send_signal(TERM)
-    assert one.process.wait(5) == 0
+    taken = started.said("configuration taken")
+    started.process.send_signal(HUP)
+    wait_until(lambda: started.said("configuration taken") > taken)
+    assert PgClient(started.port).ask(build_query())[:2] == COMPLETED
+    started.process.send_signal(TERM)
+    assert started.process.wait(5) == 0
 
 
 def test_the_deploy_files_line_starts_a_relay_that_no_news_can_end(further: Callable[..., Started]) -> None:
-    """From the shell's first command on: the interpreter's own start would end at a SIGHUP."""
+    """From the shell's first command on: a SIGHUP would end the interpreter before it has a handler."""
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    one = further()
-    one.path.write_text(json.dumps(one.config))
+    started = further()
+    started.path.write_text(json.dumps(started.config))
     words = line.replace("exec .venv/bin/python", f"kill -HUP $$; kill -USR1 $$; exec {sys.executable}")
-    with one.log.open("wb") as told:
-        one.process = subprocess.Popen(
-            ["/bin/sh", "-c", words], cwd=ROOT, stderr=told, env=os.environ | {"EDGE_CONFIG": str(one.path)}
+    with started.log.open("wb") as told:
+        started.process = subprocess.Popen(
+            ["/bin/sh", "-c", words],
+            cwd=ROOT,
+            stderr=told,
+            env=os.environ | {"EDGE_CONFIG": str(started.path)},
         )
-    while not one.serving():
-        if one.ignores(HUP):
-            one.process.send_signal(HUP)
+    while not started.serving():
+        if started.ignores(HUP):
+            started.process.send_signal(HUP)
         time.sleep(0.002)
-    assert one.process.poll() is None
-    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
+    assert started.process.poll() is None
+    assert PgClient(started.port).ask(build_query())[:2] == COMPLETED
 
 
 @pytest.mark.parametrize(
@@ -210,49 +216,49 @@
 def test_a_file_whole_a_moment_later_needs_no_second_signal(
     further: Callable[..., Started], torn: str | None
 ) -> None:
-    one, directory = further(), DirectoryStandIn()
-    directory.entries = {entry["id"]: entry for entry in one.config["known"]["members"]}
-    one.path.write_text(json.dumps(one.config))
-    one.start()
-    one.ready()
-    whole = json.dumps(one.config | {"discovery": directory.address})
+    started, directory = further(), DirectoryStandIn()
+    directory.entries = {entry["id"]: entry for entry in started.config["known"]["members"]}
+    started.path.write_text(json.dumps(started.config))
+    started.start()
+    started.ready()
+    whole = json.dumps(started.config | {"discovery": directory.address})
     if torn is None:
-        one.path.unlink()
+        started.path.unlink()
     else:
-        one.path.write_text(whole[: len(whole) // 2] if torn == "half" else torn)
-    one.process.send_signal(HUP)
-    wait_until(lambda: one.said("configuration not taken"))
-    one.path.write_text(whole)
+        started.path.write_text(whole[: len(whole) // 2] if torn == "half" else torn)
+    started.process.send_signal(HUP)
+    wait_until(lambda: started.said("configuration not taken"))
+    started.path.write_text(whole)
     wait_until(lambda: directory.calls, 2)
-    assert one.said("configuration not taken") == 1 == one.said("configuration taken")
-    assert PgClient(one.port).ask(build_query())[:2] == COMPLETED
+    assert started.said("configuration not taken") == 1 == started.said("configuration taken")
+    assert PgClient(started.port).ask(build_query())[:2] == COMPLETED
     directory.close()
 
 
 def test_a_file_that_stays_wrong_is_let_be_and_a_later_signal_goes_first(
     further: Callable[..., Started],
 ) -> None:
-    one, first, second = further(), DirectoryStandIn(), DirectoryStandIn()
-    one.path.write_text(json.dumps(one.config))
-    one.start()
-    one.ready()
-    one.path.write_text("{")
-    one.process.send_signal(HUP)
-    wait_until(lambda: one.said("configuration not taken") == 1)
-    one.path.write_text(json.dumps(one.config | {"discovery": first.address}))
-    one.process.send_signal(HUP)
+    started, first, second = further(), DirectoryStandIn(), DirectoryStandIn()
+    started.path.write_text(json.dumps(started.config))
+    started.start()
+    started.ready()
+    started.path.write_text("{")
+    started.process.send_signal(HUP)
+    wait_until(lambda: started.said("configuration not taken") == 1)
+    started.path.write_text(json.dumps(started.config | {"discovery": first.address}))
+    started.process.send_signal(HUP)
     wait_until(lambda: first.calls)
     # Read after the last signal, a file is not read again until the next one.
-    one.path.write_text(json.dumps(one.config | {"discovery": second.address}))
+    started.path.write_text(json.dumps(started.config | {"discovery": second.address}))
     time.sleep(2)
-    assert not second.calls and one.said("configuration taken") == 1
-    one.path.write_text("{")
-    one.process.send_signal(HUP)
-    wait_until(lambda: one.said("configuration not taken") == 2)
+    assert not second.calls and started.said("configuration taken") == 1
+    started.path.write_text("{")
+    started.process.send_signal(HUP)
+    wait_until(lambda: started.said("configuration not taken") == 2)
     time.sleep(2)  # longer than it is read again
-    one.path.write_text(json.dumps(one.config | {"discovery": second.address}))
+    started.path.write_text(json.dumps(started.config | {"discovery": second.address}))
     time.sleep(0.5)
-    assert not second.calls and one.said("configuration not taken") == 2
+    assert not second.calls and started.said("configuration not taken") == 2
     for stand in (first, second):
         stand.close()
 
@@ -314,14 +320,14 @@
     with socket.socket() as nobody:
         nobody.bind((RELAY_HOST, 0))  # and does not listen
         at = "{}:{}".format(*nobody.getsockname())
-        one = further(discovery=at, known={"revision": 0, "complete": True, "members": []})
-        one.path.write_text(json.dumps(one.config))
-        one.start()
-        one.ready()
-        client = PgClient(one.port)
+        started = further(discovery=at, known={"revision": 0, "complete": True, "members": []})
+        started.path.write_text(json.dumps(started.config))
+        started.start()
+        started.ready()
+        client = PgClient(started.port)
         assert client.ask("")[1] == "57P03"
-        one.process.send_signal(TERM)
-        wait_until(lambda: one.said("msg=stopping"))
-        late = PgClient(one.port, pack_message(b"Q", build_query(timeout_ms=900).encode() + b"\0"))
+        started.process.send_signal(TERM)
+        wait_until(lambda: started.said("msg=stopping"))
+        late = PgClient(started.port, pack_message(b"Q", build_query(timeout_ms=900).encode() + b"\0"))
         assert late.answer()[:2] in (("EZ", "53300"), ("EZ", "58000"))
-        assert client.answer()[0] == "" and one.process.wait(3) == 0
+        assert client.answer()[0] == "" and started.process.wait(3) == 0
--- a/tests/test_crossing_stop.py
+++ b/tests/test_race_stop.py
@@ -1,4 +1,4 @@
-"""A stop: what comes as the listener and the connections close is answered, or known not to be taken."""
+"""A stop: what arrives as the listener and the connections close is answered, or known as not taken."""
 
 import contextlib
 import errno
@@ -25,7 +25,7 @@
 
 
 class Client(PgClient):
-    """One that writes when it is told to, and reads nothing before."""
+    """A client that writes when it is told to, and reads nothing before."""
 
     def __init__(self, port: int, first: bytes = STARTUP, small: bool = False) -> None:
         self.sock = socket.socket()
@@ -41,13 +41,13 @@
         self.sock.close()
 
     def last(self) -> tuple[str, str]:
-        """The letters and code of its answer, behind the welcome."""
+        """Returns the message types and the code of its answer, after the greeting."""
         letters, code, _ = self.answer()
         return self.answer()[:2] if letters[:1] == "R" else (letters, code)
 
 
 def told(served: Served) -> float:
-    """Says SIGTERM; when."""
+    """Sends SIGTERM, and returns when."""
     served.process.send_signal(signal.SIGTERM)
     began = time.monotonic()
     wait_until(lambda: "msg=stopping" in served.log.read_text())
@@ -55,7 +55,7 @@
 
 
 def refused(served: Served) -> bool:
-    """Whether the listener has closed; a connection that comes up as it closes is reset."""
+    """Returns whether the listener has closed; a connection that comes up as it closes is reset."""
     try:
         socket.create_connection((RELAY_HOST, served.port)).close()
     except (ConnectionRefusedError, ConnectionResetError):
@@ -64,7 +64,7 @@
 
 
 def over(served: Served, began: float) -> float:
-    """The seconds from SIGTERM to the end, which is one without a fault."""
+    """Returns the seconds from SIGTERM to the end, and checks that it is one without a fault."""
     assert served.process.wait(20) == 0
     ended = time.monotonic() - began
     assert "Traceback" not in served.log.read_text()
@@ -156,30 +156,30 @@
     wait_until(lambda: refused(served))
     for one, cut, word in zip(clients, cuts, words, strict=True):
         one.sock.sendall(word[cut:])
-    assert [one.answer()[:2] for one in clients] == [COMPLETED] * 4
-    assert [one.answer()[0] for one in clients] == [""] * 4
+    assert [client.answer()[:2] for client in clients] == [COMPLETED] * 4
+    assert [client.answer()[0] for client in clients] == [""] * 4
     assert over(served, began) < STOPPED
 
 
 def test_reqs_asked_ahead_are_answered_in_their_order(serve: Callable[..., Served]) -> None:
     served = serve(modes="slow0.25")
-    one = served.client()
-    one.sock.sendall(b"".join(asked() for _ in range(6)) + asked()[:-9])
+    client = served.client()
+    client.sock.sendall(b"".join(asked() for _ in range(6)) + asked()[:-9])
     wait_until(served.queries)
     began = told(served)
-    assert [one.answer()[:2] for _ in range(7)] == [COMPLETED] * 6 + [("", "")]
+    assert [client.answer()[:2] for _ in range(7)] == [COMPLETED] * 6 + [("", "")]
     assert over(served, began) < STOPPED and len(served.queries()) == 6
 
 
 def test_a_message_that_drips_in_does_not_hold_a_stop(serve: Callable[..., Served]) -> None:
     served, words = serve(), asked()
-    one, ended = served.client(), threading.Event()
-    assert one.ask(build_query())[:2] == COMPLETED
+    client, ended = served.client(), threading.Event()
+    assert client.ask(build_query())[:2] == COMPLETED
 
     def drip() -> None:
         with contextlib.suppress(OSError):
             for place in range(len(words) - 1):
-                one.sock.sendall(words[place : place + 1])
+                client.sock.sendall(words[place : place + 1])
                 if ended.wait(0.1):
                     return
 
@@ -194,14 +194,14 @@
 
 
 def test_a_req_that_crosses_the_close_is_left_unread(serve: Callable[..., Served]) -> None:
-    """Its client learns that it was not taken, and sends it again elsewhere."""
+    """Its client learns that it was not taken, and may send it again elsewhere."""
     served = serve()
-    one = served.client()
-    assert one.ask(build_query())[:2] == COMPLETED
+    client = served.client()
+    assert client.ask(build_query())[:2] == COMPLETED
     began = told(served)
-    assert one.stream.read() == b""  # the relay has closed its side
-    one.sock.sendall(asked())
-    found = wait_until(lambda: one.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 2)
+    assert client.stream.read() == b""  # the relay has closed its side
+    client.sock.sendall(asked())
+    found = wait_until(lambda: client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 2)
     assert found in (errno.ECONNRESET, errno.EPIPE) and len(served.queries()) == 1
     assert over(served, began) < STOPPED
 
@@ -210,14 +210,14 @@
     serve: Callable[..., Served],
 ) -> None:
     served = serve()
-    one = served.client()
-    assert one.ask(build_query())[:2] == COMPLETED
+    client = served.client()
+    assert client.ask(build_query())[:2] == COMPLETED
     began = told(served)
-    assert one.stream.read() == b""
+    assert client.stream.read() == b""
     closed = time.monotonic()
-    one.sock.sendall(asked())
-    one.stream.close()
-    one.sock.close()
+    client.sock.sendall(asked())
+    client.stream.close()
+    client.sock.close()
     over(served, began)
     assert time.monotonic() - closed < 0.45  # the interpreter's own end is in it
 
@@ -236,13 +236,13 @@
 
 
 def test_a_req_that_no_unit_answers_has_its_answer_before_the_kill(serve: Callable[..., Served]) -> None:
-    """Taken as SIGTERM comes, with the longest deadline there is: SIGKILL may come 0.7 s after that."""
+    """It is taken as SIGTERM comes, with the longest deadline there is; SIGKILL may come 0.7 s later."""
     served = serve(modes="silent")
-    one, began = served.client(), time.monotonic()
-    one.sock.sendall(asked("once", 3000))
+    client, began = served.client(), time.monotonic()
+    client.sock.sendall(asked("once", 3000))
     wait_until(served.queries)
     stopped = told(served)
-    assert one.answer()[:2] == ERRORED and time.monotonic() - began < 3.05
+    assert client.answer()[:2] == ERRORED and time.monotonic() - began < 3.05
     assert over(served, stopped) < 3.7
 
 
@@ -268,7 +268,7 @@
 
 
 def test_one_that_connects_late_in_a_stop_is_answered(serve: Callable[..., Served]) -> None:
-    """Nobody else comes, and the page lets connections come for 0.4 s."""
+    """Nobody else connects, and connections may come for 0.4 s."""
     served = serve()
     began = told(served)
     while time.monotonic() < began + 0.36:
@@ -278,14 +278,14 @@
 
 
 def test_what_is_asked_too_late_to_be_answered_before_the_kill_is_shed(serve: Callable[..., Served]) -> None:
-    """What comes over 0.7 s after SIGTERM, and SIGKILL finds unanswered, is lost."""
+    """What comes over 0.7 s after SIGTERM, and has no answer when SIGKILL comes, is lost."""
     served = serve(modes="slow1.2")
-    one = served.client()
-    one.sock.sendall(asked())
+    client = served.client()
+    client.sock.sendall(asked())
     wait_until(served.queries)
     began = told(served)
     while time.monotonic() < began + 0.8:
         time.sleep(0.01)
-    one.sock.sendall(asked(wait=3000))
-    assert [one.answer()[:2] for _ in range(2)] == [COMPLETED, SHED]
+    client.sock.sendall(asked(wait=3000))
+    assert [client.answer()[:2] for _ in range(2)] == [COMPLETED, SHED]
     assert over(served, began) < STOPPED and len(served.queries()) == 1
--- a/tests/test_crossing_tries.py
+++ b/tests/test_race_tries.py
@@ -1,4 +1,4 @@
-"""What comes between a try's decision and its bytes: its connection comes up late, its last byte waits."""
+"""Events between the decision on a try and its bytes: late connections, a last byte that waits."""
 
 import contextlib
 import copy
@@ -11,6 +11,7 @@
 
 import conftest
 import pytest
+from conftest import BalancerDriver
 
 from laurelcourse import interface as face
 from laurelcourse.fronts.postgres.exchange import Exchange
@@ -32,7 +33,7 @@
 
 
 class HeldUnit(UnitStandIn):
-    """Connections come up at once, but nobody is greeted until the test says so."""
+    """A unit whose connections come up at once, but are greeted only when the test releases them."""
 
     def __init__(self) -> None:
         self.go = threading.Event()
@@ -45,7 +46,7 @@
 
 
 class Crossing:
-    """A relay among units of which the first greets late."""
+    """A relay among units of which the first one greets late."""
 
     def __init__(self, served: conftest.Served) -> None:
         self.served, self.late, self.client = served, served.units[0], served.client()
@@ -53,13 +54,15 @@
         self.others = served.units[1:]
 
     def send(self, words: str, client: PgClient | None = None) -> None:
-        """A req whose try is decided on, and waits for its connection to the late unit."""
+        """Sends a req whose try waits for its connection to the late unit."""
         before = len(self.late.conns)
         (client or self.client).send(words)
         wait_until(lambda: len(self.late.conns) > before)
 
     def list(self, change: Callable[[dict], None], *others: UnitStandIn) -> None:
-        """A list in which the late unit is changed, and which names others; it was heard on return."""
+        """Sends a list in which the late unit is changed and which names others, and waits until it is
+        applied.
+        """
         directory = self.served.directory
         calls, entries = directory.calls, copy.deepcopy(directory.entries)
         for place, other in enumerate(others):
@@ -79,7 +82,7 @@
 
 @pytest.fixture
 def cross(serve: Callable[..., conftest.Served], monkeypatch: pytest.MonkeyPatch) -> Callable[..., Crossing]:
-    """`changed`: settings by path. The late unit alone is listed at first; a connection may take 3 s."""
+    """`changed` has settings by path. Only the late unit is listed at first; a connection may take 3 s."""
 
     def start(units: int = 2, changed: dict[str, object] | None = None, **kinds: object) -> Crossing:
         settings = copy.deepcopy(PLATFORM_SETTINGS)
@@ -92,7 +95,7 @@
                 branch = branch[int(step) if step.isdigit() else step]
             branch[last] = value
         monkeypatch.setattr(conftest, "PLATFORM_SETTINGS", settings)
-        monkeypatch.setattr(conftest, "UnitStand", HeldUnit)
+        monkeypatch.setattr(conftest, "UnitStandIn", HeldUnit)
         put = conftest.DirectoryStand.put
         monkeypatch.setattr(
             conftest.DirectoryStand,
@@ -123,16 +126,16 @@
 def test_a_unit_that_is_another_by_the_first_byte_gets_nothing(
     cross: Callable[..., Crossing], changed: Callable[[dict], None]
 ) -> None:
-    """One try is all that the settings allow, and the req may not be repeated: it goes elsewhere unhurt."""
-    one = cross(changed={"obligations.stop_sending_within": 50.0, "domain.shielded": 1})
-    one.send(build_query("once"))
-    one.list(changed, *one.others)
-    told = time.monotonic()
+    """The settings allow one try, and the req may not be repeated: it goes elsewhere without harm."""
+    crossing = cross(changed={"obligations.stop_sending_within": 50.0, "domain.shielded": 1})
+    crossing.send(build_query("once"))
+    crossing.list(changed, *crossing.others)
+    start = time.monotonic()
     time.sleep(0.1)  # the grace
-    one.late.go.set()
-    assert one.client.answer()[:2] == COMPLETED and time.monotonic() - told < 1.5
-    assert (len(one.late.queries), len(one.others[0].queries)) == (0, 1)
-    assert one.served.count("tries.unsent") == 1 and one.served.count("module_faults") == 0
+    crossing.late.go.set()
+    assert crossing.client.answer()[:2] == COMPLETED and time.monotonic() - start < 1.5
+    assert (len(crossing.late.queries), len(crossing.others[0].queries)) == (0, 1)
+    assert crossing.served.count("tries.unsent") == 1 and crossing.served.count("module_faults") == 0
 
 
 @pytest.mark.parametrize(
@@ -147,7 +150,7 @@
 def test_a_build_that_loses_its_cap_by_the_first_byte_gets_nothing(
     cross: Callable[..., Crossing], words: str, free: float, shielded: int, ends: int
 ) -> None:
-    one = cross(
+    crossing = cross(
         changed={
             "domain.free": free,
             "domain.shielded": shielded,
@@ -157,18 +160,18 @@
         builds=(2,) * 2,
         news="build=2&stage=1&phase=Progressing&cap=1&age_ms=9000",
     )
-    one.send(build_query("once"))
-    one.list(lambda entries: entries["s-1"].update(revision_no=1), *one.others)
-    one.news(words)
+    crossing.send(build_query("once"))
+    crossing.list(lambda entries: entries["s-1"].update(revision_no=1), *crossing.others)
+    crossing.news(words)
     time.sleep(0.1)  # a lower cap binds after the grace
-    one.late.go.set()
-    assert one.client.answer()[:2] == COMPLETED
-    assert (len(one.late.queries), len(one.others[0].queries)) == (ends, 1 - ends)
+    crossing.late.go.set()
+    assert crossing.client.answer()[:2] == COMPLETED
+    assert (len(crossing.late.queries), len(crossing.others[0].queries)) == (ends, 1 - ends)
 
 
 def test_late_connections_do_not_bunch_tries_at_a_build_on_trial(cross: Callable[..., Crossing]) -> None:
-    """Three at first, three when those count no more, and all connections come up together."""
-    one = cross(
+    """Three tries at first, three more when those count no more, and all connections come up together."""
+    crossing = cross(
         1,
         {
             "domain.free": 3.0,
@@ -179,47 +182,49 @@
         builds=(2,),
         news="build=2&stage=0&phase=Progressing&cap=0.001&age_ms=9000",
     )
-    clients = [one.served.client() for _ in range(6)]
+    clients = [crossing.served.client() for _ in range(6)]
     for client in clients[:3]:
-        one.send(build_query(), client)
+        crossing.send(build_query(), client)
     time.sleep(0.6)
     for client in clients[3:]:
-        one.send(build_query(), client)
-    one.late.go.set()
+        crossing.send(build_query(), client)
+    crossing.late.go.set()
     ends = [client.answer()[:2] for client in clients]
-    assert len(one.late.queries) == 3 and ends.count(COMPLETED) == ends.count(SHED) == 3
+    assert len(crossing.late.queries) == 3 and ends.count(COMPLETED) == ends.count(SHED) == 3
 
 
 @pytest.mark.parametrize("memory, queries, end", [(9.0, 1, COMPLETED), (1.6, 0, SHED)])
 def test_a_repeat_is_not_written_once_the_first_is_forgotten(
     cross: Callable[..., Crossing], memory: float, queries: int, end: tuple
 ) -> None:
-    one = cross(changed={"limits.max_attempts": 2, "classes.1.memory_span": memory * 1000})
-    first, late = one.others[0], one.late
-    one.list(change(phase="leaving"), first)
+    crossing = cross(changed={"limits.max_attempts": 2, "classes.1.memory_span": memory * 1000})
+    first, late = crossing.others[0], crossing.late
+    crossing.list(change(phase="leaving"), first)
     first.mode = "slow0.8"
-    one.client.send(build_query("mark", 2900))
+    crossing.client.send(build_query("mark", 2900))
     wait_until(lambda: first.queries)
-    one.list(change(phase="active"))
+    crossing.list(change(phase="active"))
     first.mode = "failed"
     wait_until(lambda: late.conns)
     if not queries:
         time.sleep(max(first.times[0] + memory + 0.02 - time.monotonic(), 0.0))
     late.go.set()
-    assert one.client.answer()[:2] == end and len(late.queries) == queries
+    assert crossing.client.answer()[:2] == end and len(late.queries) == queries
 
 
 def test_nothing_is_written_for_a_client_that_has_left(cross: Callable[..., Crossing]) -> None:
-    one = cross(1)
-    one.send(build_query("once"))
-    one.client.sock.close()
-    one.client.stream.close()
+    crossing = cross(1)
+    crossing.send(build_query("once"))
+    crossing.client.sock.close()
+    crossing.client.stream.close()
     time.sleep(0.3)
-    one.late.go.set()
-    wait_until(lambda: one.served.count("reqs.once.withdrawn"))
-    assert one.late.queries == [] and one.served.count("tries.unsent") == 1
+    crossing.late.go.set()
+    wait_until(lambda: crossing.served.count("reqs.once.withdrawn"))
+    assert crossing.late.queries == [] and crossing.served.count("tries.unsent") == 1
     time.sleep(0.06)  # its connection has rested
-    assert one.served.client().ask(build_query("once"))[:2] == COMPLETED and len(one.late.conns) == 1
+    assert (
+        crossing.served.client().ask(build_query("once"))[:2] == COMPLETED and len(crossing.late.conns) == 1
+    )
 
 
 @pytest.fixture
@@ -228,15 +233,15 @@
 
 
 class Pooled:
-    """Tries at one unit, in this process: at which crossing which guard answers what is up to the test."""
+    """Tries at one unit, in this process; the test chooses what the guard answers at each point."""
 
     def __init__(self, scheduler: Scheduler, unit: UnitStandIn, guard: Callable[[str, int], bool]) -> None:
-        found = limits(
+        limit_values = limits(
             SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS})
         )
         self.scheduler, self.unit, self.counters = scheduler, unit, Counters()
-        exchange = Exchange(scheduler, found, True, self.counters)
-        self.pool = Pool(scheduler, found, exchange.greet, self.counters)
+        exchange = Exchange(scheduler, limit_values, True, self.counters)
+        self.pool = Pool(scheduler, limit_values, exchange.greet, self.counters)
         self.tries = TryRunner(scheduler, self.pool, exchange, self.counters, guard)
         self.box, self.listed = (
             Mailbox(scheduler),
@@ -265,27 +270,27 @@
 def test_a_last_byte_that_waited_is_looked_at_once_more(
     scheduler: Scheduler, answers: list[bool], cancelled: bool, status: str, queries: int
 ) -> None:
-    """The looks before it: as its connection is begun, and before its first byte."""
+    """The guard was asked before: as the connection was begun, and before the first byte."""
     asked, found = iter(answers), []
-    one = Pooled(scheduler, UnitStandIn(), lambda req, number: next(asked))
-    one.pool.idle_limit.is_wary = True
-    one.pool.limits = one.tries.limits = one.tries.limits._replace(last_byte_delay=100_000)
+    pooled = Pooled(scheduler, UnitStandIn(), lambda req, number: next(asked))
+    pooled.pool.idle_limit.is_wary = True
+    pooled.pool.limits = pooled.tries.limits = pooled.tries.limits._replace(last_byte_delay=100_000)
 
     def work() -> None:
-        one.list()
-        sent = one.tries.begin(0, 7, SECOND, REQ, one.box)
+        pooled.list()
+        sent = pooled.tries.begin(0, 7, SECOND, REQ, pooled.box)
         if cancelled:
             scheduler.after(50_000, sent.cancel)
-        found.append(one.box.get())
+        found.append(pooled.box.get())
         scheduler.sleep(10_000)
 
-    one.run(work)
-    assert found[0][:4] == (OUTCOME, 0, 7, status) and len(one.unit.queries) == queries
+    pooled.run(work)
+    assert found[0][:4] == (OUTCOME, 0, 7, status) and len(pooled.unit.queries) == queries
     assert cancelled or list(asked) == []
 
 
 class SlowReader(UnitStandIn):
-    """Reads nothing after its greeting until the test says so; then it counts."""
+    """A unit that reads nothing after its greeting until the test releases it, and then counts."""
 
     def __init__(self) -> None:
         self.go, self.read, self.over = threading.Event(), 0, threading.Event()
@@ -302,41 +307,43 @@
 
 
 def test_the_rest_of_a_query_that_was_taken_in_part_is_looked_at(scheduler: Scheduler) -> None:
-    """As the unit takes more, another req could have ended this one."""
+    """Another req could have ended this one by the time the unit takes more."""
     unit, large, found, may = SlowReader(), bytes(32 << 20), [], [True]
-    one = Pooled(scheduler, unit, lambda req, number: may[0])
+    pooled = Pooled(scheduler, unit, lambda req, number: may[0])
 
     def work() -> None:
-        one.list()
-        one.tries.begin(0, 7, 5 * SECOND, SimpleNamespace(req="r", with_wait=lambda left: large), one.box)
+        pooled.list()
+        pooled.tries.begin(
+            0, 7, 5 * SECOND, SimpleNamespace(req="r", with_wait=lambda left: large), pooled.box
+        )
         scheduler.sleep(200_000)
         may[0] = False
         unit.go.set()
-        found.append(one.box.get()[3])
+        found.append(pooled.box.get()[3])
 
-    one.run(work)
+    pooled.run(work)
     assert found == [face.UNSENT] and unit.over.wait(5) and unit.read < len(large)
 
 
 def test_no_probe_goes_to_a_unit_that_is_gone(scheduler: Scheduler) -> None:
     unit, found = HeldUnit(), []
     unit.go.clear()
-    one = Pooled(scheduler, unit, lambda req, number: pytest.fail("a probe has no req"))
+    pooled = Pooled(scheduler, unit, lambda req, number: pytest.fail("a probe has no req"))
 
     def work() -> None:
-        one.list()
-        one.tries.probe(7, one.box)
+        pooled.list()
+        pooled.tries.probe(7, pooled.box)
         scheduler.sleep(50_000)
-        one.list(health=face.GONE)
+        pooled.list(health=face.GONE)
         unit.go.set()
-        found.append(one.box.get()[:2])
+        found.append(pooled.box.get()[:2])
 
-    one.run(work)
-    assert found == [(7, face.UNSENT)] and unit.queries == [] and not one.pool.open_count
+    pooled.run(work)
+    assert found == [(7, face.UNSENT)] and unit.queries == [] and not pooled.pool.open_count
 
 
 class Full:
-    """A listener whose queue is full: a connection to it does not come up."""
+    """A listener with a full backlog: a connection to it does not come up."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server((STAND_IN_HOST, 0), backlog=0)
@@ -361,24 +368,24 @@
     stand, found = unit(), []
     if unit is HeldUnit:
         stand.go.clear()
-    one = Pooled(scheduler, stand, lambda req, number: True)
-    one.pool.limits = one.tries.limits = one.pool.limits._replace(connect_timeout=4 * SECOND)
+    pooled = Pooled(scheduler, stand, lambda req, number: True)
+    pooled.pool.limits = pooled.tries.limits = pooled.pool.limits._replace(connect_timeout=4 * SECOND)
 
     def work() -> None:
-        one.list()
+        pooled.list()
         began = scheduler.now()
-        one.tries.begin(0, 7, 5 * SECOND, REQ, one.box)
-        scheduler.after(100_000, lambda: one.list(**changed))
-        found.extend([one.box.get()[3], scheduler.now() - began < 2 * SECOND])
+        pooled.tries.begin(0, 7, 5 * SECOND, REQ, pooled.box)
+        scheduler.after(100_000, lambda: pooled.list(**changed))
+        found.extend([pooled.box.get()[3], scheduler.now() - began < 2 * SECOND])
 
-    one.run(work)
+    pooled.run(work)
     if unit is HeldUnit:
         stand.go.set()
-    assert found == [face.UNSENT, True] and one.pool.open_count == 0 and not one.pool.unit_by_connection
+    assert found == [face.UNSENT, True] and pooled.pool.open_count == 0 and not pooled.pool.unit_by_connection
 
 
 class Awaited(face.NoBudgets):
-    """No connection is left at first, and reqs wait for one."""
+    """No connection is available at first, and reqs wait for one."""
 
     room = False
 
@@ -400,21 +407,21 @@
     scheduler: Scheduler, changed: dict, may: bool
 ) -> None:
     stand, found, allowed = UnitStandIn(), [], [True]
-    one = Pooled(scheduler, stand, lambda req, number: allowed[0])
-    one.pool.budgets = shares = Awaited()
+    pooled = Pooled(scheduler, stand, lambda req, number: allowed[0])
+    pooled.pool.budgets = shares = Awaited()
 
     def crossing() -> None:
-        one.list(**changed)
+        pooled.list(**changed)
         shares.room, allowed[0] = True, may
 
     def work() -> None:
-        one.list()
-        one.tries.begin(0, 7, SECOND, REQ, one.box)
+        pooled.list()
+        pooled.tries.begin(0, 7, SECOND, REQ, pooled.box)
         scheduler.after(75_000, crossing)
-        found.append(one.box.get()[3])
+        found.append(pooled.box.get()[3])
         scheduler.sleep(50_000)
 
-    one.run(work)
+    pooled.run(work)
     sent = may and not changed
     assert (found, len(stand.connections)) == ([face.OK if sent else face.UNSENT], int(sent))
 
@@ -425,18 +432,18 @@
 def test_no_connection_is_begun_to_a_unit_that_went_right_behind_the_decision(
     scheduler: Scheduler, changed: dict
 ) -> None:
-    """The list comes before the try's task runs: the guard, which the list has told, bars it."""
+    """The list comes before the try's task runs: the guard, which knows the list, refuses."""
     stand, found = UnitStandIn(), []
-    one = Pooled(scheduler, stand, lambda req, number: False)
+    pooled = Pooled(scheduler, stand, lambda req, number: False)
 
     def work() -> None:
-        one.list()
-        one.tries.begin(0, 7, SECOND, REQ, one.box)
-        one.list(**changed)
-        found.append(one.box.get()[3])
+        pooled.list()
+        pooled.tries.begin(0, 7, SECOND, REQ, pooled.box)
+        pooled.list(**changed)
+        found.append(pooled.box.get()[3])
         scheduler.sleep(50_000)
 
-    one.run(work)
+    pooled.run(work)
     assert found == [face.UNSENT] and not stand.connections
 
 
@@ -445,12 +452,12 @@
     assert not choices.may_write("unheard", 0) and choices.counters.counts["module_faults"] == 1
 
 
-def late(relay: type, **changed: object) -> tuple:
-    """A relay whose req's first try waits for its connection at unit 1, of the build on trial."""
-    one = relay(protected_stages=0, **changed)
-    one.list((1, "a", 5, 90))
-    one.news(5, stage=1, cap=1.0)
-    return one, one.req("mark", 9 * SECOND)[-1]
+def late(make_driver: Callable[..., BalancerDriver], **changed: object) -> tuple:
+    """Returns a driver whose req's first try waits for its connection at unit 1, of the build on trial."""
+    driver = make_driver(protected_stages=0, **changed)
+    driver.list((1, "a", 5, 90))
+    driver.news(5, stage=1, cap=1.0)
+    return driver, driver.req("mark", 9 * SECOND)[-1]
 
 
 @pytest.mark.parametrize(
@@ -462,47 +469,57 @@
         (lambda one: one.list((1, "a", 4, 90)), False),
         (lambda one: one.list((1, "a", 5, 0)), False),
         (lambda one: one.list((1, "a", 5, 90), (2, "a", 4, 90)), True),
-        (lambda one: one.one.withdrawn(one.now, "r1"), False),
+        (lambda one: one.balancer.withdrawn(one.now, "r1"), False),
         (lambda one: one.news(5, standing=1, cap=0.0), False),
         (lambda one: one.news(5, standing=2, cap=1.0), True),
         (lambda one: one.news(6, cap=0.1), True),
         (lambda one: one.wait(1.5), True),
     ],
 )
-def test_the_guard_looks_again_at_the_first_byte(relay: type, between: Callable, may: bool) -> None:
-    one, sent = late(relay)
-    between(one)
-    assert one.one.may_write(one.now, sent[1], 0) is may
+def test_the_guard_looks_again_at_the_first_byte(
+    make_driver: Callable[..., BalancerDriver], between: Callable, may: bool
+) -> None:
+    driver, sent = late(make_driver)
+    between(driver)
+    assert driver.balancer.may_write(driver.now, sent[1], 0) is may
 
 
 @pytest.mark.parametrize("wait, may", [(0, True), (3 * SECOND // 2, True), (2 * SECOND, False)])
-def test_a_repeats_memory_counts_from_the_first_that_may_have_run(relay: type, wait: int, may: bool) -> None:
-    one, sent = late(relay)
-    one.list((1, "a", 5, 90), (2, "a", 5, 90))
-    again = one.end(sent, 0, face.RESET, 1000)[-1]
+def test_a_repeats_memory_counts_from_the_first_that_may_have_run(
+    make_driver: Callable[..., BalancerDriver], wait: int, may: bool
+) -> None:
+    driver, sent = late(make_driver)
+    driver.list((1, "a", 5, 90), (2, "a", 5, 90))
+    again = driver.end(sent, 0, face.RESET, 1000)[-1]
     assert again[:3] == (face.SEND, "r1", 2)
-    one.now += wait
-    assert one.one.may_write(one.now, "r1", 1) is may
-
-
-def test_a_try_at_a_build_on_trial_counts_from_its_bytes(relay: type) -> None:
-    """Those decided on before a lower cap bound, or so long ago that they count no more, count when written;
-    one that may not be is not counted."""
-    one, _ = late(relay, cap_free_tries=3)
-    one.req()
-    window = one.one._trial_window(5, 0)
-    assert [one.one.may_write(one.now, name, 0) for name in ("r1", "r2")] == [True, True]
-    assert list(window.times) == [one.now] * 2
-    one.now += 2000
-    assert one.one.may_write(one.now, "r1", 0) and one.one.may_write(one.now, "r1", 0)
-    assert list(window.times) == [one.now - 2000, one.now]  # its last byte is no second try
-    one.now += one.one.settings.cap_window + 2 * one.one.settings.tick
-    one.news(5, stage=1, cap=0.0001)
-    one.now += one.one.settings.drain_grace
+    driver.now += wait
+    assert driver.balancer.may_write(driver.now, "r1", 1) is may
+
+
+def test_a_try_at_a_build_on_trial_counts_from_its_bytes(make_driver: Callable[..., BalancerDriver]) -> None:
+    """Tries decided before a lower cap applied, or too long ago to count, count when they are written.
+
+    One that may not be written is not counted.
+    """
+    driver, _ = late(make_driver, cap_free_tries=3)
+    driver.req()
+    window = driver.balancer._trial_window(5, 0)
+    assert [driver.balancer.may_write(driver.now, name, 0) for name in ("r1", "r2")] == [True, True]
+    assert list(window.times) == [driver.now] * 2
+    driver.now += 2000
+    assert driver.balancer.may_write(driver.now, "r1", 0) and driver.balancer.may_write(driver.now, "r1", 0)
+    assert list(window.times) == [driver.now - 2000, driver.now]  # its last byte is no second try
+    driver.now += driver.balancer.settings.cap_window + 2 * driver.balancer.settings.tick
+    driver.news(5, stage=1, cap=0.0001)
+    driver.now += driver.balancer.settings.drain_grace
     for _ in range(3):
-        assert one.req()[-1][0] == face.SEND
-    assert [one.one.may_write(one.now, name, 0) for name in ("r1", "r2", "r3")] == [False, False, True]
-    assert list(window.times) == [one.now] * 3
+        assert driver.req()[-1][0] == face.SEND
+    assert [driver.balancer.may_write(driver.now, name, 0) for name in ("r1", "r2", "r3")] == [
+        False,
+        False,
+        True,
+    ]
+    assert list(window.times) == [driver.now] * 3
 
 
 @pytest.mark.parametrize(
@@ -516,50 +533,58 @@
     ],
 )
 def test_what_was_not_sent_is_decided_anew_and_costs_nothing(
-    relay: type, statuses: list[str], further: int
+    make_driver: Callable[..., BalancerDriver], statuses: list[str], further: int
 ) -> None:
-    """Not one of the further tries that reqs earn, nor, once, of those that a req may have; not for ever."""
-    one, taken = relay(), []
-    one.one.heed(
-        one.now, SimpleNamespace(allows=lambda *_: None, consume=lambda *told: taken.append(told[1:]))
+    """It costs none of the retries that reqs earn, nor, once, one of those that a req may have; but not
+    without end.
+    """
+    driver, taken = make_driver(), []
+    driver.balancer.heed(
+        driver.now, SimpleNamespace(allows=lambda *_: None, consume=lambda *told: taken.append(told[1:]))
     )
-    one.list(*WARM)
-    results = one.req("read")
-    left = one.one.state.retry_tokens
+    driver.list(*WARM)
+    results = driver.req("read")
+    left = driver.balancer.state.retry_tokens
     for number, status in enumerate(statuses):
         assert results[-1][0] == face.SEND
-        results = one.end(results[-1], number, status, 1000)
-    assert [found[0] for found in results if found[0] != face.TELL] == [face.SHED]
-    assert (left - one.one.state.retry_tokens, taken) == (further, [(face.RESENDS,)] * further)
+        results = driver.end(results[-1], number, status, 1000)
+    assert [result[0] for result in results if result[0] != face.TELL] == [face.SHED]
+    assert (left - driver.balancer.state.retry_tokens, taken) == (further, [(face.RESENDS,)] * further)
 
 
-def test_what_was_not_sent_tells_nothing(relay: type) -> None:
-    """Neither that a silent unit spoke, nor whether another build serves what failed on the one on trial."""
-    one = relay(cap_free_tries=1000)
-    one.list(*WARM, (7, "a", 6, 90))
-    one.news(6)
+def test_what_was_not_sent_tells_nothing(make_driver: Callable[..., BalancerDriver]) -> None:
+    """Neither that a silent unit answered, nor whether another build serves what failed on trial."""
+    driver = make_driver(cap_free_tries=1000)
+    driver.list(*WARM, (7, "a", 6, 90))
+    driver.news(6)
     sent = ()
     while not sent or sent[2] < 7:
-        sent = one.req()[-1]
-    unit = one.one.state.units[7]
-    one.one.state.reqs[sent[1]].tries[0].unit.open_tries += 1
+        sent = driver.req()[-1]
+    unit = driver.balancer.state.units[7]
+    driver.balancer.state.reqs[sent[1]].tries[0].unit.open_tries += 1
     since = unit.waiting_since
-    again = one.end(sent, 0, face.FAILED)[-1]
+    again = driver.end(sent, 0, face.FAILED)[-1]
     unit.open_tries -= 1
-    elsewhere = one.one.state.units[again[2]]
+    elsewhere = driver.balancer.state.units[again[2]]
     elsewhere.open_tries, elsewhere.waiting_since = elsewhere.open_tries + 1, since
-    third = one.end(again, 1, face.UNSENT)[-1]
+    third = driver.end(again, 1, face.UNSENT)[-1]
     assert elsewhere.waiting_since == since
-    one.end(third, 2, face.FAILED)
-    assert one.one.state.trial.outcome_count == 0
-
-
-def test_a_key_that_the_new_build_answers_meanwhile_goes_to_no_earlier_one(relay: type) -> None:
-    one = relay(sticky_keys=True)
-    one.list((1, "a", 5, 90))
-    assert one.one.new_req(one.now, "r", "read", "", 9, SECOND, False)[-1][:3] == (face.SEND, "r", 1)
-    one.list((1, "a", 5, 90), (7, "a", 6, 90))
-    one.news(6)
-    assert one.one.may_write(one.now, "r", 0)
-    one.one.state.sticky_builds[9] = 6
-    assert not one.one.may_write(one.now, "r", 0)
+    driver.end(third, 2, face.FAILED)
+    assert driver.balancer.state.trial.outcome_count == 0
+
+
+def test_a_key_that_the_new_build_answers_meanwhile_goes_to_no_earlier_one(
+    make_driver: Callable[..., BalancerDriver],
+) -> None:
+    driver = make_driver(sticky_keys=True)
+    driver.list((1, "a", 5, 90))
+    assert driver.balancer.new_req(driver.now, "r", "read", "", 9, SECOND, False)[-1][:3] == (
+        face.SEND,
+        "r",
+        1,
+    )
+    driver.list((1, "a", 5, 90), (7, "a", 6, 90))
+    driver.news(6)
+    assert driver.balancer.may_write(driver.now, "r", 0)
+    driver.balancer.state.sticky_builds[9] = 6
+    assert not driver.balancer.may_write(driver.now, "r", 0)
--- a/tests/test_crossing_units.py
+++ b/tests/test_race_units.py
@@ -1,4 +1,4 @@
-"""Connections to units, with a close, a cut, a late or an early byte forced between any two steps."""
+"""Connections to units, with a close, a partial, late or early answer forced between any two steps."""
 
 import contextlib
 import errno
@@ -47,9 +47,11 @@
 
 
 class Scripted(StandIn):
-    """A unit that runs `play(unit, conn, stream)` on each of its connections; `queries` came whole, `said` is
-    what it tells the test. With `narrow` its machine holds little of what it does not read; until it `opens`
-    it accepts nobody, and `shut` not even its machine does."""
+    """A unit that runs `play(unit, conn, stream)` on each of its connections.
+
+    `queries` are those that came whole; `said` is what the unit tells the test. With `narrow` its kernel
+    buffers little. Until it `opens` it accepts nobody; with `shut` not even its kernel does.
+    """
 
     def __init__(self, play: Callable[..., None], narrow: bool = False, shut: bool = False) -> None:
         self.play, self.queries, self.said = play, [], []
@@ -119,10 +121,10 @@
         self.list()
 
     def list(self, **changed: object) -> None:
-        one = face.Listed(0, "a", 0, 1, face.READY, 1.0, face.START_UNKNOWN_US)
+        listed = face.Listed(0, "a", 0, 1, face.READY, 1.0, face.START_UNKNOWN_US)
         self.pool.update_units(
             [
-                (one._replace(**{"unit": number} | changed), (STAND_IN_HOST, stand.port))
+                (listed._replace(**{"unit": number} | changed), (STAND_IN_HOST, stand.port))
                 for number, stand in enumerate(self.stands)
             ],
             True,
@@ -145,7 +147,7 @@
             stand.close()
 
     def even(self) -> bool:
-        """Every connection that is counted is one that rests."""
+        """Returns whether every connection that is counted is an idle one."""
         idle = [conn for place in self.pool.endpoints.values() for _, conn in place.idle]
         return self.pool.open_count == len(idle) == self.held.connections and set(idle) == set(
             self.pool.unit_by_connection
@@ -193,7 +195,7 @@
 
 
 def cutting(answer: bytes, end: str) -> Callable[..., None]:
-    """Answers as many bytes as the req's number says, and then closes, resets or is silent."""
+    """Answers with as many bytes as the req's number says, and then closes, resets or stays silent."""
 
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         greet(conn, stream)
@@ -221,7 +223,7 @@
 @pytest.mark.parametrize("end", ["reset", "silent"])
 @pytest.mark.parametrize("answer", ["row", "turned away for good"])
 def test_an_answer_that_stops_at_each_byte_is_served_or_may_have_run(answer: str, end: str) -> None:
-    """A reset may overtake bytes; who is silent may go on. Only a whole row or a whole code counts."""
+    """A reset may overtake bytes, and a silent unit may go on. Only a whole row or a whole code counts."""
     raw = CUT[answer][0]
     rig, found = Rig(Scripted(cutting(raw, end))), {}
 
@@ -243,11 +245,11 @@
 
 @pytest.fixture
 def among(serve: Callable[..., Served], monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., Served]]:
-    """A relay's process among units that each run a script."""
+    """Starts a relay's process among units that each run a script."""
 
     def start(*plays: Callable[..., None], narrow: bool = False, **changed: float) -> Served:
         stands = iter([Scripted(play, narrow) for play in plays])
-        monkeypatch.setattr(conftest, "UnitStand", lambda: next(stands))
+        monkeypatch.setattr(conftest, "UnitStandIn", lambda: next(stands))
         monkeypatch.setattr(
             conftest,
             "PLATFORM_SETTINGS",
@@ -277,7 +279,7 @@
 
 
 def early_greeting(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
-    """Its greeting fills what is read at once to the byte; a row that nobody asked for is behind it."""
+    """Fills exactly what is read at once with its greeting; a row that nobody asked for follows."""
     hello(stream)
     padding = 4096 - len(GREETING) - 5 - len("padding\0\0")
     conn.sendall(
@@ -299,7 +301,7 @@
 
 
 def early_row(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
-    """It answers something before the query's last byte is written; from then on it reads."""
+    """Answers before the query's last byte is written, and reads from then on."""
     greet(conn, stream)
     if len(unit.conns) > 1:
         unit.query(stream)
@@ -317,7 +319,7 @@
 
 
 def again(words: str) -> str:
-    """The same statement as another req."""
+    """Returns the same statement as another req."""
     return re.sub("id=[0-9a-f]+", re.search("id=[0-9a-f]+", build_query())[0], words)
 
 
@@ -329,7 +331,7 @@
 
 
 def deaf(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
-    """Reads no query; its machine takes what it holds."""
+    """Reads no query; its kernel buffers what it can."""
     greet(conn, stream)
     unit.over.wait(5)
 
@@ -358,7 +360,7 @@
 
 
 def test_a_cancel_is_heard_while_the_query_waits_to_be_written(among: Callable[..., Served]) -> None:
-    """A unit's machine takes no more of a req that may be repeated: another unit serves it in time."""
+    """The unit's kernel takes no more of a req that may be repeated: another unit serves it in time."""
     served = among(deaf, usual, narrow=True)
     client, deaf_one = served.client(), served.units[0]
     while not deaf_one.conns:
@@ -377,9 +379,9 @@
     def work() -> None:
         rig.pool.idle_limit.is_wary = True
         box = Mailbox(rig.scheduler)
-        one = rig.begin(box)
+        upstream_try = rig.begin(box)
         rig.scheduler.sleep(40_000)
-        one.cancel()
+        upstream_try.cancel()
         found.append(box.get()[3])
         wait_until(lambda: rig.stands[0].said)
 
@@ -497,7 +499,7 @@
 def test_a_machine_that_says_nothing_has_run_nothing(
     connect: int, opens: float | None, status: str, least: float, most: float
 ) -> None:
-    """It drops the first packet, and takes the one that is sent again a second later, if still asked."""
+    """It drops the first packet, and accepts the one that is sent again a second later, if still needed."""
     rig, found = Rig(Scripted(usual, shut=True), connect_timeout=connect), []
     if opens:
         threading.Timer(opens, rig.stands[0].opens.set).start()
@@ -513,7 +515,7 @@
 
 @pytest.mark.parametrize("wait, connections", [(150_000, (1, 2)), (WAIT, (3,))])
 def test_connections_that_break_all_end_within_the_try(wait: int, connections: tuple) -> None:
-    """Each new connection of a try gets its own time to come up; together they end with the try."""
+    """Each new connection of a try has its own timeout; together they end with the try."""
 
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         hello(stream)
@@ -586,10 +588,10 @@
 
     def work() -> None:
         box = Mailbox(rig.scheduler)
-        one = rig.begin(box, numbered(3), wait=600_000)
+        upstream_try = rig.begin(box, numbered(3), wait=600_000)
         rig.scheduler.sleep(50_000 if meddle in ("cancel", "gone") else 0)
         if meddle == "cancel":
-            one.cancel()
+            upstream_try.cancel()
         elif meddle == "gone":
             rig.pool.update_units([], True)
         found.append(box.get()[3])
@@ -613,7 +615,7 @@
 
 
 def once_more(late: float) -> Callable[..., None]:
-    """Each answer comes a second time, so many seconds late and with another value."""
+    """Sends each answer a second time, so many seconds late and with another value."""
 
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         greet(conn, stream)
@@ -640,7 +642,7 @@
 
 
 def between(rig: Rig, monkeypatch: pytest.MonkeyPatch, what: Callable[[Connection], None]) -> None:
-    """Lets something come right after a kept connection was found clean, before the query's first byte."""
+    """Has something happen right after a kept connection was found clean, before the query's first byte."""
     real, once = Connection.is_clean, [what]
 
     def clean(conn: Connection) -> bool:
@@ -656,7 +658,7 @@
 def test_a_kept_connection_that_closes_just_as_it_is_taken(
     end: str, status: str, queries: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Told of the reset, the machine takes nothing: it never ran. Told of an end, it takes the query."""
+    """After a reset the kernel accepts nothing, and the query never ran; after an end it accepts it."""
 
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         greet(conn, stream)
@@ -684,7 +686,7 @@
 
 
 def at_the_next_byte(*what: bytes | None) -> Callable[..., None]:
-    """At the first byte of a second query on a connection it says something, or, at None, closes it."""
+    """At the first byte of a connection's second query it sends something or, with None, closes."""
 
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         greet(conn, stream)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The program as started, spoken to over sockets."""
+"""The program as it is started, over sockets."""
 
 import contextlib
 import json
@@ -157,18 +157,18 @@
 def test_queries_come_in_any_pieces_and_are_answered_in_order(shared: Served) -> None:
     for unit in shared.units:
         unit.mode = "ok"
-    one = shared.client(first=pack_message(b"Q", b"\0"))
-    assert one.answer()[0] == "IZ"
+    client = shared.client(first=pack_message(b"Q", b"\0"))
+    assert client.answer()[0] == "IZ"
     for byte in pack_message(b"Q", build_query().encode() + b"\0"):
-        one.sock.sendall(bytes((byte,)))
-    assert one.answer()[:2] == COMPLETED
+        client.sock.sendall(bytes((byte,)))
+    assert client.answer()[:2] == COMPLETED
     for words in (build_query(), "", "HELLO", build_query("mark")):
-        one.send(words)
-    assert [one.answer()[0] for _ in range(4)] == ["TDCZ", "IZ", "EZ", "TDCZ"]
+        client.send(words)
+    assert [client.answer()[0] for _ in range(4)] == ["TDCZ", "IZ", "EZ", "TDCZ"]
     large = build_query("mark").replace("9f03", "9f" * 65536)
-    assert one.ask(large)[:2] == COMPLETED
-    one.sock.sendall(pack_message(b"X"))
-    assert one.answer()[0] == ""
+    assert client.ask(large)[:2] == COMPLETED
+    client.sock.sendall(pack_message(b"X"))
+    assert client.answer()[0] == ""
 
 
 def test_startup_variants(shared: Served) -> None:
@@ -394,8 +394,11 @@
 
 
 def test_clients_that_go_on_asking_through_a_stop_lose_no_req(serve: Callable[..., Served]) -> None:
-    """After SIGTERM they send on every connection that stays open: each req is answered, or its connection
-    closed without a byte for it, between reqs, so that it may be sent again elsewhere."""
+    """After SIGTERM they send on every connection that stays open.
+
+    Each req is answered, or its connection closed without a byte for it, between reqs, so that it may be sent
+    again elsewhere.
+    """
     served, ends = serve(modes="slow0.01"), []
 
     def go_on(client: PgClient) -> None:
@@ -416,17 +419,17 @@
     assert served.process.wait(5) == 0
     for thread in threads:
         thread.join(5)
-    assert len(ends) == 8 and all(set(told[:-1]) == {COMPLETED} and told[-1] == ("", "") for told in ends)
+    assert len(ends) == 8 and all(set(end[:-1]) == {COMPLETED} and end[-1] == ("", "") for end in ends)
     with pytest.raises(ConnectionRefusedError):
         served.client()
-    assert sum(len(told) - 1 for told in ends) == len(served.queries())
+    assert sum(len(end) - 1 for end in ends) == len(served.queries())
 
 
 def test_an_older_list_at_a_new_address_takes_back_no_drain(serve: Callable[..., Served]) -> None:
     served = serve(units=2)
     client, (first, second) = served.client(), served.units
     older, entries = DirectoryStandIn(), served.directory.full_list()["members"]
-    older.entries = {one["id"]: dict(one) for one in entries}
+    older.entries = {entry["id"]: dict(entry) for entry in entries}
     served.directory.put("s-0", first.address, phase="leaving")
     served.directory.revision += 10
     wait_until(lambda: served.count("directory_calls") >= 2 and client.ask(build_query())[:2] == COMPLETED)
--- a/tests/test_tuf.py
+++ b/tests/test_tuf.py
@@ -1,4 +1,4 @@
-"""Relays with a TUF front, spoken to over sockets among mirrors that fail in every way."""
+"""Relays with a TUF front, over sockets, among mirrors that fail in every way."""
 
 import contextlib
 import hashlib
@@ -30,7 +30,7 @@
 
 
 def published(consistent: bool = False, **kinds: object) -> TufRepository:
-    """Without consistent snapshots a file's path tells nothing of its hash: more can go wrong."""
+    """Returns a repository without consistent snapshots, where paths say nothing of hashes."""
     made = TufRepository(consistent, **kinds)
     made.add("large.bin", LARGE)
     made.add("small.bin", SMALL)
@@ -69,7 +69,7 @@
 
 
 def fetch(rig: TufRig) -> None:
-    """A file that need not end before its test does."""
+    """Fetches a file that need not end before its test does."""
     with contextlib.suppress(OSError, http.client.HTTPException):
         rig.request(FILES + "large.bin")
 
@@ -214,7 +214,7 @@
     first = threading.Timer(0.2, lambda: [mirror.modes.clear() for mirror in rig.mirrors])
     first.start()
     assert rig.request(FILES + "large.bin")[2] == LARGE
-    spans = [one.span for mirror in rig.mirrors for one in mirror.requests if one.span]
+    spans = [request.span for mirror in rig.mirrors for request in mirror.requests if request.span]
     assert spans and all(span.startswith("bytes=1048576-") for span in spans)
     assert rig.counter("bytes_fetched") < 1.1 * len(LARGE)
 
@@ -304,15 +304,17 @@
     ]
     for thread in threads:
         thread.start()
-    wait_until(lambda: all(any("large" in one.path for one in mirror.requests) for mirror in rig.mirrors))
+    wait_until(
+        lambda: all(any("large" in request.path for request in mirror.requests) for mirror in rig.mirrors)
+    )
     time.sleep(0.5)
     drained, at = rig.mirrors[0], time.monotonic()
     rig.list_mirror("m-0", drained, "leaving")
     for thread in threads:
         thread.join()
     assert got == [LARGE] * 4
-    assert all(one.last < at + 2.0 for one in drained.requests) and any(
-        one.span for one in rig.mirrors[1].requests
+    assert all(request.last < at + 2.0 for request in drained.requests) and any(
+        request.span for request in rig.mirrors[1].requests
     )
 
 
@@ -325,9 +327,9 @@
         assert sock.recv(1000)
     wait_until(lambda: rig.counter("reqs.target.withdrawn") == 1)
     assert rig.count_mirror_requests("large") == 1
-    assert sum(one.sent for mirror in rig.mirrors for one in mirror.requests if "large" in one.path) < len(
-        LARGE
-    )
+    assert sum(
+        request.sent for mirror in rig.mirrors for request in mirror.requests if "large" in request.path
+    ) < len(LARGE)
 
 
 def test_a_reader_below_the_floor_is_left_and_holds_nobody_back(serve: Callable[..., TufRig]) -> None:
@@ -364,7 +366,7 @@
     for place, thread in enumerate(threads):
         thread.start()
         wait_until(lambda place=place: rig.count_mirror_requests("large") > place)
-    assert [sum("large" in one.path for one in mirror.requests) for mirror in rig.mirrors] == [2, 2]
+    assert [sum("large" in request.path for request in mirror.requests) for mirror in rig.mirrors] == [2, 2]
 
 
 @pytest.mark.parametrize("depth, loop, status", [(4, False, 200), (4, True, 200), (50, False, 404)])
--- a/tests/test_tuf_decisions.py
+++ b/tests/test_tuf_decisions.py
@@ -1,4 +1,4 @@
-"""The TUF front's other decisions: files on their way, freshness, mirrors, pace, room, manifests, heads."""
+"""Other decisions of the TUF front: downloads, freshness, mirrors, throughput, admission, manifests."""
 
 import json
 import multiprocessing
@@ -46,7 +46,7 @@
 
 
 def feed(one: Download, data: bytes, unit: int = 1, most: int | None = None, size: int = 700) -> bytes:
-    """A mirror that gives what is asked of it out of these bytes, `most` of them, and then breaks."""
+    """Answers as a mirror that gives what is asked of it out of these bytes, `most` of them, then breaks."""
     span = one.range_to_ask()
     first, last = span or (0, one.length - 1)
     status = 206 if span else 200
@@ -70,10 +70,10 @@
     blocks = BlockHashes(CHUNK, 1000)
     if known:
         feed(moved(blocks=blocks), DATA)
-    one = moved(first, last, blocks)
-    out = feed(one, DATA)
-    assert one.state == VERIFIED and out == DATA[first : last + 1] and one.delivered == len(out)
-    assert one.fetched <= (last - first + 1 + 2 * CHUNK if known else len(DATA))
+    reading = moved(first, last, blocks)
+    out = feed(reading, DATA)
+    assert reading.state == VERIFIED and out == DATA[first : last + 1] and reading.delivered == len(out)
+    assert reading.fetched <= (last - first + 1 + 2 * CHUNK if known else len(DATA))
 
 
 @pytest.mark.parametrize("wrong_at", [0, 9000, len(DATA) - 1])
@@ -81,24 +81,28 @@
 def test_nobody_ever_has_a_complete_file_that_is_wrong(wrong_at: int, first: int, last: int) -> None:
     spoilt = bytearray(DATA)
     spoilt[wrong_at] ^= 1
-    one = moved(first, last)
-    out = feed(one, bytes(spoilt))
+    reading = moved(first, last)
+    out = feed(reading, bytes(spoilt))
     assert (
-        one.state in (FAILED, BETWEEN_MIRRORS)
+        reading.state in (FAILED, BETWEEN_MIRRORS)
         and len(out) < last - first + 1
-        and one.suspects() in ({1}, set())
+        and reading.suspects() in ({1}, set())
     )
-    if one.state == BETWEEN_MIRRORS:
-        assert not out and feed(one, DATA, 2) == DATA[first : last + 1] and one.state == VERIFIED
+    if reading.state == BETWEEN_MIRRORS:
+        assert not out and feed(reading, DATA, 2) == DATA[first : last + 1] and reading.state == VERIFIED
 
 
 def test_a_small_file_that_was_wrong_is_read_anew_elsewhere() -> None:
     small = b"small" * 20
-    one = Download(
+    reading = Download(
         TargetFile.from_data("s", small, ["sha256"]), 0, len(small) - 1, CHUNK, BlockHashes(CHUNK, 9)
     )
-    assert feed(one, bytes(len(small))) == b"" and one.state == BETWEEN_MIRRORS and one.range_to_ask() is None
-    assert feed(one, small, 2) == small and one.state == VERIFIED
+    assert (
+        feed(reading, bytes(len(small))) == b""
+        and reading.state == BETWEEN_MIRRORS
+        and reading.range_to_ask() is None
+    )
+    assert feed(reading, small, 2) == small and reading.state == VERIFIED
 
 
 @pytest.mark.parametrize("known", [False, True])
@@ -106,21 +110,21 @@
     blocks = BlockHashes(CHUNK, 1000)
     if known:
         feed(moved(blocks=blocks), DATA)
-    one = moved(blocks=blocks)
-    out = feed(one, DATA, 1, 7300) + feed(one, DATA, 2, 5000)
-    assert one.range_to_ask()[0] >= 11_000 and one.state == BETWEEN_MIRRORS
-    out += feed(one, DATA, 3)
-    assert out == DATA and one.state == VERIFIED and one.fetched < len(DATA) + 3 * CHUNK
+    reading = moved(blocks=blocks)
+    out = feed(reading, DATA, 1, 7300) + feed(reading, DATA, 2, 5000)
+    assert reading.range_to_ask()[0] >= 11_000 and reading.state == BETWEEN_MIRRORS
+    out += feed(reading, DATA, 3)
+    assert out == DATA and reading.state == VERIFIED and reading.fetched < len(DATA) + 3 * CHUNK
 
 
 def test_a_wrong_block_of_a_known_file_is_read_again_and_its_mirror_told() -> None:
     blocks, spoilt = BlockHashes(CHUNK, 1000), bytearray(DATA)
     feed(moved(blocks=blocks), DATA)
     spoilt[9_500] ^= 1
-    one = moved(blocks=blocks)
-    out = feed(one, DATA, 1, 5000) + feed(one, bytes(spoilt), 2)
-    assert out == DATA[:9000] and one.suspects() == {2} and one.range_to_ask()[0] == 9000
-    assert out + feed(one, DATA, 3) == DATA
+    reading = moved(blocks=blocks)
+    out = feed(reading, DATA, 1, 5000) + feed(reading, bytes(spoilt), 2)
+    assert out == DATA[:9000] and reading.suspects() == {2} and reading.range_to_ask()[0] == 9000
+    assert out + feed(reading, DATA, 3) == DATA
 
 
 @pytest.mark.parametrize(
@@ -143,11 +147,11 @@
 def test_a_mirrors_head_is_held_against_what_was_asked(
     reached: int, status: int, length: int | None, span: tuple | None, older: int | None, fit: str
 ) -> None:
-    one = moved()
-    feed(one, DATA, 1, reached, 100) if reached else None
-    assert one.begin(2, status, length, span, older) == fit
+    reading = moved()
+    feed(reading, DATA, 1, reached, 100) if reached else None
+    assert reading.begin(2, status, length, span, older) == fit
     if fit == FITS:
-        assert one.skip == (reached if reached and status == 200 else 0)
+        assert reading.skip == (reached if reached and status == 200 else 0)
 
 
 def test_known_hashes_are_bounded_and_the_latest_used_stay() -> None:
@@ -188,39 +192,45 @@
 
 
 def test_all_who_ask_share_one_refresh_and_its_failure() -> None:
-    one, now = fresh(), 100 * SECOND
-    assert one.decide(now, False) == freshness.REFRESH
-    one.begin(now)
-    assert [one.decide(now + place, False) for place in range(10_000)] == [freshness.JOIN] * 10_000
-    one.end(now + SECOND, False)
-    assert [one.decide(now + SECOND + place, False) for place in range(1000)] == [freshness.REFUSE] * 1000
-    assert one.retry_after(now + SECOND) >= SECOND
-    one.begin(now + 9 * SECOND)
-    one.end(now + 9 * SECOND, True)
-    assert one.decide(now + 9 * SECOND + 999_999, True) == freshness.SERVE
-    assert one.decide(now + 10 * SECOND, True) == freshness.REFRESH
+    freshness_state, now = fresh(), 100 * SECOND
+    assert freshness_state.decide(now, False) == freshness.REFRESH
+    freshness_state.begin(now)
+    assert [freshness_state.decide(now + place, False) for place in range(10_000)] == [
+        freshness.JOIN
+    ] * 10_000
+    freshness_state.end(now + SECOND, False)
+    assert [freshness_state.decide(now + SECOND + place, False) for place in range(1000)] == [
+        freshness.REFUSE
+    ] * 1000
+    assert freshness_state.retry_after(now + SECOND) >= SECOND
+    freshness_state.begin(now + 9 * SECOND)
+    freshness_state.end(now + 9 * SECOND, True)
+    assert freshness_state.decide(now + 9 * SECOND + 999_999, True) == freshness.SERVE
+    assert freshness_state.decide(now + 10 * SECOND, True) == freshness.REFRESH
 
 
 def test_what_is_proven_is_given_while_no_mirror_answers_as_long_as_it_may() -> None:
-    one, now = fresh(), 100 * SECOND
-    one.begin(now)
-    one.end(now, True)
+    freshness_state, now = fresh(), 100 * SECOND
+    freshness_state.begin(now)
+    freshness_state.end(now, True)
     pauses = []
     for _ in range(8):
         now += 2 * SECOND
-        now = max(now, one.not_before)
-        assert one.decide(now, True) == freshness.REFRESH
-        one.begin(now)
-        patient = one.age(now) <= 60 * SECOND
-        assert one.wait_deadline(now, True, now + 3 * SECOND) == now + (
+        now = max(now, freshness_state.not_before)
+        assert freshness_state.decide(now, True) == freshness.REFRESH
+        freshness_state.begin(now)
+        patient = freshness_state.age(now) <= 60 * SECOND
+        assert freshness_state.wait_deadline(now, True, now + 3 * SECOND) == now + (
             SECOND // 2 if patient else 3 * SECOND
         )
-        assert one.wait_deadline(now, False, now + 3 * SECOND) == now + 3 * SECOND
-        one.end(now, False)
-        pauses.append(one.not_before - now)
-        assert one.decide(now, True) == (freshness.SERVE if one.age(now) <= 60 * SECOND else freshness.REFUSE)
-        assert one.decide(now, False) == freshness.REFUSE
-    assert pauses[5] > pauses[0] and max(pauses) <= 32 * SECOND and one.age(now) > 60 * SECOND
+        assert freshness_state.wait_deadline(now, False, now + 3 * SECOND) == now + 3 * SECOND
+        freshness_state.end(now, False)
+        pauses.append(freshness_state.not_before - now)
+        assert freshness_state.decide(now, True) == (
+            freshness.SERVE if freshness_state.age(now) <= 60 * SECOND else freshness.REFUSE
+        )
+        assert freshness_state.decide(now, False) == freshness.REFUSE
+    assert pauses[5] > pauses[0] and max(pauses) <= 32 * SECOND and freshness_state.age(now) > 60 * SECOND
 
 
 def mirrors(*builds: int) -> mirror_exclusion.MirrorRecords:
@@ -230,66 +240,68 @@
 
 
 def test_those_behind_rest_a_little_those_that_lie_long_and_not_all() -> None:
-    one, now = mirrors(1, 1, 1, 1), 100 * SECOND
+    records, now = mirrors(1, 1, 1, 1), 100 * SECOND
     assert (
-        one.exclude_behind(now, 0)
-        and one.is_excluded(now + SECOND - 1, 0)
-        and not one.is_excluded(now + SECOND, 0)
+        records.exclude_behind(now, 0)
+        and records.is_excluded(now + SECOND - 1, 0)
+        and not records.is_excluded(now + SECOND, 0)
     )
-    assert one.exclude_behind(now, 1) and not one.exclude_behind(now, 2)  # half of them at most
-    assert one.exclude_wrong(now, 2) and one.is_excluded(now + 9 * SECOND, 2)
-    assert not one.exclude_wrong(now, 3) and not one.is_excluded(now, 3)  # the last one awake
+    assert records.exclude_behind(now, 1) and not records.exclude_behind(now, 2)  # half of them at most
+    assert records.exclude_wrong(now, 2) and records.is_excluded(now + 9 * SECOND, 2)
+    assert not records.exclude_wrong(now, 3) and not records.is_excluded(now, 3)  # the last one awake
     now += SECOND
-    assert one.exclude_behind(now, 0) and one.is_excluded(now + 2 * SECOND - 1, 0)  # twice as long on end
+    assert records.exclude_behind(now, 0) and records.is_excluded(
+        now + 2 * SECOND - 1, 0
+    )  # twice as long on end
     now += 20 * SECOND
-    one.record_good(0)
-    assert one.exclude_behind(now, 0) and not one.is_excluded(now + SECOND, 0)
-    one.set_ready({0: 2, 1: 1})
-    assert not one.is_excluded(now, 0)  # another build is another mirror
+    records.record_good(0)
+    assert records.exclude_behind(now, 0) and not records.is_excluded(now + SECOND, 0)
+    records.set_ready({0: 2, 1: 1})
+    assert not records.is_excluded(now, 0)  # another build is another mirror
 
 
 def test_one_that_gives_strange_bytes_for_long_is_not_merely_ahead() -> None:
-    one, now = mirrors(1, 1, 1, 1), 100 * SECOND
-    assert not one.is_wrong_if_unverifiable(now, 0) and not one.is_wrong_if_unverifiable(
+    records, now = mirrors(1, 1, 1, 1), 100 * SECOND
+    assert not records.is_wrong_if_unverifiable(now, 0) and not records.is_wrong_if_unverifiable(
         now + 4 * SECOND - 1, 0
     )
-    assert one.is_wrong_if_unverifiable(now + 4 * SECOND, 0)
-    one.record_good(0)
-    assert not one.is_wrong_if_unverifiable(now + 9 * SECOND, 0)
+    assert records.is_wrong_if_unverifiable(now + 4 * SECOND, 0)
+    records.record_good(0)
+    assert not records.is_wrong_if_unverifiable(now + 9 * SECOND, 0)
 
 
 def test_a_mirror_in_two_wrong_files_beside_others_is_the_one_they_share() -> None:
-    one, now = mirrors(1, 1, 1, 1), 100 * SECOND
-    assert one.suspect(now, {0, 1}) == [] and one.suspect(now, {0, 1}) == []
-    assert one.suspect(now, {0, 2}) == [0]
+    records, now = mirrors(1, 1, 1, 1), 100 * SECOND
+    assert records.suspect(now, {0, 1}) == [] and records.suspect(now, {0, 1}) == []
+    assert records.suspect(now, {0, 2}) == [0]
 
 
 def test_one_machines_lies_are_not_its_builds() -> None:
-    one, now = mirrors(1, 1, 2, 2, 3), 100 * SECOND
+    records, now = mirrors(1, 1, 2, 2, 3), 100 * SECOND
     for unit, tells in ((2, False), (2, False), (3, True), (4, True)):
-        one.exclude_wrong(now, unit)
-        assert one.counts_against_build(now, unit) is tells, unit
+        records.exclude_wrong(now, unit)
+        assert records.counts_against_build(now, unit) is tells, unit
 
 
 def test_room_is_held_by_front_client_mirror_and_bytes() -> None:
-    one = file_admission.FileAdmission(file_admission.AdmissionBounds(4, 2, 2, 100))
-    assert [one.admit("a", 10) for _ in range(3)] == ["", "", file_admission.TOO_MANY_OF_CLIENT]
-    assert one.admit("b", 90) == file_admission.TOO_MANY_BYTES
-    assert [one.admit("c", 10), one.admit("d", 10), one.admit("e", 1)] == [
+    admission = file_admission.FileAdmission(file_admission.AdmissionBounds(4, 2, 2, 100))
+    assert [admission.admit("a", 10) for _ in range(3)] == ["", "", file_admission.TOO_MANY_OF_CLIENT]
+    assert admission.admit("b", 90) == file_admission.TOO_MANY_BYTES
+    assert [admission.admit("c", 10), admission.admit("d", 10), admission.admit("e", 1)] == [
         "",
         "",
         file_admission.TOO_MANY_FILES,
     ]
     for client in "aacd":
-        one.release(client, 10)
-    assert (one.files, one.bytes, dict(one.by_client)) == (0, 0, {})
+        admission.release(client, 10)
+    assert (admission.files, admission.bytes, dict(admission.by_client)) == (0, 0, {})
     assert [
-        one.begin_part(7),
-        one.begin_part(7),
-        one.is_full(7),
-        one.end_part(7),
-        one.end_part(7),
-        one.is_full(7),
+        admission.begin_part(7),
+        admission.begin_part(7),
+        admission.is_full(7),
+        admission.end_part(7),
+        admission.end_part(7),
+        admission.is_full(7),
     ] == [
         False,
         True,
@@ -360,17 +372,20 @@
 
 @pytest.mark.parametrize("deduped", [False, True])
 def test_a_manifest_that_may_have_been_taken_goes_again_only_where_repeats_are_dropped(deduped: bool) -> None:
-    one, key, now = uptane.ManifestLog(deduped, 10 * SECOND, 3, 100), b"k", 100 * SECOND
+    manifest_log, key, now = uptane.ManifestLog(deduped, 10 * SECOND, 3, 100), b"k", 100 * SECOND
     given = uptane.DirectorAnswer(200, b"taken")
-    assert one.begin(now, key) == (uptane.SEND, None) and one.begin(now, key) == (uptane.WAIT, None)
-    one.end(now, key, "")
-    assert one.begin(now, key) == (uptane.SEND, None)  # it never left
-    one.end(now, key, uptane.LOST)
-    assert one.begin(now, key)[0] == (uptane.SEND if deduped else uptane.UNKNOWN)
-    one.end(now, key, uptane.DONE, given)
-    assert one.begin(now + 10 * SECOND, key) == (uptane.ANSWER, given)
-    assert one.begin(now + 11 * SECOND, key) == (uptane.SEND, None)  # forgotten
-    assert [one.begin(now + 11 * SECOND, name)[0] for name in (b"l", b"m", b"n")] == [
+    assert manifest_log.begin(now, key) == (uptane.SEND, None) and manifest_log.begin(now, key) == (
+        uptane.WAIT,
+        None,
+    )
+    manifest_log.end(now, key, "")
+    assert manifest_log.begin(now, key) == (uptane.SEND, None)  # it never left
+    manifest_log.end(now, key, uptane.LOST)
+    assert manifest_log.begin(now, key)[0] == (uptane.SEND if deduped else uptane.UNKNOWN)
+    manifest_log.end(now, key, uptane.DONE, given)
+    assert manifest_log.begin(now + 10 * SECOND, key) == (uptane.ANSWER, given)
+    assert manifest_log.begin(now + 11 * SECOND, key) == (uptane.SEND, None)  # forgotten
+    assert [manifest_log.begin(now + 11 * SECOND, name)[0] for name in (b"l", b"m", b"n")] == [
         uptane.SEND,
         uptane.SEND,
         uptane.WAIT,
@@ -416,8 +431,8 @@
 def test_a_head_is_found_however_it_is_split() -> None:
     raw = GET + b"Range: bytes=1-2\r\nConnection: close\r\n\r\n"
     assert all(http_messages.find_head_end(raw, 0, cut) is None for cut in range(len(raw)))
-    found = http_messages.parse_head(raw[: http_messages.find_head_end(raw + b"more", 0, len(raw) + 4)])
-    assert (found.method, found.path, found.fields["range"], found.stays) == (
+    head = http_messages.parse_head(raw[: http_messages.find_head_end(raw + b"more", 0, len(raw) + 4)])
+    assert (head.method, head.path, head.fields["range"], head.stays) == (
         "GET",
         "/image/metadata/timestamp.json",
         "bytes=1-2",
@@ -470,14 +485,14 @@
     return made
 
 
-def proven(one: TufRepository) -> Trust:
-    trust = Trust(one.pinned, 1 << 20)
+def proven(repository: TufRepository) -> Trust:
+    trust = Trust(repository.pinned, 1 << 20)
     refresh = Refresh(trust)
     while want := refresh.next_file():
-        raw = one.newest.metadata.get(want.name)
+        raw = repository.newest.metadata.get(want.name)
         refresh.add_missing() if raw is None else refresh.add(raw, int(time.time() * SECOND))
     want = trust.wanted_role_file(trust.view, "dev")
-    trust.add_role(trust.view, "dev", one.newest.metadata[want.name], int(time.time() * SECOND))
+    trust.add_role(trust.view, "dev", repository.newest.metadata[want.name], int(time.time() * SECOND))
     return trust
 
 
--- a/tests/test_tuf_trust.py
+++ b/tests/test_tuf_trust.py
@@ -1,4 +1,4 @@
-"""What is proven of a repository, told from what is behind and from what lies. No sockets."""
+"""What is verified of a repository, against outdated and false metadata, without sockets."""
 
 import time
 from collections.abc import Callable
@@ -36,7 +36,7 @@
 
 
 def walk(trust: Trust, given: Revision, later: float = 0.0) -> list[Assessment]:
-    """A refresh whose every question goes to one mirror; ends at the first answer that is not believed."""
+    """Runs a refresh whose requests all go to one mirror; ends at the first response that is refused."""
     refresh, offers = Refresh(trust), []
     while (want := refresh.next_file()) is not None:
         raw = given.metadata.get(want.name)
