--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -111,11 +111,11 @@
                 sent = results[-1] if results else (None,)
 
     def wait(self, seconds: float) -> list:
-        found = []
+        results = []
         for _ in range(int(seconds * 20)):
             self.now += SECOND // 20
-            found += self.balancer.timer(self.now, "beat")
-        return found
+            results += self.balancer.timer(self.now, "beat")
+        return results
 
 
 @pytest.fixture
--- a/tests/test_faulty_proxy.py
+++ b/tests/test_faulty_proxy.py
@@ -58,12 +58,12 @@
         try:
             sock.settimeout(seconds)
             sock.sendall(words)
-            found = b""
-            while len(found) < len(words):
+            data = b""
+            while len(data) < len(words):
                 if not (piece := sock.recv(65536)):
                     return "ended"
-                found += piece
-            return found
+                data += piece
+            return data
         except TimeoutError:
             return "nothing"
         except ConnectionError:
@@ -154,13 +154,15 @@
 
 def test_a_flapping_way_is_cut_and_open_by_turns(pair: Pair) -> None:
     pair.set(FLAP, period=100_000)
-    seen = []
+    results = []
     over = time.monotonic() + 5
-    while len(seen) < 5 and time.monotonic() < over:
+    while len(results) < 5 and time.monotonic() < over:
         found = pair.anew()
-        if not seen or found != seen[-1]:
-            seen.append(found)
-    assert len(seen) == 5 and set(seen) <= {"refused", "reset", b"hello"} and seen.count(b"hello") >= 2
+        if not results or found != results[-1]:
+            results.append(found)
+    assert (
+        len(results) == 5 and set(results) <= {"refused", "reset", b"hello"} and results.count(b"hello") >= 2
+    )
 
 
 def test_what_ends_at_one_side_ends_at_the_other(pair: Pair) -> None:
@@ -232,13 +234,15 @@
     )
     kinds, most = set(), 0
     for seed in range(60):
-        found = generate_script(seed, plan)
-        reached, left = most_down(found, dict(plan.keepers))
+        script = generate_script(seed, plan)
+        reached, left = most_down(script, dict(plan.keepers))
         assert not left and (beyond or reached <= down)
-        assert [one.at for one in found] == sorted(one.at for one in found) and found[-1].at < plan.duration
-        assert all(one.at <= plan.duration * 5 // 6 for one in found if one.kind != faults.RIGHT_CLOCK)
-        assert len(found) > 40
-        kinds |= {one.kind for one in found}
+        assert [one.at for one in script] == sorted(one.at for one in script) and script[
+            -1
+        ].at < plan.duration
+        assert all(one.at <= plan.duration * 5 // 6 for one in script if one.kind != faults.RIGHT_CLOCK)
+        assert len(script) > 40
+        kinds |= {one.kind for one in script}
         most = max(most, reached)
     site_fits = count == 5 or beyond or down == 1
     wanted = {*EVERY, *ENDS.values()} - (set() if beyond else {faults.KILL_ALL})
@@ -249,7 +253,7 @@
 def test_the_same_seed_gives_the_same_script_and_readable_lines() -> None:
     plan = Plan(KEEPERS[:3], MEMBERS)
     assert generate_script(7, plan) == generate_script(7, plan) != generate_script(8, plan)
-    lines = [describe(one) for one in generate_script(7, plan)]
+    lines = [describe(fault) for fault in generate_script(7, plan)]
     assert lines[:4] == [
         "    2.183 s  disk-full    k1",
         "    3.141 s  pause        m1",
--- a/tests/test_fleet_books.py
+++ b/tests/test_fleet_books.py
@@ -58,12 +58,12 @@
     """Returns the result of each command: its code, or its value as text."""
     commands = tuple(read(step) if type(step) is str else step for step in steps)
     done = books.apply(books.index + 1, f.Batch(at, 3, commands))
-    for one in done:
+    for result in done:
         assert (
-            not one.code
-            or type(error_from_code(one.code, one.to, dict(one.told))) is ERRORS_BY_CODE[one.code]
-        ), one
-    return [one.code or " ".join(map(str, one.value)) for one in done]
+            not result.code
+            or type(error_from_code(result.code, result.to, dict(result.told))) is ERRORS_BY_CODE[result.code]
+        ), result
+    return [result.code or " ".join(map(str, result.value)) for result in done]
 
 
 def begun() -> Books:
@@ -280,20 +280,20 @@
         given += commands
         batch = f.Batch(at, 1 + index // 9, tuple(commands))
         done = books.apply(2 * index, batch)
-        fences += [one.value for one in done if type(one.value) is f.Fence]
+        fences += [result.value for result in done if type(result.value) is f.Fence]
         yield books, batch, done
 
 
 @pytest.mark.parametrize("seed", range(0, 400, 50))
 def test_replay_from_any_snapshot_comes_to_the_same_books(seed: int) -> None:
-    for one in range(seed, seed + 50):
-        log = [(books.index, batch, done, books.hash()) for books, batch, done in play(one)]
-        cut, again, each = Prng(one).below(len(log)), Books(), Books()
+    for number in range(seed, seed + 50):
+        log = [(books.index, batch, done, books.hash()) for books, batch, done in play(number)]
+        cut, again, each = Prng(number).below(len(log)), Books(), Books()
         for at, (index, batch, done, hashed) in enumerate(log):
             again = Books.from_snapshot(again.snapshot()) if at == cut else again
             each = Books.from_snapshot(each.snapshot())
             for books in (again, each):
-                assert books.apply(index, batch) == done and books.hash() == hashed, (one, at, cut)
+                assert books.apply(index, batch) == done and books.hash() == hashed, (number, at, cut)
 
 
 def in_use(scope: str, shares: dict[int, int], over: list[tuple[str, int, int]], now: int) -> int:
@@ -344,7 +344,7 @@
 def test_hash_does_not_rest_on_the_order_of_sets() -> None:
     code = "import test_fleet_books as t; print([one.hash() for n in range(20) for one, *_ in t.play(n)])"
     env = os.environ | {"PYTHONPATH": os.pathsep.join(["tests", *sys.path])}
-    told = {
+    results = {
         subprocess.run(
             [sys.executable, "-c", code],
             env=env | {"PYTHONHASHSEED": seed},
@@ -355,4 +355,4 @@
         ).stdout
         for seed in "123"
     }
-    assert len(told) == 1 and len(told.pop()) > 3_000
+    assert len(results) == 1 and len(results.pop()) > 3_000
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -59,7 +59,7 @@
             [(900, 0, 0, -1)] * 100,
             0,
             {1: MIN_CREDIT},  # a liar can prove itself again
-            [(1, 1), *((one, 10 if one < 40 else 9) for one in range(2, 101))],
+            [(1, 1), *((number, 10 if number < 40 else 9) for number in range(2, 101))],
         ),
         ([(100, 500, 500, 0.2), (10, 5, 5, 1)], 0, {}, [(1, 125), (2, 12)]),  # far too much; headroom
         ([(400, 500, 500, 0.8), (10, 12, 12, 0.8)], 0, {}, []),  # a little too much
@@ -78,7 +78,7 @@
             [(1, 75), (2, 75)],
         ),
         # What nobody asks for, little by little: all together worth it,
-        ([(9000, 918, 918, 1), *[(0, 1, 1, 0)] * 12], 0, {}, [(one, 0) for one in range(2, 14)]),
+        ([(9000, 918, 918, 1), *[(0, 1, 1, 0)] * 12], 0, {}, [(number, 0) for number in range(2, 14)]),
         ([(9000, 921, 921, 1), *[(0, 1, 1, 0)] * 9], 0, {}, []),  # or not,
         ([(900, 900, 900, 1), *[(0, 1, 1, 0)] * 12], 0, {}, []),  # while nobody is short,
         ([(9000, 918, 918, 1), *[(1, 1, 1, 0)] * 12], 0, {}, []),
@@ -126,7 +126,7 @@
         rows = [(rng.below(most), part, rng.below(part + 1), rng.below(101) / 100) for part in given]
         if rows:
             rows[0] = (9000, *rows[0][1:])
-        others, credit = rng.below(900), {one: MIN_CREDIT << rng.below(5) for one in range(1, 20, 3)}
+        others, credit = rng.below(900), {number: MIN_CREDIT << rng.below(5) for number in range(1, 20, 3)}
         changes = dict(divide(RATES, asked(*rows), others, credit))
         room = max(divisible(RATES) - others, sum(given))
         assert sum(max(part, changes.get(one, 0)) for one, part in enumerate(given, 1)) <= room
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_shares_settle_after_a_join_and_a_leave_within_three_beats(seed: int) -> None:
     rng, budget = Prng(seed), Budget("b", RATE, 20_000 + seed, 4, 40, 0, 0)
-    demands = {one: rng.below(3000) + 1 for one in range(30)}
+    demands = {number: rng.below(3000) + 1 for number in range(30)}
     held, credit = dict.fromkeys(demands, 0), {}
     assert beats(budget, held, demands, {}, credit, 40) < 40
     for change in ("join", "leave"):
@@ -186,9 +186,9 @@
 
 def test_a_thousand_relays_are_divided_in_time() -> None:
     rng, budget = Prng(3), Budget("b", RATE, 500_000, 10, 1000, 0, 0)
-    told = asked(*((rng.below(2000), 400, 300 + rng.below(101), rng.fraction()) for _ in range(1000)))
+    demand_rows = asked(*((rng.below(2000), 400, 300 + rng.below(101), rng.fraction()) for _ in range(1000)))
     began = time.perf_counter()
-    assert divide(budget, told, 0, update_credit(budget, told, {}))
+    assert divide(budget, demand_rows, 0, update_credit(budget, demand_rows, {}))
     assert time.perf_counter() - began < 0.5  # measured: about a hundredth of it
 
 
@@ -338,16 +338,16 @@
     ],
 )
 def test_demand_is_what_was_taken_and_refused_lately(kind: int, looks: list) -> None:
-    use, seen = BudgetUse(TAKEN[kind], closed_until=4 * S), []
+    use, results = BudgetUse(TAKEN[kind], closed_until=4 * S), []
     assert not use.consume(S, usable=True)
     use.set_share(4 * S, Share("b", 10, 10), 20 * S)
     for turn in range(400):
         at = 4 * S + turn * S // 40
         if any(at == int(now * S) for now, _, _ in looks):
-            seen.append((at / S, use.demand(at), use.used_ppm(at) // 1000))
+            results.append((at / S, use.demand(at), use.used_ppm(at) // 1000))
         if turn < 80:
             use.consume(at, usable=True)
-    assert seen == looks
+    assert results == looks
     with pytest.raises(ValueError):
         use.release(14 * S, 99)
 
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -519,23 +519,23 @@
 
 
 def test_a_clients_queue_is_bounded_and_closing_ends_what_waits(ground: Ground) -> None:
-    client, found = ground.client({"a": ground.mute()}, SLOW), []
-    client.submit(SUBMIT, found.append)
+    client, results = ground.client({"a": ground.mute()}, SLOW), []
+    client.submit(SUBMIT, results.append)
     wait_until(lambda: not client.lanes["submit"].queue)
     for _ in range(LIMITS.queue_length):
-        client.submit(SUBMIT, found.append)
+        client.submit(SUBMIT, results.append)
     with pytest.raises(errors.OverloadedError):
-        client.submit(SUBMIT, found.append)
+        client.submit(SUBMIT, results.append)
     with pytest.raises(errors.TooLargeError):
-        client.submit(orders.Submit(SUBMIT.commands * 1000), found.append)
+        client.submit(orders.Submit(SUBMIT.commands * 1000), results.append)
     began = now()
     client.close(SECOND)
     assert now() - began < SECOND
-    assert [type(one) for one in found] == [errors.UnknownFateError] + [
+    assert [type(one) for one in results] == [errors.UnknownFateError] + [
         errors.StoppingError
     ] * LIMITS.queue_length
     with pytest.raises(errors.StoppingError):
-        client.renew(BEAT, found.append)
+        client.renew(BEAT, results.append)
 
 
 def _head(**other: object) -> wire.Head:
@@ -608,7 +608,7 @@
     assert not talk(wire.Envelope(head=_head(), messages=[codec.to_message(BEATING)]), timeout=5).refused.code
     assert keeping.talk == [("relay-1", BEATING)]
     service.refuse()
-    assert [one.result(5).answer.done.code for one in slow] == ["stopping", "unknown_fate"]
+    assert [call.result(5).answer.done.code for call in slow] == ["stopping", "unknown_fate"]
     assert talk(wire.Envelope(head=_head()), timeout=5).refused.code == "stopping"
     assert stub.Renew(renewal, timeout=5).answer.done.code == "stopping" and len(keeping.orders) == 3
     service.stop(SECOND)
@@ -797,8 +797,8 @@
     # The asker's time bounds it, less what the way back wants.
     a.refuse()
     wait_until(lambda: not b.waiting)
-    for one in slow:
-        assert one.result(5).answer.done.code == "stopping"
+    for call in slow:
+        assert call.result(5).answer.done.code == "stopping"
     a.stopping, began = False, now()
     assert stub.Renew(order, timeout=0.5).answer.done.code == "unknown_fate" and now() - began < SECOND // 2
 
@@ -844,9 +844,9 @@
     peer.put(TALK[0])
     wait_until(lambda: not peer.queue)  # its thread is held up by the first call from now on
     sent = [BEATING._replace(round=n) if n % 2 else keeper.TakeOver(n) for n in range(7)]
-    for one in sent:
-        peer.put(one)
-    assert list(peer.queue) == [one for one in sent if not is_heartbeat(one)] and peer.lost == 3
+    for result in sent:
+        peer.put(result)
+    assert list(peer.queue) == [result for result in sent if not is_heartbeat(result)] and peer.lost == 3
     peer.put(BEATING)
     assert list(peer.queue) == [*sent[2::2], BEATING]
     for _ in range(4):
--- a/tests/test_fleet_coordinator.py
+++ b/tests/test_fleet_coordinator.py
@@ -311,10 +311,10 @@
 
 
 def encode(batch: Batch) -> bytes:
-    told = [
+    results = [
         [command.fence, command.mark, type(command.what).__name__, command.what] for command in batch.commands
     ]
-    return json.dumps([batch.at, batch.term, told]).encode()
+    return json.dumps([batch.at, batch.term, results]).encode()
 
 
 def decode(data: bytes) -> Batch:
@@ -477,12 +477,12 @@
         ("ask", Question("hash")),
         ("change", Keepers(("a", "b"))),
     )
-    told = [fleet.answers[fleet.call(verb, asked, other)][0] for verb, asked in calls]
-    assert {(done.code, done.told) for done in told} == {("not_leader", (("leader", leader.name),))}
+    results = [fleet.answers[fleet.call(verb, asked, other)][0] for verb, asked in calls]
+    assert {(done.code, done.told) for done in results} == {("not_leader", (("leader", leader.name),))}
     waiting = fleet.call("renew", Beat(FENCE._replace(term=0)), leader)
     fleet.carry(leader.name, leader.stop(fleet.now))
-    told = [fleet.answers[fleet.call(verb, asked, leader)][0].code for verb, asked in calls]
-    assert set(told) == {"stopping"} and waiting in fleet.answers
+    results = [fleet.answers[fleet.call(verb, asked, leader)][0].code for verb, asked in calls]
+    assert set(results) == {"stopping"} and waiting in fleet.answers
     fleet.until(
         lambda: any(desk.leader_state for desk in fleet.desks.values() if desk is not leader), 50 * MS
     )
@@ -832,7 +832,7 @@
         self.act()
 
     def restart(self) -> None:
-        self.left = tuple(one for one in self.left if one != "restart")
+        self.left = tuple(action for action in self.left if action != "restart")
         self.paused, self.answers[0] = False, ()
         self.relays[0] = Session("r0", "", SMALL, Prng(7), self.now)
         self.act()
@@ -854,7 +854,7 @@
         return Command(None, 0, Grant("x", tuple(changes))) if changes else None
 
     def lead(self) -> None:
-        self.left = tuple(one for one in self.left if one != "lead")
+        self.left = tuple(action for action in self.left if action != "lead")
         self.heard, self.live = [None] * 2, self.counted_anew()
         self.lapses = tuple(self.members().take_expired(self.now))
 
@@ -862,7 +862,7 @@
         return Members(SMALL, self.now, [session.number for session in self.books.sessions()]).by_session
 
     def pause(self) -> None:
-        self.left, self.paused = tuple(one for one in self.left if one != "pause"), True
+        self.left, self.paused = tuple(action for action in self.left if action != "pause"), True
 
     def wake(self) -> None:
         self.paused = False
@@ -965,7 +965,9 @@
             fleet.pass_time(start + theirs)
         if true >= resumes[0]:
             live = fleet.desks["a"].books.sessions()
-            faults += relay.is_usable(mine) and all(one.fence != relay.fence for one in live)
+            faults += relay.is_usable(mine) and all(
+                session_number.fence != relay.fence for session_number in live
+            )
             for token in [token for token in asked if token in fleet.answers and rng.below(3)]:
                 relay.answered(mine, asked.pop(token), fleet.answers[token][0])
             if relay.due() <= mine:
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -116,10 +116,16 @@
     def step(self) -> None:
         """Goes on to the next moment at which something happens."""
         awake = sorted(set(self.cores) - self.sleepers())
-        dues = [self.cores[name].due() for name in awake] + [one[0] for one in self.wire if one[3] in awake]
+        dues = [self.cores[name].due() for name in awake] + [
+            envelope[0] for envelope in self.wire if envelope[3] in awake
+        ]
         self.now = max(self.now, min([*dues, self.now + BOUNDS.heartbeat]))
-        ripe = sorted(one for one in self.wire if one[0] <= self.now and one[3] not in self.sleepers())
-        self.wire = [one for one in self.wire if one not in ripe]
+        ripe = sorted(
+            envelope
+            for envelope in self.wire
+            if envelope[0] <= self.now and envelope[3] not in self.sleepers()
+        )
+        self.wire = [envelope for envelope in self.wire if envelope not in ripe]
         for _, _, sender, to, message in ripe:
             if to in self.cores and (sender, to) not in self.cut:
                 self.say(sender, to, message)
@@ -138,8 +144,8 @@
         self.run(lambda: self.now >= end)
 
     def leading(self) -> str:
-        found = [name for name, one in sorted(self.cores.items()) if one.role == LEADER]
-        return max(found, key=lambda name: self.cores[name].term, default="")
+        results = [name for name, one in sorted(self.cores.items()) if one.role == LEADER]
+        return max(results, key=lambda name: self.cores[name].term, default="")
 
     def lead(self, name: str = "a") -> Core:
         """Has a keeper become leader, and all others know it."""
@@ -482,7 +488,7 @@
     fleet.cut, seen = set(), 0
     while fleet.cores["c"].commit < fleet.cores["a"].last:
         fleet.step()
-        for one in [one for one in fleet.wire if isinstance(one[4], messages.Piece)]:
+        for one in [envelope for envelope in fleet.wire if isinstance(envelope[4], messages.Piece)]:
             seen += 1
             if seen == lost:
                 fleet.wire.remove(one)
@@ -503,7 +509,7 @@
     assert fleet.refused[3] == "unfit_change"
     fleet.read("a", 2)
     assert fleet.refused[2] == "overloaded"
-    with_entries = [one[4] for one in fleet.wire if one[3] == "b" and one[4].entries]
+    with_entries = [envelope[4] for envelope in fleet.wire if envelope[3] == "b" and envelope[4].entries]
     assert len(with_entries) == BOUNDS.max_in_flight
     fleet.run(lambda: lead.commit == lead.last, BOUNDS.election_timeout)
 
@@ -516,12 +522,16 @@
     while not fleet.same():
         fleet.step()
         sizes = [
-            sum(len(entry.data) + 32 for entry in one[4].entries)
-            for one in fleet.wire
-            if isinstance(one[4], messages.Append)
+            sum(len(entry.data) + 32 for entry in envelope[4].entries)
+            for envelope in fleet.wire
+            if isinstance(envelope[4], messages.Append)
         ]
         assert max(sizes, default=0) <= BOUNDS.max_batch_bytes
-        refused |= {one[1] for one in fleet.wire if isinstance(one[4], messages.Appended) and not one[4].ok}
+        refused |= {
+            envelope[1]
+            for envelope in fleet.wire
+            if isinstance(envelope[4], messages.Appended) and not envelope[4].ok
+        }
     assert len(refused) <= 3 and fleet.books["c"] == fleet.books["a"]
 
 
@@ -563,7 +573,7 @@
     fleet.part("b")
     fleet.carry("a", fleet.cores["a"].hand_over(fleet.now, "c"))
     for _ in range(60):
-        fleet.wire = [one for one in fleet.wire if not getattr(one[4], "marks", ())]
+        fleet.wire = [envelope for envelope in fleet.wire if not getattr(envelope[4], "marks", ())]
         if fleet.cores["c"].commit > former.entries[-1].index:
             break
         fleet.step()
@@ -630,10 +640,10 @@
         for kept in disks:
             last = kept.entries[-1].index if kept.entries and kept.entries[-1].term == kept.term else 0
             held = messages.Mark(kept.disk, kept.term, last)
-            found = any(stale_disk.is_older(held, fleet.cores[name].marks.of("c")) for name in "ab")
-            assert found >= stale_disk.is_older(held, told[-1]), (held, told[-1])
-            refused += found
-        assert not found, "its newest disk is not let in"
+            is_known = any(stale_disk.is_older(held, fleet.cores[name].marks.of("c")) for name in "ab")
+            assert is_known >= stale_disk.is_older(held, told[-1]), (held, told[-1])
+            refused += is_known
+        assert not is_known, "its newest disk is not let in"
     assert refused > 1000 and "c" in fleet.leaders.values()
 
 
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -51,9 +51,9 @@
 def rows() -> dict[str, tuple[str, str]]:
     """Returns the page's table of errors: what happened and what to do, by code."""
     table = DOC.read_text().partition("## All errors")[2].partition("\n## ")[0]
-    found = re.findall(r"^\| `(\w+)` \| (.+?) \| (.+?) \|(?: .*\|)?$", table, re.M)
-    assert len(found) == len({code for code, _, _ in found}), "a code has two rows"
-    return {code: (what, do) for code, what, do in found}
+    table_rows = re.findall(r"^\| `(\w+)` \| (.+?) \| (.+?) \|(?: .*\|)?$", table, re.M)
+    assert len(table_rows) == len({code for code, _, _ in table_rows}), "a code has two rows"
+    return {code: (what, do) for code, what, do in table_rows}
 
 
 def test_the_page_has_the_same_sentences_for_each_code_and_no_code_more() -> None:
@@ -66,12 +66,14 @@
 
 @pytest.mark.parametrize("kind", ERRORS_BY_CODE.values(), ids=ERRORS_BY_CODE)
 def test_an_error_says_what_happened_to_what_and_what_to_do(kind: type[FleetError]) -> None:
-    told = figures(kind)
-    error = kind("relay-7", **told)
-    text, said = str(error), kind.problem.format(**told)
+    error_figures = figures(kind)
+    error = kind("relay-7", **error_figures)
+    text, said = str(error), kind.problem.format(**error_figures)
     assert text == f"relay-7: {said}; {kind.remedy}"
     assert (
-        all(str(value) in said for value in told.values()) and kind.remedy and "{" not in kind.remedy + said
+        all(str(value) in said for value in error_figures.values())
+        and kind.remedy
+        and "{" not in kind.remedy + said
     )
     assert error.fields() == {"fault": kind.code, "to": "relay-7", "what": said, "do": kind.remedy}
     # To another process and back.
@@ -81,11 +83,11 @@
     assert (
         type(back) is kind
         and str(back) == text
-        and back.figures == told
+        and back.figures == error_figures
         and back.is_temporary == kind.is_temporary
     )
     # With a figure missing it is unreadable, and never a fault of whoever hears it.
-    if told:
+    if error_figures:
         assert isinstance(errors.error_from_code(kind.code, "relay-7", {}), errors.UnreadableError)
 
 
--- a/tests/test_fleet_plain.py
+++ b/tests/test_fleet_plain.py
@@ -129,8 +129,10 @@
     choices.start(known, news)
     for step in range(600):
         scheduler.time += 1 + rng.below(SECOND // 20)
-        due = [one for one in scheduler.waiting if one[0] <= scheduler.time]
-        scheduler.waiting = [one for one in scheduler.waiting if one[0] > scheduler.time]
+        due = [timer_entry for timer_entry in scheduler.waiting if timer_entry[0] <= scheduler.time]
+        scheduler.waiting = [
+            timer_entry for timer_entry in scheduler.waiting if timer_entry[0] > scheduler.time
+        ]
         for _, work in due:
             told("timer", "beat")
             work()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -203,8 +203,8 @@
     wait_until(lambda: fleet.state("m1").startswith("held") and fleet.fence("m1"), HELD)
     new = fleet.fence("m1")
     assert new.session > old.session and new.boot == old.boot + 1
-    told = [line.partition("state=")[2].split()[0] for line in fleet.said("m1", "session is now")[states:]]
-    assert told == ["lapsed", "opening", "held"]
+    results = [line.partition("state=")[2].split()[0] for line in fleet.said("m1", "session is now")[states:]]
+    assert results == ["lapsed", "opening", "held"]
     assert fleet.give(old, 1 << 20, GiveBack("resends", 0)).code == "fenced_off"
 
 
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize("kind", ["torn", "older"])
 def test_a_disk_that_lost_something_takes_no_part(fleet: Seen, kind: str) -> None:
     leader = fleet.leader()
-    name = next(one for one in KEEPERS if one != leader)
+    name = next(keeper for keeper in KEEPERS if keeper != leader)
     node = fleet.host.nodes[name]
     node.back_up_data("older")
     fleet.a_lease_passes()
--- a/tests/test_fleet_routing.py
+++ b/tests/test_fleet_routing.py
@@ -49,10 +49,10 @@
     an answer that a gave to the one who forwarded, '=' an answer; '+' time passes until leaders are asked
     again.
     """
-    routes, now, told = LeaderRoutes(("a", "b", "c"), turn, REST), 0, []
+    routes, now, results = LeaderRoutes(("a", "b", "c"), turn, REST), 0, []
     tried = routes.first(now)
     for step in (*steps.split(), None):
-        told.append(tried.keeper + ">" * tried.hand_on)
+        results.append(tried.keeper + ">" * tried.hand_on)
         match step and tuple(step):
             case ("x",):
                 tried = routes.unheard(now, tried)
@@ -75,7 +75,7 @@
             case ("+",):
                 now += REST
                 tried = routes.first(now)
-    return told
+    return results
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -29,17 +29,23 @@
 
 def test_the_example_becomes_terms_with_units_and_defaults(tmp_path: Path) -> None:
     fleet = read(tmp_path, EXAMPLE)
-    found = terms.terms(fleet)
-    assert (found.fleet, found.lease, found.renew_interval, found.drift, found.sessions) == (
+    fleet_terms = terms.terms(fleet)
+    assert (
+        fleet_terms.fleet,
+        fleet_terms.lease,
+        fleet_terms.renew_interval,
+        fleet_terms.drift,
+        fleet_terms.sessions,
+    ) == (
         "agenda",
         12_000_000,
         2_500_000,
         1000,
         1000,
     )
-    assert found.bounds == Bounds(250_000, 1_250_000, 256 << 10, 16, 256 << 10, 4096)
-    assert found.keepers.voters == ("r-1", "r-2", "r-3") and found.snapshot_every == 4096
-    assert found.budgets == (
+    assert fleet_terms.bounds == Bounds(250_000, 1_250_000, 256 << 10, 16, 256 << 10, 4096)
+    assert fleet_terms.keepers.voters == ("r-1", "r-2", "r-3") and fleet_terms.snapshot_every == 4096
+    assert fleet_terms.budgets == (
         Budget("cold-work", "rate", 24, 0, 250, 0, 0),
         Budget("connections", "level", 500, 1, 250, 0, 30_030_001),
         Budget("directory-calls", "count", 1000, 4, 250, 10_010_001, 0),
@@ -135,9 +141,9 @@
 )
 def test_a_fault_is_named_with_its_line(tmp_path: Path, old: str, new: str, words: str) -> None:
     assert EXAMPLE.count(old) >= 1
-    found = read(tmp_path, EXAMPLE.replace(old, new, 1))
-    at = [one for one in found if words in one]
-    assert at, found
+    problems = read(tmp_path, EXAMPLE.replace(old, new, 1))
+    at = [one for one in problems if words in one]
+    assert at, problems
     name, line, _ = at[0].split(":", 2)
     # Of a tag over two lines the parser tells the second.
     assert name == str(tmp_path / "fleet.xml")
@@ -160,8 +166,8 @@
     ],
 )
 def test_a_fault_of_the_whole_is_named(tmp_path: Path, text: str, words: str) -> None:
-    found = read(tmp_path, text)
-    assert any(words in one for one in found), found
+    problems = read(tmp_path, text)
+    assert any(words in one for one in problems), problems
 
 
 @pytest.mark.parametrize(
@@ -179,5 +185,5 @@
     (tmp_path / "roots").mkdir()
     for name in ("image", "director"):
         (tmp_path / "roots" / f"{name}.json").write_text("{}")
-    found = read(tmp_path, EXAMPLE.replace("</operator>", f"{front}</operator>"))
-    assert any(words in one for one in found) if words else isinstance(found, settings.Fleet), found
+    problems = read(tmp_path, EXAMPLE.replace("</operator>", f"{front}</operator>"))
+    assert any(words in one for one in problems) if words else isinstance(problems, settings.Fleet), problems
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -223,7 +223,7 @@
     assert (after.term, after.vote, after.entries[-1:]) == (8, "a", LAST.entries) and len(old) == len(new)
     hurt.mkdir()
     places = [at for at in range(len(new)) if old[at] != new[at]]
-    found = []
+    results = []
     for row in (places, places[::-1]):
         torn = bytearray(old)
         for at in row[:-1]:
@@ -231,12 +231,12 @@
             (hurt / FILE_NAME).unlink(missing_ok=True)
             (hurt / FILE_NAME).write_bytes(torn)
             try:
-                found.append(kept(hurt))
+                results.append(kept(hurt))
             except errors.DamagedBooksError:
                 refused += 1
     # As before, too, while only free room of a page has changed.
-    assert all(one in (before, after) for one in found)
-    assert refused + len(found) == 2 * len(places) - 2 and refused > 100
+    assert all(one in (before, after) for one in results)
+    assert refused + len(results) == 2 * len(places) - 2 and refused > 100
 
 
 class Amid:
@@ -466,10 +466,10 @@
 
 def test_what_came_goes_to_the_desk_with_a_time_from_after_it_came() -> None:
     """A time read before this thread waited would count a lease from before the relay asked."""
-    desk, ticks, seen = Scripted(), itertools.count(1), []
+    desk, ticks, results = Scripted(), itertools.count(1), []
 
     def noted(now: int, *of: object) -> Acts:
-        seen.append((now, came[0]))
+        results.append((now, came[0]))
         return Acts(answers=((of[0], Done("yes")),) if isinstance(of[0], int) else ())
 
     desk.submit = desk.renew = desk.ask = desk.change = desk.hear = noted
@@ -481,8 +481,8 @@
             assert ask(None).result(10) == Done("yes")
         came[0] = next(ticks)
         replica.heard("b", TakeOver(1))
-        until(lambda: len(seen) == 5 * (turn + 1))  # noqa: B023
-    assert all(now > after for now, after in seen)
+        until(lambda: len(results) == 5 * (turn + 1))  # noqa: B023
+    assert all(now > after for now, after in results)
     assert replica.stop(1_000_000)
 
 
--- a/tests/test_fleet_transfer_processes.py
+++ b/tests/test_fleet_transfer_processes.py
@@ -124,8 +124,8 @@
     path.write_text(head + new + rest)
     with pytest.raises(reading.OperatorError) as error:
         reading.read(str(path))
-    told = [line for line in str(error.value).splitlines() if words in line]
-    assert told and f":{head.count(chr(10)) + 1}:" in told[0]
+    results = [line for line in str(error.value).splitlines() if words in line]
+    assert results and f":{head.count(chr(10)) + 1}:" in results[0]
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_fleet_transfers.py
+++ b/tests/test_fleet_transfers.py
@@ -468,7 +468,7 @@
     played.at = 300 * S + 1
     for resource, amount in (("a>b", links[0].capacity // 3), ("c", 4)):
         played.give(None, Shrink(resource, amount, 600))
-    books, told, earnings = played.books, [], 0
+    books, results, earnings = played.books, [], 0
     assert books.over_reserved()
     for _ in range(4):
         capacity = plan.capacity_from(books.resources(), books.free_capacity, 600, 300, S, 10)
@@ -486,12 +486,12 @@
             elif job.state == reservations.RECALLED:
                 new = Move(job.job.name, plan.to_stretches(capacity, changes.plan[job.job.name]))
                 assert played.give(played.fences[0], new).code in ("", "capacity_taken")
-        told += (now := played.give(None, Recall(changes.recall)).value)
+        results += (now := played.give(None, Recall(changes.recall)).value)
         assert not any(played.give(played.fences[0], Move(name, ())).code for name in now)
-    assert not books.over_reserved() and told and len(told) == len(set(told))
+    assert not books.over_reserved() and results and len(results) == len(set(results))
     assert all(job.state == reservations.RESERVED for job in books.jobs())
     all_of_it = sum(want.job.earnings for want in wants if want.job.name in made)
-    assert earnings < all_of_it // 2, (earnings, all_of_it, len(told))
+    assert earnings < all_of_it // 2, (earnings, all_of_it, len(results))
 
 
 def test_no_plan_names_a_link_that_bytes_are_not_sent_by() -> None:
@@ -703,8 +703,8 @@
 
 
 def test_jobs_as_they_come_earn_nearly_what_a_plan_made_beforehand_would() -> None:
-    found = [Closed(seed).run() for seed in range(1, 5)]
-    assert sum(found) / len(found) > 0.85 and min(found) > 0.75, found
+    results = [Closed(seed).run() for seed in range(1, 5)]
+    assert sum(results) / len(results) > 0.85 and min(results) > 0.75, results
 
 
 # Pacing
--- a/tests/test_fleet_workflow_processes.py
+++ b/tests/test_fleet_workflow_processes.py
@@ -72,12 +72,12 @@
 
     def effects(self, mark: str) -> list[str]:
         """Returns effects in the order in which they came to the units."""
-        found = [
+        results = [
             (one.at, f"{one.kind} {one.thing.partition('.')[0]}")
             for one in self.ledger.effects
             if one.thing.endswith(f"-{mark}")
         ]
-        return [what for _, what in sorted(found)]
+        return [what for _, what in sorted(results)]
 
 
 @pytest.fixture(scope="module")
@@ -253,13 +253,16 @@
 
     A word with a `?` came without effect.
     """
-    ones = [
+    results = [
         (Effect(at, *word.strip("?").split("."), "", ""), word[-1] != "?")
         for at, word in enumerate(words.split())
     ]
-    ones = [(one._replace(thing=one.thing + ".m"), effect) for one, effect in ones]
+    results = [(one._replace(thing=one.thing + ".m"), effect) for one, effect in results]
     return workflow_checks.group_by_mark(
-        ["m"], [one for one, _ in ones], [one for one, effect in ones if effect], frozenset(["device.m"])
+        ["m"],
+        [one for one, _ in results],
+        [one for one, effect in results if effect],
+        frozenset(["device.m"]),
     )
 
 
--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -204,7 +204,7 @@
     path.write_text(EXAMPLE.replace(old, new, 1))
     ran = CliRunner().invoke(cli.main, ["check", "-o", str(path)])
     line = EXAMPLE[: EXAMPLE.index(old)].count("\n") + 1
-    said = [
+    results = [
         splitline
         for splitline in ran.output.splitlines()
         if splitline.startswith(f"{path}:{line}: workflow booking: ")
@@ -213,8 +213,10 @@
     monkeypatch.setattr(reading.validation, "find_faults", lambda *_: [])
     found = workflows.to_definitions(reading.read(str(path)).fleet, ROUTES)["booking"]
     taken = any(not begun(found, values) for values in GIVEN)
-    assert (ran.exit_code, bool(said), taken) == ((2, True, False) if words else (0, False, True)), ran.output
-    assert not words or any(words in one for one in said), ran.output
+    assert (ran.exit_code, bool(results), taken) == ((2, True, False) if words else (0, False, True)), (
+        ran.output
+    )
+    assert not words or any(words in one for one in results), ran.output
 
 
 def test_a_second_of_one_name_is_named(tmp_path: Path) -> None:
--- a/tests/test_fleet_workflows.py
+++ b/tests/test_fleet_workflows.py
@@ -374,7 +374,7 @@
             self.there.discard(what.step)
         else:
             self.seen["out_of_order"] += any(
-                one not in self.there for one in range(what.step) if steps[one].undo is not None
+                number not in self.there for number in range(what.step) if steps[number].undo is not None
             )
             self.there |= {what.step} if steps[what.step].effect else set()
             self.point_ran |= what.step == self.definition.no_return_index()
@@ -525,16 +525,16 @@
 
 def test_a_herd_is_taken_evenly_and_at_its_pace() -> None:
     live = tuple(range(11, 31))
-    herd = {one: 3 for one in range(1, 1001)}
-    relays = {one: Takeover(PACE) for one in live}
+    herd = {number: 3 for number in range(1, 1001)}
+    relays = {session_number: Takeover(PACE) for session_number in live}
     held = dict.fromkeys(live, 0)
     for beat in range(30):
         for me, takeover in relays.items():
             for _ in range(2):
                 requests = takeover.requests(beat * PACE.interval, tuple(herd.items()), live, me, held[me])
                 assert len(requests) <= PACE.max_requests
-                for one in requests:
-                    assert one.former == herd.pop(one.workflow)
+                for request in requests:
+                    assert request.former == herd.pop(request.workflow)
                     held[me] += 1
     assert not herd and min(held.values()) > 30 and max(held.values()) <= PACE.max_owned, held
 
--- a/tests/test_lab_keepers.py
+++ b/tests/test_lab_keepers.py
@@ -76,17 +76,17 @@
         "tries: 101 of 100: r1 50, r2 30, r3 1"
     ]
     gone = lost_commands([(1, "r1", ("x", 1)), (2, "r1", ("x", 2))], {("x", 1)})
-    assert [(one.check, one.at) for one in gone] == [("committed_lost", 2)]
+    assert [(breach.check, breach.at) for breach in gone] == [("committed_lost", 2)]
 
 
 @pytest.mark.parametrize("kind", sorted(KINDS))
 def test_short_runs_hold_and_end_with_a_leader(kind: str) -> None:
     ran = [keepers.simulate(seed, kind, SHORT, SETTLES) for seed in range(8)]
-    assert [(one.seed, one.breaches[:2]) for one in ran if one.breaches] == []
-    assert [one.seed for one in ran if one.leaderless] == []
-    assert sum(one.commands for one in ran) >= 40 and not any(one.undecided for one in ran)
-    assert kind != "disks" or any(one.refused_disks for one in ran)
-    assert kind != "hands" or sum(one.forwarded for one in ran) >= 20
+    assert [(run.seed, run.breaches[:2]) for run in ran if run.breaches] == []
+    assert [run.seed for run in ran if run.leaderless] == []
+    assert sum(run.commands for run in ran) >= 40 and not any(run.undecided for run in ran)
+    assert kind != "disks" or any(run.refused_disks for run in ran)
+    assert kind != "hands" or sum(run.forwarded for run in ran) >= 20
 
 
 def test_one_seed_is_one_run_whatever_else_differs() -> None:
@@ -94,7 +94,7 @@
         "from laurelcourse.lab import keepers; "
         "print(keepers.simulate(5, 'all', 900_000, 500_000).fingerprint)"
     )
-    told = {
+    results = {
         subprocess.run(
             [sys.executable, "-c", words],
             cwd=ROOT,
@@ -105,8 +105,8 @@
         ).stdout.strip()
         for salt in ("1", "2")
     }
-    assert told == {keepers.simulate(5, "all", 900_000, 500_000).fingerprint}
-    assert keepers.simulate(6, "all", 900_000, 500_000).fingerprint not in told
+    assert results == {keepers.simulate(5, "all", 900_000, 500_000).fingerprint}
+    assert keepers.simulate(6, "all", 900_000, 500_000).fingerprint not in results
 
 
 # by check: a kind of run, and how many seeds of it are tried at most
--- a/tests/test_lab_transfers.py
+++ b/tests/test_lab_transfers.py
@@ -30,12 +30,12 @@
 
 @pytest.mark.parametrize("count, ratio", [(MIN_REQUESTS, 3.0), (MIN_REQUESTS - 1, -1)])
 def test_the_ratio_is_of_what_was_measured_on_both_sides(count: int, ratio: float) -> None:
-    took = [
+    results = [
         Latency(at + number / 1000, seconds)
         for at, seconds in ((1, 0.002), (3, 0.006), (5, 0.9))
         for number in range(count if at == 3 else MIN_REQUESTS)
     ]
-    told = compare_latencies(took, (1.0, 2.0), (3.0, 4.0))
+    told = compare_latencies(results, (1.0, 2.0), (3.0, 4.0))
     assert told["reqs_p99_ratio"] == ratio and told["reqs_p99_beside_ms"] == 6.0
     assert (told["reqs_without"], told["reqs_beside"]) == (MIN_REQUESTS, count)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -308,21 +308,21 @@
 
 def test_one_wait_leaves_nothing_behind_for_the_next(scheduler: Scheduler) -> None:
     near, far = socket.socketpair()
-    found, box = [], Mailbox(scheduler)
+    results, box = [], Mailbox(scheduler)
 
     def wait() -> None:
         for _ in range(2):
             began = scheduler.now()
             reason = scheduler.wait(near.fileno(), READ, box, began + 20_000)
-            found.append((reason, scheduler.now() - began >= 20_000))
+            results.append((reason, scheduler.now() - began >= 20_000))
         far.send(b"x")
         box.put(1)
-        found.append(scheduler.wait(near.fileno(), READ, until=scheduler.now() + 20_000))
-        found.append(scheduler.wait(near.fileno(), READ, box, scheduler.now() + 20_000))
+        results.append(scheduler.wait(near.fileno(), READ, until=scheduler.now() + 20_000))
+        results.append(scheduler.wait(near.fileno(), READ, box, scheduler.now() + 20_000))
 
     task = scheduler.spawn(wait)
     scheduler.run(lambda: task.dead)
-    assert found == [(LATE, True), (LATE, True), IO, MAIL] and not scheduler.waiting
+    assert results == [(LATE, True), (LATE, True), IO, MAIL] and not scheduler.waiting
 
 
 def test_waits_that_are_over_leave_the_heap_and_their_tasks(scheduler: Scheduler) -> None:
@@ -340,25 +340,25 @@
 def test_a_closed_descriptor_wakes_its_own_task_alone(scheduler: Scheduler) -> None:
     near, _far = socket.socketpair()
     other, sender = socket.socketpair()
-    found = []
+    results = []
 
     def first() -> None:
-        found.append(scheduler.wait(near.fileno(), READ))
+        results.append(scheduler.wait(near.fileno(), READ))
 
     def second() -> None:
         number = near.fileno()
         scheduler.forget(number)
         near.close()
         os.dup2(other.fileno(), number)
-        found.append(scheduler.wait(number, READ, until=scheduler.now() + 20_000))
+        results.append(scheduler.wait(number, READ, until=scheduler.now() + 20_000))
         sender.send(b"x")
-        found.append(scheduler.wait(number, READ, until=scheduler.now() + 1_000_000))
+        results.append(scheduler.wait(number, READ, until=scheduler.now() + 1_000_000))
         os.close(number)
 
     scheduler.spawn(first)
     task = scheduler.spawn(second)
     scheduler.run(lambda: task.dead)
-    assert found == [SHUT, LATE, IO]
+    assert results == [SHUT, LATE, IO]
 
 
 def test_a_task_that_dies_takes_nothing_with_it() -> None:
@@ -491,14 +491,14 @@
     }
     exchange = Exchange(scheduler, limits(SettingsTree(root)), True, Counters())
     pool = Pool(scheduler, exchange.limits, exchange.greet, Counters())
-    tries, box, found = TryRunner(scheduler, pool, exchange, Counters()), Mailbox(scheduler), []
+    tries, box, results = TryRunner(scheduler, pool, exchange, Counters()), Mailbox(scheduler), []
     listed = face.Listed(7, "a", 0, 1, face.READY, 1.0, face.START_UNKNOWN_US)
     changes = {"build": {"build": 2}, "since": {"started_at": 5}, "gone": {"health": face.GONE}}
 
     def work() -> None:
         pool.update_units([(listed, (STAND_IN_HOST, stand.port))], True)
         tries.probe(7, box)
-        found.append(box.get()[:2])
+        results.append(box.get()[:2])
         if between in changes:
             pool.update_units([(listed._replace(**changes[between]), (STAND_IN_HOST, stand.port))], False)
             pool.update_units([(listed, (STAND_IN_HOST, stand.port))], False)
@@ -506,12 +506,12 @@
             stand.connections[0].shutdown(socket.SHUT_RDWR)
         scheduler.sleep(0 if between == "at once" else 80_000)
         tries.begin(0, 7, 1_000_000, postgres.parse_statement(build_query().encode()), box)
-        found.append(box.get()[3])
+        results.append(box.get()[3])
 
     task = scheduler.spawn(work)
     scheduler.run(lambda: task.dead)
     stand.close()
-    assert found == [(7, face.OK), face.OK] and len(stand.connections) == connections
+    assert results == [(7, face.OK), face.OK] and len(stand.connections) == connections
     assert stand.queries[0] == "SHOW gauges" and len(stand.queries) == 2
 
 
--- a/tests/test_race_floods.py
+++ b/tests/test_race_floods.py
@@ -96,8 +96,8 @@
 def test_good_clients_lose_nothing_in_a_flood(serve: Callable[..., Served], first: bytes, how: str) -> None:
     served, over = serve(sockets=SOCKETS), threading.Event()
     kept, new = [Good(served, True) for _ in range(4)], [Good(served, False) for _ in range(2)]
-    for one in kept:
-        one.ask()
+    for client in kept:
+        client.ask()
     threads = [threading.Thread(target=bad, args=(served, first, over, how)) for _ in range(MANY)]
     threads += [threading.Thread(target=one.go_on, args=(over,)) for one in (*kept, *new)]
     for thread in threads:
@@ -113,10 +113,10 @@
     over.set()
     for thread in threads:
         thread.join(5)
-    told = [end for one in (*kept, *new) for end in one.ends]
+    results = [end for one in (*kept, *new) for end in one.ends]
     assert most <= SOCKETS and min(len(one.ends) for one in (*kept, *new)) > 2
-    assert set(told) <= {COMPLETED, SHED}
-    assert told.count(COMPLETED) * 2 > len(told)  # what is refused is told so at once, and few are
+    assert set(results) <= {COMPLETED, SHED}
+    assert results.count(COMPLETED) * 2 > len(results)  # what is refused is told so at once, and few are
     assert max(one.longest for one in (*kept, *new)) < 2  # none waits in the backlog past its time
     assert served.count("tasks_died") == served.count("module_faults") == 0
 
--- a/tests/test_race_lists.py
+++ b/tests/test_race_lists.py
@@ -288,7 +288,7 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
-        mine = {one.getsockname() for one in self.own}
+        mine = {result.getsockname() for result in self.own}
         with contextlib.suppress(OSError):
             while True:
                 conn, whose = self.sock.accept()
@@ -469,7 +469,7 @@
 
 def test_a_stream_that_breaks_behind_each_state_is_opened_ever_more_slowly() -> None:
     """A single break costs only the first pause, also after a stream that has lasted for a while."""
-    stand, scheduler, told = Breaking([0.0] * 6 + [0.6, 0.0]), Scheduler(Clock(), lambda: None), []
+    stand, scheduler, results = Breaking([0.0] * 6 + [0.6, 0.0]), Scheduler(Clock(), lambda: None), []
     found = limits(
         SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS})
     )._replace(silence=400_000, backoff_first=20_000, backoff_max=SECOND)
@@ -478,13 +478,13 @@
         SimpleNamespace(
             limits=found, settings=conftest.SETTINGS, seed=7, deployer=(STAND_IN_HOST, stand.port)
         ),
-        SimpleNamespace(stage=told.append),
+        SimpleNamespace(stage=results.append),
         Counters(),
     )
 
     def work() -> None:
         over = time.monotonic() + 20
-        while len(told) < 9 and time.monotonic() < over:
+        while len(results) < 9 and time.monotonic() < over:
             scheduler.sleep(5000)
 
     scheduler.spawn(deployer.follow)
@@ -492,7 +492,7 @@
     scheduler.run(lambda: task.dead)
     stand.close()
     pauses = [opened - broken for broken, opened in zip(stand.broken, stand.opened[1:], strict=False)]
-    assert len(pauses) == 8 and len(told) == 9, pauses
+    assert len(pauses) == 8 and len(results) == 9, pauses
     assert pauses[4] > 0.16 and pauses[5] > 0.32, pauses
     assert pauses[0] < 0.4 and pauses[6] < 0.4, pauses  # grown once more it would be half a second or more
 
@@ -583,10 +583,10 @@
     for _ in range(9):
         broken = driver.now
         driver.balancer.directory(driver.now, face.WATCH_BROKEN, [])
-        found = []
-        while (face.WATCH,) not in found:
+        results = []
+        while (face.WATCH,) not in results:
             driver.now = driver.balancer.next_wake_at
-            found = driver.balancer.timer(driver.now, "beat")
+            results = driver.balancer.timer(driver.now, "beat")
         assert (
             0
             < driver.now - broken
@@ -744,11 +744,11 @@
 
 
 def test_states_are_in_the_order_in_which_a_build_comes_to_them() -> None:
-    told = [
+    results = [
         payloads.parse_build_state({"build": build, "stage": stage, "phase": phase, "cap": 1, "age_ms": 0})
         for build, stage, phase in ORDER
     ]
-    assert sorted(reversed(told), key=payloads.progress) == told
+    assert sorted(reversed(results), key=payloads.progress) == results
 
 
 @pytest.mark.parametrize(
--- a/tests/test_race_restarts.py
+++ b/tests/test_race_restarts.py
@@ -121,8 +121,8 @@
     wait_until(lambda: "msg=stopping" in served.log.read_text())
     rest = asked(build_query("once"))
     halves.sock.sendall(rest[40:])
-    found = [one.answer()[:2] for one in (waits, unread, halves, ahead, ahead, idle)]
-    assert found == [COMPLETED] * 5 + [("", "")]
+    results = [one.answer()[:2] for one in (waits, unread, halves, ahead, ahead, idle)]
+    assert results == [COMPLETED] * 5 + [("", "")]
     assert served.process.wait(10) == 0
     assert "reqs.once.withdrawn=1" in served.log.read_text().splitlines()[-1] and len(served.queries()) == 5
 
@@ -142,7 +142,7 @@
 
 def test_an_answer_that_came_in_time_is_none_out_of_time() -> None:
     """The relay is busy from before the answer until after the try's timeout."""
-    unit, found = UnitStandIn(), []
+    unit, results = UnitStandIn(), []
     unit.mode, rig = "slow0.1", Rig(unit)
 
     def ask() -> None:
@@ -151,12 +151,12 @@
         while not unit.queries:
             rig.scheduler.sleep(SECOND // 200)
         time.sleep(0.6)
-        found.append(box.get()[3])
+        results.append(box.get()[3])
         unit.mode = "silent"
-        found.append(rig.ask(wait=SECOND // 10))
+        results.append(rig.ask(wait=SECOND // 10))
 
     rig.run(ask)
-    assert found == [face.OK, face.TIMEOUT] and not rig.faults and rig.even()
+    assert results == [face.OK, face.TIMEOUT] and not rig.faults and rig.even()
 
 
 def test_a_relay_whose_connections_are_all_in_use_blames_no_unit(serve: Callable[..., Served]) -> None:
--- a/tests/test_race_settings.py
+++ b/tests/test_race_settings.py
@@ -136,10 +136,10 @@
         self.keys: dict[int, int] = {}
 
     def listed(self, now: int, whole: bool, entries: list[face.Listed]) -> None:
-        told = {entry.unit: entry for entry in entries}
+        results = {entry.unit: entry for entry in entries}
         for name, one in self.units.items() if whole else ():
-            told.setdefault(name, one._replace(health=face.GONE))
-        for name, one in told.items():
+            results.setdefault(name, one._replace(health=face.GONE))
+        for name, one in results.items():
             self.units[name] = one
             if one.health == face.READY:
                 self.left.pop(name, None)
@@ -732,13 +732,16 @@
         )
     one.state.trial.complaint_count = 65_535
     one.complaint(now, 1, 0, "read")
-    told = []
-    while not told and now < 110 * SECOND:
+    results = []
+    while not results and now < 110 * SECOND:
         now += 10 * MS
-        told = [found[2] for found in one.timer(now, "beat") if found[0] == face.TELL and found[1] == 1]
-    other.peer(now, 0, told[0])
+        results = [
+            result[2] for result in one.timer(now, "beat") if result[0] == face.TELL and result[1] == 1
+        ]
+    other.peer(now, 0, results[0])
     assert (
-        messages.unpack(told[0], 3)[1][2:4] == (build, 65_535) and len(other.state.trial.received_rows) == 2
+        messages.unpack(results[0], 3)[1][2:4] == (build, 65_535)
+        and len(other.state.trial.received_rows) == 2
     )
 
 
@@ -820,10 +823,10 @@
         balancer.directory(now, face.FULL_LIST, fleet(u1=5, u2=5, u3=6, u4=6))
         balancer.stage(now, 6, 0, face.ON_TRIAL, False, face.COUNTED, 0.1, 0)
         votes = [
-            found
+            result
             for step in range(1, 100)
-            for found in balancer.timer(now + step * 100 * MS, "beat")
-            if found[0] == face.VOTE
+            for result in balancer.timer(now + step * 100 * MS, "beat")
+            if result[0] == face.VOTE
         ]
         assert [vote[3] for vote in votes][:1] == ([] if verdict is None else [verdict]), many
 
--- a/tests/test_race_stop.py
+++ b/tests/test_race_stop.py
@@ -107,7 +107,7 @@
     wait_until(lambda: served.count("clients_no_descriptor"))
     began = told(served)
     # None of them closes its connection: the relay does.
-    assert [one.last()[0] in FINAL for one in crowd] == [True] * 40
+    assert [client.last()[0] in FINAL for client in crowd] == [True] * 40
     assert over(served, began) < 8
 
 
--- a/tests/test_race_tries.py
+++ b/tests/test_race_tries.py
@@ -271,7 +271,7 @@
     scheduler: Scheduler, answers: list[bool], cancelled: bool, status: str, queries: int
 ) -> None:
     """The guard was asked before: as the connection was begun, and before the first byte."""
-    asked, found = iter(answers), []
+    asked, results = iter(answers), []
     pooled = Pooled(scheduler, UnitStandIn(), lambda req, number: next(asked))
     pooled.pool.idle_limit.is_wary = True
     pooled.pool.limits = pooled.tries.limits = pooled.tries.limits._replace(last_byte_delay=100_000)
@@ -281,11 +281,11 @@
         sent = pooled.tries.begin(0, 7, SECOND, REQ, pooled.box)
         if cancelled:
             scheduler.after(50_000, sent.cancel)
-        found.append(pooled.box.get())
+        results.append(pooled.box.get())
         scheduler.sleep(10_000)
 
     pooled.run(work)
-    assert found[0][:4] == (OUTCOME, 0, 7, status) and len(pooled.unit.queries) == queries
+    assert results[0][:4] == (OUTCOME, 0, 7, status) and len(pooled.unit.queries) == queries
     assert cancelled or list(asked) == []
 
 
@@ -308,7 +308,7 @@
 
 def test_the_rest_of_a_query_that_was_taken_in_part_is_looked_at(scheduler: Scheduler) -> None:
     """Another req could have ended this one by the time the unit takes more."""
-    unit, large, found, may = SlowReader(), bytes(32 << 20), [], [True]
+    unit, large, results, may = SlowReader(), bytes(32 << 20), [], [True]
     pooled = Pooled(scheduler, unit, lambda req, number: may[0])
 
     def work() -> None:
@@ -319,14 +319,14 @@
         scheduler.sleep(200_000)
         may[0] = False
         unit.go.set()
-        found.append(pooled.box.get()[3])
+        results.append(pooled.box.get()[3])
 
     pooled.run(work)
-    assert found == [face.UNSENT] and unit.over.wait(5) and unit.read < len(large)
+    assert results == [face.UNSENT] and unit.over.wait(5) and unit.read < len(large)
 
 
 def test_no_probe_goes_to_a_unit_that_is_gone(scheduler: Scheduler) -> None:
-    unit, found = HeldUnit(), []
+    unit, results = HeldUnit(), []
     unit.go.clear()
     pooled = Pooled(scheduler, unit, lambda req, number: pytest.fail("a probe has no req"))
 
@@ -336,10 +336,10 @@
         scheduler.sleep(50_000)
         pooled.list(health=face.GONE)
         unit.go.set()
-        found.append(pooled.box.get()[:2])
+        results.append(pooled.box.get()[:2])
 
     pooled.run(work)
-    assert found == [(7, face.UNSENT)] and unit.queries == [] and not pooled.pool.open_count
+    assert results == [(7, face.UNSENT)] and unit.queries == [] and not pooled.pool.open_count
 
 
 class Full:
@@ -349,9 +349,9 @@
         self.sock = socket.create_server((STAND_IN_HOST, 0), backlog=0)
         self.port, self.conns, self.queries = self.sock.getsockname()[1], [], []
         self.own = [socket.socket() for _ in range(8)]
-        for one in self.own:
-            one.setblocking(False)
-            one.connect_ex(self.sock.getsockname())
+        for result in self.own:
+            result.setblocking(False)
+            result.connect_ex(self.sock.getsockname())
 
     def close(self) -> None:
         for one in (self.sock, *self.own):
@@ -365,7 +365,7 @@
 def test_a_try_that_waits_for_a_unit_that_went_is_decided_anew_at_once(
     scheduler: Scheduler, unit: type, changed: dict
 ) -> None:
-    stand, found = unit(), []
+    stand, results = unit(), []
     if unit is HeldUnit:
         stand.go.clear()
     pooled = Pooled(scheduler, stand, lambda req, number: True)
@@ -376,12 +376,14 @@
         began = scheduler.now()
         pooled.tries.begin(0, 7, 5 * SECOND, REQ, pooled.box)
         scheduler.after(100_000, lambda: pooled.list(**changed))
-        found.extend([pooled.box.get()[3], scheduler.now() - began < 2 * SECOND])
+        results.extend([pooled.box.get()[3], scheduler.now() - began < 2 * SECOND])
 
     pooled.run(work)
     if unit is HeldUnit:
         stand.go.set()
-    assert found == [face.UNSENT, True] and pooled.pool.open_count == 0 and not pooled.pool.unit_by_connection
+    assert (
+        results == [face.UNSENT, True] and pooled.pool.open_count == 0 and not pooled.pool.unit_by_connection
+    )
 
 
 class Awaited(face.NoBudgets):
@@ -406,7 +408,7 @@
 def test_no_connection_is_begun_to_a_unit_that_went_while_a_budget_was_waited_for(
     scheduler: Scheduler, changed: dict, may: bool
 ) -> None:
-    stand, found, allowed = UnitStandIn(), [], [True]
+    stand, results, allowed = UnitStandIn(), [], [True]
     pooled = Pooled(scheduler, stand, lambda req, number: allowed[0])
     pooled.pool.budgets = shares = Awaited()
 
@@ -418,12 +420,12 @@
         pooled.list()
         pooled.tries.begin(0, 7, SECOND, REQ, pooled.box)
         scheduler.after(75_000, crossing)
-        found.append(pooled.box.get()[3])
+        results.append(pooled.box.get()[3])
         scheduler.sleep(50_000)
 
     pooled.run(work)
     sent = may and not changed
-    assert (found, len(stand.connections)) == ([face.OK if sent else face.UNSENT], int(sent))
+    assert (results, len(stand.connections)) == ([face.OK if sent else face.UNSENT], int(sent))
 
 
 @pytest.mark.parametrize(
@@ -433,18 +435,18 @@
     scheduler: Scheduler, changed: dict
 ) -> None:
     """The list comes before the try's task runs: the guard, which knows the list, refuses."""
-    stand, found = UnitStandIn(), []
+    stand, results = UnitStandIn(), []
     pooled = Pooled(scheduler, stand, lambda req, number: False)
 
     def work() -> None:
         pooled.list()
         pooled.tries.begin(0, 7, SECOND, REQ, pooled.box)
         pooled.list(**changed)
-        found.append(pooled.box.get()[3])
+        results.append(pooled.box.get()[3])
         scheduler.sleep(50_000)
 
     pooled.run(work)
-    assert found == [face.UNSENT] and not stand.connections
+    assert results == [face.UNSENT] and not stand.connections
 
 
 def test_what_a_fault_of_the_guard_leaves_open_is_not_sent(scheduler: Scheduler) -> None:
--- a/tests/test_race_units.py
+++ b/tests/test_race_units.py
@@ -211,12 +211,12 @@
 @pytest.mark.parametrize("answer", CUT)
 def test_an_answer_cut_at_each_byte_proves_no_more_than_it_said(answer: str) -> None:
     raw = CUT[answer][0]
-    rig, found = (
+    rig, results = (
         Rig(Scripted(cutting(raw, "closed")), connect_timeout=5 * WAIT),
         [],
     )  # no outcome here is one of time
-    rig.run(lambda: found.extend(rig.ask(numbered(cut), wait=5 * WAIT) for cut in range(len(raw) + 1)))
-    assert found == [expected(answer, cut) for cut in range(len(raw) + 1)]
+    rig.run(lambda: results.extend(rig.ask(numbered(cut), wait=5 * WAIT) for cut in range(len(raw) + 1)))
+    assert results == [expected(answer, cut) for cut in range(len(raw) + 1)]
     assert len(rig.stands[0].queries) == len(raw) + 1 and rig.even()
 
 
@@ -225,16 +225,16 @@
 def test_an_answer_that_stops_at_each_byte_is_served_or_may_have_run(answer: str, end: str) -> None:
     """A reset may overtake bytes, and a silent unit may go on. Only a whole row or a whole code counts."""
     raw = CUT[answer][0]
-    rig, found = Rig(Scripted(cutting(raw, end))), {}
+    rig, results = Rig(Scripted(cutting(raw, end))), {}
 
     def work() -> None:
         boxes = [Mailbox(rig.scheduler) for _ in range(len(raw) + 1)]
         for cut, box in enumerate(boxes):
             rig.begin(box, numbered(cut))
-        found.update((cut, box.get()[3]) for cut, box in enumerate(boxes))
+        results.update((cut, box.get()[3]) for cut, box in enumerate(boxes))
 
     rig.run(work)
-    for cut, status in found.items():
+    for cut, status in results.items():
         best = expected(answer, cut)
         if end == "silent" and best == face.BUSY:
             best = face.RESET  # more may follow while the connection stands
@@ -374,7 +374,7 @@
             usual(unit, conn, stream)
         unit.said.append("its end")
 
-    rig, found = Rig(Scripted(play), last_byte_delay=200_000), []
+    rig, results = Rig(Scripted(play), last_byte_delay=200_000), []
 
     def work() -> None:
         rig.pool.idle_limit.is_wary = True
@@ -382,11 +382,11 @@
         upstream_try = rig.begin(box)
         rig.scheduler.sleep(40_000)
         upstream_try.cancel()
-        found.append(box.get()[3])
+        results.append(box.get()[3])
         wait_until(lambda: rig.stands[0].said)
 
     rig.run(work)
-    assert found == [face.CANCELLED] and not rig.stands[0].queries and rig.even()
+    assert results == [face.CANCELLED] and not rig.stands[0].queries and rig.even()
 
 
 # -- connections that come up late, or never
@@ -455,36 +455,36 @@
 def test_a_greeting_ends_with_the_connect_time_out_or_the_try(
     play: Callable[..., None], wait: int, status: str, least: float, most: float
 ) -> None:
-    rig, found = Rig(Scripted(play), Scripted(usual), connect_timeout=500_000), {}
+    rig, results = Rig(Scripted(play), Scripted(usual), connect_timeout=500_000), {}
 
     def work() -> None:
         box, began = Mailbox(rig.scheduler), time.monotonic()
         rig.begin(box, wait=wait * 1000)
-        found["beside"] = rig.ask(unit=1)
-        found["status"] = box.get()[3]
-        found["after"] = time.monotonic() - began
+        results["beside"] = rig.ask(unit=1)
+        results["status"] = box.get()[3]
+        results["after"] = time.monotonic() - began
 
     rig.run(work)
-    assert (found["status"], found["beside"]) == (status, face.OK) and rig.even()
-    assert least <= found["after"] < most + 0.3
+    assert (results["status"], results["beside"]) == (status, face.OK) and rig.even()
+    assert least <= results["after"] < most + 0.3
     assert len(rig.stands[0].queries) == (status == face.OK)
 
 
 @pytest.mark.parametrize("greeting, whole", [(GREETING, None), (FATAL, face.BUSY)], ids=["usual", "full"])
 def test_a_greeting_cut_at_each_byte_has_run_nothing(greeting: bytes, whole: str | None) -> None:
-    found = []
+    results = []
 
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         hello(stream)
         conn.sendall(greeting[: len(unit.conns) - 1])
 
     rig = Rig(Scripted(play))
-    rig.run(lambda: found.extend(rig.ask() for _ in range(len(greeting))))
-    assert found == [face.UNREACHABLE] * len(greeting) and rig.even() and not rig.stands[0].queries
+    rig.run(lambda: results.extend(rig.ask() for _ in range(len(greeting))))
+    assert results == [face.UNREACHABLE] * len(greeting) and rig.even() and not rig.stands[0].queries
     if whole:
         rig = Rig(Scripted(greeted(greeting)))
-        rig.run(lambda: found.append(rig.ask()))
-        assert found[-1] == whole
+        rig.run(lambda: results.append(rig.ask()))
+        assert results[-1] == whole
 
 
 @pytest.mark.parametrize(
@@ -500,16 +500,16 @@
     connect: int, opens: float | None, status: str, least: float, most: float
 ) -> None:
     """It drops the first packet, and accepts the one that is sent again a second later, if still needed."""
-    rig, found = Rig(Scripted(usual, shut=True), connect_timeout=connect), []
+    rig, results = Rig(Scripted(usual, shut=True), connect_timeout=connect), []
     if opens:
         threading.Timer(opens, rig.stands[0].opens.set).start()
 
     def work() -> None:
         began = time.monotonic()
-        found.extend((rig.ask(wait=4_000_000), time.monotonic() - began))
+        results.extend((rig.ask(wait=4_000_000), time.monotonic() - began))
 
     rig.run(work)
-    assert found[0] == status and least <= found[1] < most and rig.even()
+    assert results[0] == status and least <= results[1] < most and rig.even()
     assert len(rig.stands[0].queries) == (status == face.OK)
 
 
@@ -524,15 +524,15 @@
         conn.recv(1, socket.MSG_PEEK)
         reset_on_close(conn)
 
-    rig, found = Rig(Scripted(play, narrow=True)), []
+    rig, results = Rig(Scripted(play, narrow=True)), []
 
     def work() -> None:
         began = time.monotonic()
-        found.extend((rig.ask(LARGE_SQL, wait=wait), time.monotonic() - began))
+        results.extend((rig.ask(LARGE_SQL, wait=wait), time.monotonic() - began))
 
     rig.run(work)
-    assert found[0] == face.UNREACHABLE and rig.even() and not rig.stands[0].queries
-    assert found[1] < wait / 1e6 + 0.3 and len(rig.stands[0].conns) in connections
+    assert results[0] == face.UNREACHABLE and rig.even() and not rig.stands[0].queries
+    assert results[1] < wait / 1e6 + 0.3 and len(rig.stands[0].conns) in connections
 
 
 # -- counted once, given back once
@@ -574,7 +574,7 @@
 def test_each_way_a_try_ends_gives_its_connection_back_once(
     play: Callable[..., None], meddle: str, status: str | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, found = Rig(Scripted(play), Scripted(usual), max_upstream=2), []
+    rig, results = Rig(Scripted(play), Scripted(usual), max_upstream=2), []
     if meddle == "refused":
         rig.stands[0].sock.close()
         rig.stands[0].port = reserve_port(host=STAND_IN_HOST)
@@ -594,7 +594,7 @@
             upstream_try.cancel()
         elif meddle == "gone":
             rig.pool.update_units([], True)
-        found.append(box.get()[3])
+        results.append(box.get()[3])
         monkeypatch.undo()
         rig.pool.greet, rig.exchange.answered = (
             rig.exchange.greet,
@@ -602,12 +602,12 @@
         )
         rig.scheduler.sleep(1000)
         rig.list()
-        found.append(rig.even())
+        results.append(rig.even())
         # All that may be open can be opened again: what rests gives way.
-        found.extend(rig.ask(unit=1) for _ in range(3))
+        results.extend(rig.ask(unit=1) for _ in range(3))
 
     rig.run(work)
-    assert found[1:] == [True] + [face.OK] * 3 and found[0] == (status or found[0])
+    assert results[1:] == [True] + [face.OK] * 3 and results[0] == (status or results[0])
     assert len(rig.faults) == meddle.startswith("fault") and rig.even()
 
 
@@ -668,7 +668,7 @@
                 unit.over.wait(5)
                 return reset_on_close(conn) if end == "reset" else None
 
-    rig, found = Rig(Scripted(play)), []
+    rig, results = Rig(Scripted(play)), []
 
     def goes(conn: Connection) -> None:
         rig.stands[0].over.set()
@@ -677,12 +677,12 @@
     between(rig, monkeypatch, goes)
 
     def work() -> None:
-        found.append(rig.ask())
+        results.append(rig.ask())
         rig.scheduler.sleep(2 * rig.limits.settle_time)
-        found.append(rig.ask())
+        results.append(rig.ask())
 
     rig.run(work)
-    assert found == [face.OK, status] and len(rig.stands[0].queries) == queries and rig.even()
+    assert results == [face.OK, status] and len(rig.stands[0].queries) == queries and rig.even()
 
 
 def at_the_next_byte(*what: bytes | None) -> Callable[..., None]:
@@ -708,18 +708,18 @@
     ids=["closed", "a row", "a byte", "turned away"],
 )
 def test_a_last_byte_that_was_held_back_does_not_follow_what_came_meanwhile(what: tuple) -> None:
-    rig, found = Rig(Scripted(at_the_next_byte(*what)), last_byte_delay=200_000), []
+    rig, results = Rig(Scripted(at_the_next_byte(*what)), last_byte_delay=200_000), []
 
     def work() -> None:
-        found.append(rig.ask())
+        results.append(rig.ask())
         rig.scheduler.sleep(2 * rig.limits.settle_time)
         rig.pool.idle_limit.is_wary = True
         box = Mailbox(rig.scheduler)
         rig.begin(box)
-        found.append(box.get()[3:7:3])
+        results.append(box.get()[3:7:3])
 
     rig.run(work)
-    assert found == [face.OK, (face.OK, ROW)] and len(rig.stands[0].queries) == 2
+    assert results == [face.OK, (face.OK, ROW)] and len(rig.stands[0].queries) == 2
     assert len(rig.stands[0].conns) == 2 and rig.even()
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -461,12 +461,12 @@
 def test_clients_beyond_the_limit_are_told_so_at_once(serve: Callable[..., Served]) -> None:
     served = serve(sockets=60, modes="slow1")
     crowd = [served.client() for _ in range((60 - 60 // 8 - 16) * 9 // 20)]
-    for one in crowd:
-        one.send(build_query())
+    for client in crowd:
+        client.send(build_query())
     wait_until(served.queries)
     late = served.client(first=pack_message(b"Q", build_query("once").encode() + b"\0"))
     assert late.answer()[:2] == ("E", "53300") and not any("c=once" in query for query in served.queries())
-    assert [one.answer()[:2] in (COMPLETED, SHED) for one in crowd] == [True] * len(crowd)
+    assert [client.answer()[:2] in (COMPLETED, SHED) for client in crowd] == [True] * len(crowd)
     crowd.pop().sock.sendall(pack_message(b"X"))
     wait_until(lambda: served.client().ask(build_query())[:2] == COMPLETED)
 
@@ -474,14 +474,14 @@
 def test_clients_that_asked_once_make_room(serve: Callable[..., Served]) -> None:
     served = serve(sockets=60)
     crowd = [served.client() for _ in range((60 - 60 // 8 - 16) * 9 // 20)]
-    for one in crowd:
-        assert one.ask(build_query())[:2] == COMPLETED
+    for client in crowd:
+        assert client.ask(build_query())[:2] == COMPLETED
     for turn in range(40):  # more in two seconds than there is room for, and fewer than a third are held
         time.sleep(0.02 if turn else 0.1)
         crowd.append(served.client())
         assert crowd[-1].ask(build_query())[:2] == COMPLETED
     assert crowd[0].answer() == ("", "", b"") and crowd[-1].ask(build_query())[:2] == COMPLETED
-    assert len(select.select([one.sock for one in crowd[1:]], [], [], 0)[0]) >= len(crowd) - 60 // 3
+    assert len(select.select([client.sock for client in crowd[1:]], [], [], 0)[0]) >= len(crowd) - 60 // 3
 
 
 def test_silent_connections_give_way_at_once(serve: Callable[..., Served]) -> None:
@@ -540,8 +540,8 @@
 def test_a_client_that_repeats_its_fault_is_slowed_and_left(shared: Served) -> None:
     client, began = shared.client(), time.monotonic()
     client.sock.sendall(pack_message(b"Q", b"HELLO\0") * 300)
-    found = [client.answer()[0] for _ in range(4)]
-    assert found == ["EZ", "EZ", "EZ", "E"] and 1 < time.monotonic() - began < 3
+    results = [client.answer()[0] for _ in range(4)]
+    assert results == ["EZ", "EZ", "EZ", "E"] and 1 < time.monotonic() - began < 3
     with contextlib.suppress(ConnectionError):
         assert client.stream.read() == b""
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,7 +38,7 @@
     sent = results[-1]
     for number, status in enumerate(statuses):
         assert verbs(results)[-1] == face.SEND
-        results = [found for found in driver.end(sent, number, status) if found[0] != face.TELL]
+        results = [result for result in driver.end(sent, number, status) if result[0] != face.TELL]
     assert verbs(results) == [last] and not driver.balancer.state.reqs
 
 
@@ -282,9 +282,9 @@
         base.add(100, 0, 100, 1100.0, 100 * (121.0 + 0.49))
     for place in range(many):
         balancer._update_posterior(0, 1, int(place % many < failed), 1, 11.0 + away)
-    found = balancer._posteriors()
+    posteriors = balancer._posteriors()
     assert sum(map(math.exp, balancer.state.trial.log_weights)) == pytest.approx(1)
-    assert [name for name in found if found[name] > 1 / (1 + rules.ROLL_BACK_ODDS)] == (
+    assert [name for name in posteriors if posteriors[name] > 1 / (1 + rules.ROLL_BACK_ODDS)] == (
         [kind] if kind else []
     )
     balancer._update_posterior(0, 400, 0, 400, 400 * 11.0)
@@ -352,9 +352,9 @@
     assert 1 not in {driver.req()[-1][2] for _ in range(6)}
     for _ in range(2):
         other.serve(40, lag=10_000)
-        for told in other.wait(0.2):
-            if told[0] == face.TELL:
-                driver.balancer.peer(driver.now, 1, told[2])
+        for result in other.wait(0.2):
+            if result[0] == face.TELL:
+                driver.balancer.peer(driver.now, 1, result[2])
     assert 1 in {driver.req()[-1][2] for _ in range(8)}
 
 
@@ -414,7 +414,7 @@
         for _ in range(60):
             sent.append(driver.req()[-1])
             driver.end(sent[-1], 0, face.OK, near if sent[-1][2] < 3 else far)
-        shares.append(sum(found[2] > 2 for found in sent[20:]) / 40)
+        shares.append(sum(result[2] > 2 for result in sent[20:]) / 40)
     assert shares[0] > 0.5 > shares[1] + 0.1 and shares[2] == 0
 
 
@@ -425,7 +425,7 @@
     driver.list(*WARM, (7, "a", 6, 90), *((unit, "a", 6, 0) for unit in range(8, 20)))
     driver.news(6)
     sent = [driver.req()[-1] for _ in range(300)]
-    assert sum(found[0] == face.SEND and found[2] == 7 for found in sent) < 300 / 17 * 2
+    assert sum(result[0] == face.SEND and result[2] == 7 for result in sent) < 300 / 17 * 2
 
 
 def test_a_relay_with_few_outcomes_goes_by_two_voters_words(
@@ -547,15 +547,15 @@
 def test_a_finer_tick_makes_neither_more_messages_nor_a_quicker_shed_limit(
     make_driver: Callable[..., BalancerDriver], relays: int
 ) -> None:
-    told, limits = [], []
+    results, limits = [], []
     for tick in (1000, 5000):
         driver = make_driver(relay_count=relays, tick=tick)
         driver.list(*[(unit, "a", 5, 90) for unit in range(60)])
         driver.req("once")
         driver.balancer.state.latency_load = 1.0
-        told.append(sum(len(found[2]) for found in driver.wait(0.5) if found[0] == face.TELL))
+        results.append(sum(len(result[2]) for result in driver.wait(0.5) if result[0] == face.TELL))
         limits.append(driver.balancer.state.concurrency_limit)
-    assert told[0] == told[1] and limits[0] == pytest.approx(limits[1], rel=0.01)
+    assert results[0] == results[1] and limits[0] == pytest.approx(limits[1], rel=0.01)
 
 
 def test_units_with_open_tries_come_first_where_a_message_holds_not_all(
@@ -565,9 +565,9 @@
     driver.list(*[(unit, "a", 5, 90) for unit in range(60)])
     for unit in (40, 59):
         driver.balancer.state.units[unit].begin_try(driver.now, 0)
-    told = [messages.unpack(found[2], 3) for found in driver.wait(1) if found[0] == face.TELL]
-    told = [loads for what, loads in told if what == messages.LOADS]
-    assert told and all(loads[40][0] == loads[59][0] == 1 for loads in told)
+    results = [messages.unpack(result[2], 3) for result in driver.wait(1) if result[0] == face.TELL]
+    results = [loads for what, loads in results if what == messages.LOADS]
+    assert results and all(loads[40][0] == loads[59][0] == 1 for loads in results)
 
 
 @pytest.mark.parametrize(
@@ -601,11 +601,13 @@
     while one.req("read", 3 * SECOND)[-1][2] != 4:
         pass
     own = one.wait(0.6 if standing else 1.1)
-    told = [messages.unpack(found[2], 3)[1] for found in own if found[0] == face.TELL and found[1] == "all"]
-    assert sum((4, 0) in doubts.units for doubts in told if isinstance(doubts, messages.Suspicions)) == 1
+    results = [
+        messages.unpack(result[2], 3)[1] for result in own if result[0] == face.TELL and result[1] == "all"
+    ]
+    assert sum((4, 0) in doubts.units for doubts in results if isinstance(doubts, messages.Suspicions)) == 1
     for teller in () if age else tellers:
         one.balancer.peer(one.now, teller, word)
-    left = [found[1] for found in one.wait(0.05) if found[0] == face.CANCEL]
+    left = [result[1] for result in one.wait(0.05) if result[0] == face.CANCEL]
     assert (one.balancer.state.units[4].ejected_until > one.now) == aside == (f"r{one.made}" in left)
     one.list(*WARM[:3], (4, "a", 5, 1))
     assert not one.balancer.state.units[4].suspicions
@@ -620,8 +622,8 @@
     driver.list(*[(unit, "a", 5, 90) for unit in range(9)])
     for _ in range(30):
         driver.req("once", 3 * SECOND)
-    found = [messages.unpack(found[2], 3)[0] for found in driver.wait(0.7) if found[0] == face.TELL]
-    assert found.count(messages.SUSPICIONS) == told
+    results = [messages.unpack(result[2], 3)[0] for result in driver.wait(0.7) if result[0] == face.TELL]
+    assert results.count(messages.SUSPICIONS) == told
     word = messages.pack_suspicions(messages.zone_code("a"), [(unit, 1) for unit in range(9)])
     for teller in (1, 2):
         driver.balancer.peer(driver.now, teller, word)
@@ -773,8 +775,8 @@
         for teller in (20, 21):
             row = (0, 5 * second, 0, 0, 0.0, 5 * second, 0, 0, 0.0, 0.0)
             driver.balancer.peer(driver.now, teller, messages.pack_sums(1, second, 6, 0, [row], 8)[0])
-        told = [messages.unpack(found[2], 3) for found in driver.wait(1) if found[0] == face.TELL]
-        words += [word.wait_ratio for what, word in told if what == messages.VOTER_REPORT]
+        results = [messages.unpack(result[2], 3) for result in driver.wait(1) if result[0] == face.TELL]
+        words += [word.wait_ratio for what, word in results if what == messages.VOTER_REPORT]
     assert max(words[len(words) // 2 :]) == pytest.approx(16 / 20, rel=0.3)
     driver.wait(3)
     assert not driver.balancer.state.fleet_wait.open_by_relay
@@ -787,11 +789,11 @@
     driver = make_driver(relay_count=300, may_message_peers=may_message_peers)
     driver.list(*WARM)
     driver.news(5, standing=2, cap=1.0)
-    told = []
+    results = []
     for _ in range(20):
         driver.end(driver.req("once")[-1], 0, face.FAILED, 5000)
-        told += driver.wait(1.1)
-    assert not driver.balancer.state.unsent_suspicions and (face.TELL in verbs(told)) == may_message_peers
+        results += driver.wait(1.1)
+    assert not driver.balancer.state.unsent_suspicions and (face.TELL in verbs(results)) == may_message_peers
 
 
 def test_doubts_that_are_over_go_and_what_changes_nothing_is_not_reckoned(
--- a/tests/test_tuf.py
+++ b/tests/test_tuf.py
@@ -52,12 +52,12 @@
 
 @pytest.fixture(scope="module")
 def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[TufRig]:
-    one = published()
+    repository = published()
     with contextlib.closing(
         TufRig(
             tmp_path_factory.mktemp("shared"),
-            {"/image/": one},
-            [MirrorStandIn({"/image/": one}) for _ in range(3)],
+            {"/image/": repository},
+            [MirrorStandIn({"/image/": repository}) for _ in range(3)],
         )
     ) as rig:
         yield rig.start()
@@ -78,21 +78,21 @@
 def test_an_unmodified_client_works_over_rotations_and_delegations(
     serve: Callable[..., TufRig], tmp_path: Path, consistent: bool
 ) -> None:
-    one = published(consistent)
-    one.delegate("targets", "dev", ["dev/*"])
-    one.add("dev/a.bin", b"dev" * 999, "dev")
-    one.publish()
-    rig = serve(one)
+    repository = published(consistent)
+    repository.delegate("targets", "dev", ["dev/*"])
+    repository.add("dev/a.bin", b"dev" * 999, "dev")
+    repository.publish()
+    rig = serve(repository)
     for turn in range(3):
-        client = updater(rig, tmp_path / f"kiosk-{turn}", one)
+        client = updater(rig, tmp_path / f"kiosk-{turn}", repository)
         client.refresh()
-        for path, data in one.data.items():
+        for path, data in repository.data.items():
             assert Path(client.download_target(client.get_targetinfo(path))).read_bytes() == data
         assert client.get_targetinfo("nowhere.bin") is None
         for role in ("root", "timestamp", "snapshot", "targets"):
-            one.rotate(role)
-        one.add(f"more-{turn}.bin", os.urandom(5000))
-        one.publish()
+            repository.rotate(role)
+        repository.add(f"more-{turn}.bin", os.urandom(5000))
+        repository.publish()
         for mirror in rig.mirrors:
             mirror.sync()
         time.sleep(0.6)  # what was proven before is given without asking for so long
@@ -103,9 +103,9 @@
     "fault", ["mixed", "forged", "flipped", "endless", "failing", "busy", "silent", "reset"]
 )
 def test_metadata_of_a_mirror_at_fault_is_never_passed_on(serve: Callable[..., TufRig], fault: str) -> None:
-    one = published()
-    rig = serve(one, mirrors=2)
-    one.publish()
+    repository = published()
+    rig = serve(repository, mirrors=2)
+    repository.publish()
     good, bad = rig.mirrors
     good.sync()
     bad.sync()
@@ -113,15 +113,15 @@
     for _ in range(4):
         for name in ("timestamp.json", "snapshot.json", "targets.json"):
             status, _, raw = rig.request(META + name)
-            assert status == 200 and raw == one.newest.metadata[name]
+            assert status == 200 and raw == repository.newest.metadata[name]
         time.sleep(0.3)
 
 
 def test_a_frozen_mirror_rests_and_the_newest_is_given(serve: Callable[..., TufRig]) -> None:
-    one = published()
-    rig = serve(one, mirrors=2)
+    repository = published()
+    rig = serve(repository, mirrors=2)
     rig.mirrors[1].sync()
-    one.publish()
+    repository.publish()
     rig.mirrors[0].sync()  # the other is frozen
     wait_until(lambda: json.loads(rig.request(META + "timestamp.json")[2])["signed"]["version"] == 2)
     for _ in range(6):
@@ -131,14 +131,14 @@
 
 
 def test_what_has_expired_is_refused_also_when_it_expires_while_serving(serve: Callable[..., TufRig]) -> None:
-    one = published(lifetime=2.0)
-    rig = serve(one)
+    repository = published(lifetime=2.0)
+    rig = serve(repository)
     assert rig.request(META + "timestamp.json")[0] == 200
     wait_until(lambda: rig.request(META + "timestamp.json")[0] == 503)
     for name in ("timestamp.json", "snapshot.json", "targets.json"):
         status, fields, _ = rig.request(META + name)
         assert status == 503 and int(fields["retry-after"]) >= 1
-    one.publish(expires=600)
+    repository.publish(expires=600)
     for mirror in rig.mirrors:
         mirror.sync()
     wait_until(lambda: rig.request(META + "timestamp.json")[0] == 200)
@@ -273,8 +273,8 @@
         sock.settimeout(10)
         sock.sendall(raw)
         with sock.makefile("rb") as stream:
-            found = stream.read()
-    assert found.startswith(f"HTTP/1.1 {status} ".encode()) and found.count(b"HTTP/1.1") == 1
+            problems = stream.read()
+    assert problems.startswith(f"HTTP/1.1 {status} ".encode()) and problems.count(b"HTTP/1.1") == 1
 
 
 def test_a_connection_is_kept_and_requests_are_answered_in_order(shared: TufRig) -> None:
@@ -286,14 +286,14 @@
         sock.settimeout(10)
         for byte in asked:
             sock.sendall(bytes([byte]))
-        told = []
+        results = []
         with sock.makefile("rb") as stream:
             for _ in range(4):
                 status = stream.readline().split()[1]
                 fields = dict(line.strip().lower().split(b": ") for line in iter(stream.readline, b"\r\n"))
-                told.append((status, stream.read(int(fields[b"content-length"]))))
-    assert [status for status, _ in told] == [b"200", b"200", b"404", b"200"]
-    assert told[1][1] == told[3][1] == SMALL
+                results.append((status, stream.read(int(fields[b"content-length"]))))
+    assert [status for status, _ in results] == [b"200", b"200", b"404", b"200"]
+    assert results[1][1] == results[3][1] == SMALL
 
 
 def test_a_file_on_a_draining_mirror_moves_within_two_seconds(serve: Callable[..., TufRig]) -> None:
@@ -333,10 +333,10 @@
 
 
 def test_a_reader_below_the_floor_is_left_and_holds_nobody_back(serve: Callable[..., TufRig]) -> None:
-    one = published()
-    one.add("huge.bin", bytes(32 << 20))
-    one.publish()
-    rig = serve(one, overrides={"limits": {"floor-over": "200ms", "floor": "64KiB/s"}})
+    repository = published()
+    repository.add("huge.bin", bytes(32 << 20))
+    repository.publish()
+    rig = serve(repository, overrides={"limits": {"floor-over": "200ms", "floor": "64KiB/s"}})
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect((RELAY_HOST, rig.ports[0]))
@@ -373,14 +373,14 @@
 def test_delegations_that_loop_or_go_deep_end_in_one_answer(
     serve: Callable[..., TufRig], depth: int, loop: bool, status: int
 ) -> None:
-    one = published()
+    repository = published()
     for place in range(depth):
-        one.delegate(f"r{place - 1}" if place else "targets", f"r{place}", ["deep.*"])
+        repository.delegate(f"r{place - 1}" if place else "targets", f"r{place}", ["deep.*"])
     if loop:
-        one.delegate(f"r{depth - 1}", "r0", ["deep.*"])
-    one.add("deep.bin", b"deep", f"r{depth - 1}")
-    one.publish()
-    rig = serve(one)
+        repository.delegate(f"r{depth - 1}", "r0", ["deep.*"])
+    repository.add("deep.bin", b"deep", f"r{depth - 1}")
+    repository.publish()
+    rig = serve(repository)
     assert rig.request(FILES + "deep.bin")[0] == status
     assert rig.request(FILES + "deep.none")[0] == 404 and rig.count_mirror_requests("/r") <= 33
 
@@ -388,25 +388,25 @@
 def test_what_was_proven_lasts_over_a_kill_and_nothing_older_is_believed_after(
     serve: Callable[..., TufRig],
 ) -> None:
-    one = published()
-    one.rotate("root")
-    one.publish(ahead=5)
-    rig = serve(one, overrides={"state": {"folder": "state"}})
+    repository = published()
+    repository.rotate("root")
+    repository.publish(ahead=5)
+    rig = serve(repository, overrides={"state": {"folder": "state"}})
     assert rig.request(META + "timestamp.json")[0] == 200
     state = rig.relays[0].folder / "state" / "image.proven"
     wait_until(state.exists)
     rig.relays[0].process.send_signal(signal.SIGKILL)
     rig.relays[0].kill()
     for mirror in rig.mirrors:
-        mirror.revision["/image/"] = one.revisions[0]
+        mirror.revision["/image/"] = repository.revisions[0]
     rig.relays[0].start()
     status, _, raw = rig.request(META + "timestamp.json")
-    assert status == 200 and raw == one.newest.metadata["timestamp.json"]
+    assert status == 200 and raw == repository.newest.metadata["timestamp.json"]
     state.write_bytes(state.read_bytes()[:-9])
     rig.relays[0].kill()
     rig.relays[0].start()
     assert "can't be used, the pinned root counts" in rig.relays[0].log.read_text()
-    assert rig.request(META + "timestamp.json")[2] == one.revisions[0].metadata["timestamp.json"]
+    assert rig.request(META + "timestamp.json")[2] == repository.revisions[0].metadata["timestamp.json"]
 
 
 UPTANE = {"uptane": {"director": "director", "image": "image", "manifests": "/director/manifest"}}
--- a/tests/test_tuf_trust.py
+++ b/tests/test_tuf_trust.py
@@ -206,9 +206,9 @@
         {},
         2,
     )
-    found = walk(trust, given)  # a mirror that has the root, and not yet the rest
+    outcome = walk(trust, given)  # a mirror that has the root, and not yet the rest
     revoked = role == "timestamp"
-    assert found[-1].verdict == (OUTDATED if revoked else UNCHANGED)
+    assert outcome[-1].verdict == (OUTDATED if revoked else UNCHANGED)
     assert trust.is_usable(now()) and trust.root.version == (2 if role == "root" else 1)
     assert last(trust, repository.newest) == VERIFIED
     assert (trust.root.version, trust.view.timestamp.version, trust.is_usable(now())) == (2, 2, True)
