--- a/tests/test_race_lists.py
+++ b/tests/test_race_lists.py
@@ -54,16 +54,16 @@
             return
         if how == "whole at once":
             self.script.insert(0, how)
-            self.reply(conn, 200, json.dumps(self.whole()))
+            self.reply(conn, 200, json.dumps(self.full_list()))
         elif how == "news at once":
             self.script.insert(0, how)
             self.revision += 1
-            self.reply(conn, 200, json.dumps(self.whole()))
+            self.reply(conn, 200, json.dumps(self.full_list()))
         elif how == "empty at once":
             self.script.insert(0, how)
-            self.reply(conn, 200, json.dumps(self.whole() | {"complete": False, "members": []}))
+            self.reply(conn, 200, json.dumps(self.full_list() | {"complete": False, "members": []}))
         elif how in ("closed", "ended"):
-            body = json.dumps(self.whole() | {"complete": False, "members": []})
+            body = json.dumps(self.full_list() | {"complete": False, "members": []})
             length = f"Content-Length: {len(body)}\r\n" if how == "closed" else ""
             conn.sendall(f"HTTP/1.1 200 OK\r\n{length}\r\n{body}".encode())
             self.answered.append(time.monotonic())
--- a/tests/test_race_restarts.py
+++ b/tests/test_race_restarts.py
@@ -77,7 +77,7 @@
     clients, unit = [served.client() for _ in range(4)], served.units[0]
     for client in clients:
         client.send(build_query("once"))
-    wait_until(lambda: len(unit.conns) == 4)
+    wait_until(lambda: len(unit.connections) == 4)
     served.count("notices")
     stopped(served.process)
     for client in clients:
@@ -108,7 +108,7 @@
     waits, unread, halves, ahead, gone, idle = clients
     for one in (waits, gone):
         one.send(build_query("once"))
-    wait_until(lambda: len(unit.conns) == 2)
+    wait_until(lambda: len(unit.connections) == 2)
     halves.sock.sendall(asked(build_query("once"))[:40])
     served.count("notices")
     stopped(served.process)
--- a/tests/test_race_tries.py
+++ b/tests/test_race_tries.py
@@ -55,9 +55,9 @@
 
     def send(self, words: str, client: PgClient | None = None) -> None:
         """Sends a req whose try waits for its connection to the late unit."""
-        before = len(self.late.conns)
+        before = len(self.late.connections)
         (client or self.client).send(words)
-        wait_until(lambda: len(self.late.conns) > before)
+        wait_until(lambda: len(self.late.connections) > before)
 
     def list(self, change: Callable[[dict], None], *others: UnitStandIn) -> None:
         """Sends a list in which the late unit is changed and which names others, and waits until it is
@@ -96,9 +96,9 @@
             branch[last] = value
         monkeypatch.setattr(conftest, "PLATFORM_SETTINGS", settings)
         monkeypatch.setattr(conftest, "UnitStandIn", HeldUnit)
-        put = conftest.DirectoryStand.put
+        put = conftest.DirectoryStandIn.put
         monkeypatch.setattr(
-            conftest.DirectoryStand,
+            conftest.DirectoryStandIn,
             "put",
             lambda self, name, *rest, **more: (put(self, name, *rest, **more) if name == "s-0" else None),
         )
@@ -205,7 +205,7 @@
     wait_until(lambda: first.queries)
     crossing.list(change(phase="active"))
     first.mode = "failed"
-    wait_until(lambda: late.conns)
+    wait_until(lambda: late.connections)
     if not queries:
         time.sleep(max(first.times[0] + memory + 0.02 - time.monotonic(), 0.0))
     late.go.set()
@@ -223,7 +223,8 @@
     assert crossing.late.queries == [] and crossing.served.count("tries.unsent") == 1
     time.sleep(0.06)  # its connection has rested
     assert (
-        crossing.served.client().ask(build_query("once"))[:2] == COMPLETED and len(crossing.late.conns) == 1
+        crossing.served.client().ask(build_query("once"))[:2] == COMPLETED
+        and len(crossing.late.connections) == 1
     )
 
 
--- a/tests/test_race_units.py
+++ b/tests/test_race_units.py
@@ -61,15 +61,15 @@
         super().__init__()
         self.first = []
         if shut:
-            self.sock.listen(0)  # holds one connection, and this is it
+            self.listener.listen(0)  # holds one connection, and this is it
             self.first = [socket.create_connection((STAND_IN_HOST, self.port))]
         if narrow:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
+            self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            self.listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
 
-    def accept(self) -> None:
+    def _accept(self) -> None:
         self.opens.wait()
-        super().accept()
+        super()._accept()
 
     def serve(self, conn: socket.socket, stream: BinaryIO) -> None:
         self.play(self, conn, stream)
@@ -303,7 +303,7 @@
 def early_row(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
     """Answers before the query's last byte is written, and reads from then on."""
     greet(conn, stream)
-    if len(unit.conns) > 1:
+    if len(unit.connections) > 1:
         unit.query(stream)
         conn.sendall(ROW + READY)
         return
@@ -363,7 +363,7 @@
     """The unit's kernel takes no more of a req that may be repeated: another unit serves it in time."""
     served = among(deaf, usual, narrow=True)
     client, deaf_one = served.client(), served.units[0]
-    while not deaf_one.conns:
+    while not deaf_one.connections:
         assert client.ask(again(LARGE_SQL).replace("c=once", "c=read"))[:2] == COMPLETED
     assert not deaf_one.queries
 
@@ -476,7 +476,7 @@
 
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         hello(stream)
-        conn.sendall(greeting[: len(unit.conns) - 1])
+        conn.sendall(greeting[: len(unit.connections) - 1])
 
     rig = Rig(Scripted(play))
     rig.run(lambda: results.extend(rig.ask() for _ in range(len(greeting))))
@@ -532,7 +532,7 @@
 
     rig.run(work)
     assert results[0] == face.UNREACHABLE and rig.even() and not rig.stands[0].queries
-    assert results[1] < wait / 1e6 + 0.3 and len(rig.stands[0].conns) in connections
+    assert results[1] < wait / 1e6 + 0.3 and len(rig.stands[0].connections) in connections
 
 
 # -- counted once, given back once
@@ -576,7 +576,7 @@
 ) -> None:
     rig, results = Rig(Scripted(play), Scripted(usual), max_upstream=2), []
     if meddle == "refused":
-        rig.stands[0].sock.close()
+        rig.stands[0].listener.close()
         rig.stands[0].port = reserve_port(host=STAND_IN_HOST)
         rig.list()
     elif meddle == "fault in the greeting":
@@ -638,7 +638,7 @@
         letters, code, row = client.ask(build_query("once"))
         assert (letters, code) == COMPLETED and pack_message(b"D", row) in ROW
         wait_until(lambda turn=turn: len(unit.said) == turn + 1)
-    assert len(unit.conns) == 5 == len(unit.queries) and served.count("tries.ok") == 5
+    assert len(unit.connections) == 5 == len(unit.queries) and served.count("tries.ok") == 5
 
 
 def between(rig: Rig, monkeypatch: pytest.MonkeyPatch, what: Callable[[Connection], None]) -> None:
@@ -720,7 +720,7 @@
 
     rig.run(work)
     assert results == [face.OK, (face.OK, ROW)] and len(rig.stands[0].queries) == 2
-    assert len(rig.stands[0].conns) == 2 and rig.even()
+    assert len(rig.stands[0].connections) == 2 and rig.even()
 
 
 def test_a_new_connection_that_was_cut_tells_nothing_of_rests() -> None:
