--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -197,8 +197,8 @@
 
         def lines() -> list[str]:
             # Whole ones alone: the last may be in the writing.
-            told = self.log.read_text().splitlines(True)
-            return [line for line in told if "msg=counters" in line and line.endswith("\n")]
+            log_lines = self.log.read_text().splitlines(True)
+            return [line for line in log_lines if "msg=counters" in line and line.endswith("\n")]
 
         printed = len(lines())
         self.process.send_signal(signal.SIGUSR1)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         ("HELLO\n", "outside a batch"),
         (BEGIN.format(1) + "HELLO\twho=relay_0\n" + END, "unknown instance"),
@@ -91,7 +91,7 @@
         (BEGIN.format(1) + NEW + "PEER\twho=relay_0\tsrc=1\tbody=!!\n" + END, "unreadable 'body'"),
     ],
 )
-def test_malformed_input_ends_in_one_plain_line(text: str, said: str) -> None:
+def test_malformed_input_ends_in_one_plain_line(text: str, message: str) -> None:
     done = subprocess.run(
         [sys.executable, "-B", "-m", "laurelcourse.benchlink"],
         input=text.encode(),
@@ -99,4 +99,4 @@
         check=False,
     )
     error = done.stderr.decode()
-    assert done.returncode != 0 and said in error and error.count("\n") == 1 and "Traceback" not in error
+    assert done.returncode != 0 and message in error and error.count("\n") == 1 and "Traceback" not in error
--- a/tests/test_faulty_proxy.py
+++ b/tests/test_faulty_proxy.py
@@ -38,9 +38,9 @@
 
     def serve(self, conn: socket.socket, stream: object) -> None:
         self.got = getattr(self, "got", b"")
-        while found := conn.recv(65536):
-            self.got += found
-            conn.sendall(found)
+        while data := conn.recv(65536):
+            self.got += data
+            conn.sendall(data)
 
 
 class Pair:
@@ -90,8 +90,8 @@
 
 @pytest.fixture
 def pair() -> Iterator[Pair]:
-    with contextlib.closing(Pair()) as one:
-        yield one
+    with contextlib.closing(Pair()) as open_pair:
+        yield open_pair
 
 
 # By mode: what an old connection's asking gets, what a new one's, whether the far end hears the old one, and
@@ -134,12 +134,14 @@
 
 
 def test_bytes_and_connections_are_counted_each_way(pair: Pair) -> None:
-    with pair.connect() as one, pair.connect() as other:
-        assert pair.asks(one, b"x" * 300_000) == b"x" * 300_000 and pair.asks(other, b"y") == b"y"
+    with pair.connect() as first_conn, pair.connect() as second_conn:
+        assert (
+            pair.asks(first_conn, b"x" * 300_000) == b"x" * 300_000 and pair.asks(second_conn, b"y") == b"y"
+        )
         # What has come may be counted a moment later.
         wait_until(lambda: pair.ways.counts("a", "b") == (2, 2, 300_001, 300_001))
         pair.set(DEAF, direction=TO_CLIENT)
-        assert pair.asks(one, b"z" * 1000, 0.15) == "nothing"
+        assert pair.asks(first_conn, b"z" * 1000, 0.15) == "nothing"
         wait_until(lambda: pair.ways.counts("a", "b") == (2, 2, 301_001, 300_001))
 
 
@@ -157,9 +159,9 @@
     results = []
     over = time.monotonic() + 5
     while len(results) < 5 and time.monotonic() < over:
-        found = pair.anew()
-        if not results or found != results[-1]:
-            results.append(found)
+        answer = pair.anew()
+        if not results or answer != results[-1]:
+            results.append(answer)
     assert (
         len(results) == 5 and set(results) <= {"refused", "reset", b"hello"} and results.count(b"hello") >= 2
     )
@@ -193,17 +195,17 @@
 EVERY = (*faults.DEFAULT_KINDS, faults.KILL_ALL, faults.DISK_TORN, faults.OLD_DISK)
 
 
-def most_down(found: tuple, keepers: dict[str, str]) -> tuple[int, set]:
+def most_down(script: tuple, keepers: dict[str, str]) -> tuple[int, set]:
     """Returns the most keepers down at once, and what had not ended, without slow links and wrong clocks."""
     open_: dict[tuple, str] = {}
     most = 0
-    for one in found:
-        if one.kind in ENDS:
+    for fault in script:
+        if fault.kind in ENDS:
             # No fault begins on one of the same that has not ended.
-            assert (ENDS[one.kind], one.targets) not in open_
-            open_[ENDS[one.kind], one.targets] = one.kind
+            assert (ENDS[fault.kind], fault.targets) not in open_
+            open_[ENDS[fault.kind], fault.targets] = fault.kind
         else:
-            del open_[one.kind, one.targets]
+            del open_[fault.kind, fault.targets]
         # The end of one fault must not end another: a site's heals its ways, ALL's starts everyone.
         down: set[str] = set()
         others = [who for (_, who), kind in open_.items() if kind != faults.WRONG_CLOCK]
@@ -237,12 +239,12 @@
         script = generate_script(seed, plan)
         reached, left = most_down(script, dict(plan.keepers))
         assert not left and (beyond or reached <= down)
-        assert [one.at for one in script] == sorted(one.at for one in script) and script[
+        assert [fault.at for fault in script] == sorted(fault.at for fault in script) and script[
             -1
         ].at < plan.duration
-        assert all(one.at <= plan.duration * 5 // 6 for one in script if one.kind != faults.RIGHT_CLOCK)
+        assert all(fault.at <= plan.duration * 5 // 6 for fault in script if fault.kind != faults.RIGHT_CLOCK)
         assert len(script) > 40
-        kinds |= {one.kind for one in script}
+        kinds |= {fault.kind for fault in script}
         most = max(most, reached)
     site_fits = count == 5 or beyond or down == 1
     wanted = {*EVERY, *ENDS.values()} - (set() if beyond else {faults.KILL_ALL})
@@ -285,9 +287,9 @@
 
         def kinds() -> set[tuple[str, str, str, int]]:
             return {
-                (*pair, one.mode.kind, one.mode.direction)
-                for pair, one in host.proxies.proxies.items()
-                if one.mode.kind != OPEN
+                (*pair, proxy.mode.kind, proxy.mode.direction)
+                for pair, proxy in host.proxies.proxies.items()
+                if proxy.mode.kind != OPEN
             }
 
         fleet = reading.read(str(nodes["k1"].operator)).fleet
@@ -353,31 +355,31 @@
         file.write_text("older")
         node.back_up_data("older")
         file.write_text("newest!!")
-        for kind, found in (
+        for kind, content in (
             (faults.DISK_TORN, "newe"),
             (faults.DISK_BACK, "newest!!"),
             (faults.OLD_DISK, "older"),
             (faults.DISK_BACK, "newest!!"),
         ):
             host.inject(Fault(0, kind, ("k1",)))
-            assert file.read_text() == found
+            assert file.read_text() == content
         with pytest.raises(ValueError, match="skewed=True"):
             host.inject(Fault(0, faults.DISK_FULL, ("k1",)))
 
 
 def test_a_script_is_played_at_its_times_until_it_is_over(tmp_path: Path) -> None:
     with Cluster(tmp_path, {"k1": "a", "k2": "b", "k3": "c"}, {}) as host:
-        found: list[tuple[str, float, str]] = []
+        played: list[tuple[str, float, str]] = []
         began = time.monotonic()
         host.play(
             (Fault(20_000, faults.CUT, ("k1", "k2")), Fault(60_000, faults.HEAL, ("k1", "k2"))),
             threading.Event(),
-            lambda fault: found.append(
+            lambda fault: played.append(
                 (fault.kind, time.monotonic() - began, host.proxies.proxies["k1", "k2"].mode.kind)
             ),
         )
-        assert [(kind, before) for kind, _, before in found] == [("cut", OPEN), ("heal", CUT)]
-        assert found[0][1] >= 0.02 and found[1][1] >= 0.06
+        assert [(kind, before) for kind, _, before in played] == [("cut", OPEN), ("heal", CUT)]
+        assert played[0][1] >= 0.02 and played[1][1] >= 0.06
         over = threading.Event()
         over.set()
         host.play((Fault(10**9, faults.CUT, ("k1", "k2")),), over)
--- a/tests/test_fleet_books.py
+++ b/tests/test_fleet_books.py
@@ -46,7 +46,9 @@
             return f.Command(None, 0, f.Define(LISTS[name]))
         case "grant", scope, *shares:
             pairs = (share.split(":") for share in shares)
-            return f.Command(None, 0, f.Grant(scope, tuple((int(one), int(share)) for one, share in pairs)))
+            return f.Command(
+                None, 0, f.Grant(scope, tuple((int(session), int(share)) for session, share in pairs))
+            )
         case "close", who, mark:
             return f.Command(WHO[who], int(mark), f.Close())
         case "back", who, mark, scope, keeps:
@@ -121,10 +123,10 @@
         at = int(order[3:]) if order.startswith("at ") else at
         do(books, at)
         before = books.to_plain()[5:9]
-        told = do(books, at, *([] if order.startswith("at ") else [order]))
-        assert not wanted or told == [wanted], step
-        assert told in ([], [wanted]) or told[0] not in ERRORS_BY_CODE, step
-        assert not set(told) & set(ERRORS_BY_CODE) or books.to_plain()[5:9] == before, (
+        results_text = do(books, at, *([] if order.startswith("at ") else [order]))
+        assert not wanted or results_text == [wanted], step
+        assert results_text in ([], [wanted]) or results_text[0] not in ERRORS_BY_CODE, step
+        assert not set(results_text) & set(ERRORS_BY_CODE) or books.to_plain()[5:9] == before, (
             f"{step}: refused, yet it did"
         )
 
@@ -205,7 +207,7 @@
         (budgets, "MAX_PENDING", 4),
     ):
         monkeypatch.setattr(room, name, most)
-    monkeypatch.setitem(LISTS, "many", tuple(LINES._replace(name=one) for one in "abcd"))
+    monkeypatch.setitem(LISTS, "many", tuple(LINES._replace(name=number) for number in "abcd"))
     books = begun()
     assert do(books, 10, "open c 1", "open d 1", "define many") == ["c 3 1 3", "crowded", "crowded"]
     assert do(books, 10, "grant lines/k 1:1", "grant lines/l 1:1", "grant lines/m 1:1 2:1")[2] == "crowded"
@@ -213,11 +215,15 @@
     books = Books.from_snapshot(books.snapshot())
     assert do(books, 10, "grant lines/m 2:1", "back a 1 lines/k 0") == ["crowded", "0"]
     assert do(books, 10, "lapse 1", "grant hellos 2:1", "grant tries 2:1")[2] == "crowded", "keys in use"
-    ends = [word for one, name in enumerate("aeafae", 4) for word in (f"open {name} {one}", f"lapse {one}")]
+    ends = [
+        word
+        for number, name in enumerate("aeafae", 4)
+        for word in (f"open {name} {number}", f"lapse {number}")
+    ]
     assert do(books, 2000, *ends)[::2] == ["a 4 2 3", "e 5 1 3", "a 6 3 3", "f 7 1 3", "a 8 4 3", "e 9 1 3"]
     do(books, 2000, "grant hellos 2:16")
-    for one in range(10):
-        do(books, 2020 + one, f"back b {one + 1} hellos {15 - one}")
+    for number in range(10):
+        do(books, 2020 + number, f"back b {number + 1} hellos {15 - number}")
     assert books.to_plain()[8][0][2] == [[2520, 1], [2521, 1], [2522, 1], [2529, 7]]
 
 
@@ -227,7 +233,7 @@
     for index in (2, 1, 0):
         with pytest.raises(ValueError, match="applied twice"):
             books.apply(index, f.Batch(30, 3, ()))
-    assert [one[:4] for one in books.sessions()] == [(1, "a", "east", 1), (2, "b", "east", 1)]
+    assert [session[:4] for session in books.sessions()] == [(1, "a", "east", 1), (2, "b", "east", 1)]
     assert (
         books.session("b") == books.session_by_number(2)
         and books.session("c") is books.session_by_number(3) is None
@@ -267,7 +273,7 @@
         at, commands = at + rng.below(400) - 20, []
         for mark in range(6 * index, 6 * index + 1 + rng.below(6)):
             fence, scope = fences[rng.below(len(fences))], SCOPES[rng.below(4)]
-            shares = [f"{one.number}:{rng.below(30)}" for one in books.sessions() if rng.below(2)]
+            shares = [f"{session.number}:{rng.below(30)}" for session in books.sessions() if rng.below(2)]
             own = (f.Close(), f.GiveBack(scope, 0), f.GiveBack(scope, rng.below(12)))[rng.below(3)]
             common = (
                 f"open {'abcdef'[rng.below(6)]} {mark}",
@@ -275,8 +281,8 @@
                 f"define {('all', 'small')[rng.below(2)]}",
                 *[" ".join(("grant", scope, *shares))] * 5,
             )[rng.below(8)]
-            one = f.Command(fence, mark, own) if not rng.below(4) else read(common)
-            commands.append(given[rng.below(len(given))] if not rng.below(8) else one)
+            command = f.Command(fence, mark, own) if not rng.below(4) else read(common)
+            commands.append(given[rng.below(len(given))] if not rng.below(8) else command)
         given += commands
         batch = f.Batch(at, 1 + index // 9, tuple(commands))
         done = books.apply(2 * index, batch)
@@ -314,11 +320,15 @@
                 less: list[tuple[str, int, int]] = []  # scope, session, what it keeps
                 if type(what) is f.Grant and code in ("", "over_whole"):
                     mine = shares[what.budget]
-                    more = sum(max(share - mine.get(one, 0), 0) for one, share in what.shares)
+                    more = sum(max(share - mine.get(session, 0), 0) for session, share in what.shares)
                     there = divided[what.budget.partition("/")[0]]
                     fits = not more or in_use(what.budget, mine, over, now) + more <= there
                     assert fits == (not code), (seed, what)
-                    mine |= {one: max(share, mine.get(one, 0)) for one, share in what.shares if not code}
+                    mine |= {
+                        session: max(share, mine.get(session, 0))
+                        for session, share in what.shares
+                        if not code
+                    }
                 elif not code and type(what) is f.Define:
                     divided = {
                         budget.name: budget.whole - budget.relays * budget.floor for budget in what.budgets
@@ -335,8 +345,8 @@
                     shares[scope][session] = keeps
             for scope, most in zip(SCOPES, (60, 50, 16, 16), strict=True):
                 used = in_use(scope, shares[scope], over, now)
-                told = books.pending(scope) + sum(granted for _, granted, _ in books.shares(scope))
-                assert used == told and used <= most, (seed, scope)
+                known_use = books.pending(scope) + sum(granted for _, granted, _ in books.shares(scope))
+                assert used == known_use and used <= most, (seed, scope)
     wanted = {"", "over_whole", "not_held", "lapsed_lease", "fenced_off", "name_taken", "no_such_budget"}
     assert wanted <= codes, "the play has not come upon all that matters"
 
--- a/tests/test_fleet_budget_holder.py
+++ b/tests/test_fleet_budget_holder.py
@@ -52,8 +52,8 @@
         self.now += SECOND
         self.holder.update_session(self.now)
         beat = next(order for order in self.session.orders(self.now) if isinstance(order, Beat))
-        told = Renewed(TERMS.lease, tuple(Share(*share) for share in shares))
-        self.session.answered(self.now, beat.asked_at, told)
+        renewed = Renewed(TERMS.lease, tuple(Share(*share) for share in shares))
+        self.session.answered(self.now, beat.asked_at, renewed)
         self.holder.renewed(self.now)
         return beat
 
@@ -131,15 +131,15 @@
     assert relay.takes("connections") == 0
 
 
-@pytest.mark.parametrize("told, ends", [(None, face.SEND), (True, face.SEND), (False, face.SHED)])
+@pytest.mark.parametrize("allowed, ends", [(None, face.SEND), (True, face.SEND), (False, face.SHED)])
 def test_the_module_asks_for_each_resend(
-    make_driver: Callable[..., BalancerDriver], told: bool | None, ends: str
+    make_driver: Callable[..., BalancerDriver], allowed: bool | None, ends: str
 ) -> None:
     driver, asked = make_driver(), []
     driver.balancer.heed(
         driver.now,
         SimpleNamespace(
-            allows=lambda *_: None, consume=lambda now, name, key="": asked.append((name, key)) or told
+            allows=lambda *_: None, consume=lambda now, name, key="": asked.append((name, key)) or allowed
         ),
     )
     driver.list((1, "a", 5, 90), (2, "a", 5, 90))
@@ -147,14 +147,16 @@
     assert asked == [] and driver.end(sent, 0, face.FAILED)[-1][0] == ends and asked == [(face.RESENDS, "")]
 
 
-@pytest.mark.parametrize("told, ends", [(None, face.SHED), (True, face.SEND), (False, face.SHED)])
+@pytest.mark.parametrize("allowed, ends", [(None, face.SHED), (True, face.SEND), (False, face.SHED)])
 def test_a_share_of_a_cold_units_work_takes_the_place_of_the_own_part(
-    make_driver: Callable[..., BalancerDriver], told: bool | None, ends: str
+    make_driver: Callable[..., BalancerDriver], allowed: bool | None, ends: str
 ) -> None:
     driver, taken = make_driver(relay_count=300), []
     driver.balancer.heed(
         driver.now,
-        SimpleNamespace(allows=lambda *_: told, consume=lambda now, name, key="": taken.append((name, key))),
+        SimpleNamespace(
+            allows=lambda *_: allowed, consume=lambda now, name, key="": taken.append((name, key))
+        ),
     )
     driver.list((9, "a", 5, 0))
     assert driver.req()[-1][0] == ends
@@ -182,13 +184,13 @@
     assert end[0] == ends[0] and (end[0] == face.SHED or end[2] in ends)
 
 
-@pytest.mark.parametrize("told", [None, True])
+@pytest.mark.parametrize("allowed", [None, True])
 def test_a_warm_unit_takes_what_one_that_starts_at_nothing_can_not(
-    make_driver: Callable[..., BalancerDriver], told: bool | None
+    make_driver: Callable[..., BalancerDriver], allowed: bool | None
 ) -> None:
     driver = make_driver(start_capacity=0.0)
     driver.balancer.heed(
-        driver.now, SimpleNamespace(allows=lambda *_: told, consume=lambda *_: told, release=None)
+        driver.now, SimpleNamespace(allows=lambda *_: allowed, consume=lambda *_: allowed, release=None)
     )
     driver.list((8, "a", 5, 90), (9, "a", 5, 0))
     assert [driver.req()[-1][2] for _ in range(8)] == [8] * 8
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -129,20 +129,27 @@
         others, credit = rng.below(900), {number: MIN_CREDIT << rng.below(5) for number in range(1, 20, 3)}
         changes = dict(divide(RATES, asked(*rows), others, credit))
         room = max(divisible(RATES) - others, sum(given))
-        assert sum(max(part, changes.get(one, 0)) for one, part in enumerate(given, 1)) <= room
-        assert all(share >= 0 and share != rows[one - 1][2] for one, share in changes.items())
+        assert sum(max(part, changes.get(session, 0)) for session, part in enumerate(given, 1)) <= room
+        assert all(share >= 0 and share != rows[session - 1][2] for session, share in changes.items())
 
 
 def beats(budget: Budget, held: dict, demands: dict, used: dict, credit: dict, most: int) -> int:
     """Runs heartbeats with give-backs in between until nothing is proposed; changes `held` and `credit`."""
     for beat in range(most):
         rows = [
-            (demand, held[one], held[one], min(1, used.get(one, demand) / held[one]) if held[one] else -1)
-            for one, demand in demands.items()
+            (
+                demand,
+                held[session],
+                held[session],
+                min(1, used.get(session, demand) / held[session]) if held[session] else -1,
+            )
+            for session, demand in demands.items()
         ]
-        told = tuple(ask._replace(session=one) for one, ask in zip(demands, asked(*rows), strict=True))
-        credit.update(update_credit(budget, told, credit))
-        if not (changes := divide(budget, told, 0, credit)):
+        demand_rows = tuple(
+            ask._replace(session=session) for session, ask in zip(demands, asked(*rows), strict=True)
+        )
+        credit.update(update_credit(budget, demand_rows, credit))
+        if not (changes := divide(budget, demand_rows, 0, credit)):
             return beat
         held.update(changes)
         assert sum(held.values()) <= divisible(budget)
@@ -159,11 +166,11 @@
         if change == "join":
             demands[99], held[99] = 2500, 0
         else:
-            left = max(held, key=lambda one: held[one])
+            left = max(held, key=lambda session: held[session])
             del demands[left], held[left]
         beats(budget, held, demands, {}, credit, 3)
         ideal = water_fill(divisible(budget) * 31 // 32, list(demands.values()))
-        assert all(held[one] * 8 >= best * 7 - 8 for one, best in zip(demands, ideal, strict=True))
+        assert all(held[session] * 8 >= best * 7 - 8 for session, best in zip(demands, ideal, strict=True))
         assert beats(budget, held, demands, {}, credit, 12) < 12
 
 
@@ -293,17 +300,17 @@
 )
 def test_what_may_be_taken(kind: int, doings: list) -> None:
     use = BudgetUse(TAKEN[kind])
-    for place, (now, what, *told) in enumerate(doings):
+    for place, (now, what, *expected) in enumerate(doings):
         if what == "t":
-            use.set_share(now, None if told[0] is None else Share("b", *told[:2]), told[2])
+            use.set_share(now, None if expected[0] is None else Share("b", *expected[:2]), expected[2])
         elif what == "keeps":
-            assert use.give_back(now) == told[0], place
+            assert use.give_back(now) == expected[0], place
         elif what == "given":
-            use.give_back_answered(told[0])
+            use.give_back_answered(expected[0])
         elif what == "back":
-            use.release(now, told[0])
+            use.release(now, expected[0])
         else:
-            assert sum(use.consume(now, usable=what == "u") for _ in range(told[0])) == told[1], place
+            assert sum(use.consume(now, usable=what == "u") for _ in range(expected[0])) == expected[1], place
 
 
 @pytest.mark.parametrize(
@@ -371,7 +378,7 @@
 
     Within three standard deviations of the events themselves, and one percent.
     """
-    told, true = 0, rate * S / BEAT
+    reported, true = 0, rate * S / BEAT
     for seed in range(relays):
         rng, use, at = Prng(seed), BudgetUse(TAKEN[0]), 99 * S + seed * 7919
         use.consume(at, usable=True)
@@ -379,20 +386,20 @@
         while looks:
             at += int(-log(1 - rng.fraction()) * BEAT / rate) + 1
             while looks and looks[0] <= at:
-                told += use.demand(looks.pop(0))
+                reported += use.demand(looks.pop(0))
             use.consume(at, usable=True)
-    mean, by_chance = told / relays / beats, 3 / (rate * beats * relays) ** 0.5 + 0.01
+    mean, by_chance = reported / relays / beats, 3 / (rate * beats * relays) ** 0.5 + 0.01
     print(f"true={true} mean={mean:.3f} {relays} relays together over by {(mean - true) * relays:.1f}")
     assert abs(mean - true) <= by_chance * true
 
 
 def test_what_is_left_over_of_the_mean_is_told_later_and_the_least_is_told_where_there_is_no_floor() -> None:
-    for floor, told in ((2, [0, 1, 0, 1, 0, 0]), (0, [1, 1, 1, 1, 0, 0])):
+    for floor, expected in ((2, [0, 1, 0, 1, 0, 0]), (0, [1, 1, 1, 1, 0, 0])):
         use = BudgetUse(TAKEN[0]._replace(floor=floor))
         assert not use.consume(20 * S, usable=True) and use.demand(20 * S) == 1  # nothing is known of before
         use.demand(25 * S)
         use.consume(30 * S - 1, usable=True)
-        assert [use.demand(30 * S + turn * BEAT) for turn in range(6)] == told
+        assert [use.demand(30 * S + turn * BEAT) for turn in range(6)] == expected
 
 
 def test_what_is_told_of_few_uses_and_of_a_share_that_changed() -> None:
@@ -441,13 +448,13 @@
             self.now = step * S // 100
             if step % (shift * 100) == 0:
                 weights.sort(key=lambda _: self.rng.fraction())
-            for place, (one, weight) in enumerate(zip(self.relays, weights, strict=True)):
+            for place, (relay, weight) in enumerate(zip(self.relays, weights, strict=True)):
                 if stops and self.rng.below(stops) == 0:
-                    one.stopped = self.now + self.rng.below(12 * S)
-                if self.now >= one.stopped:
-                    self.works(one, load * weight / sum(weights) / 100)
+                    relay.stopped = self.now + self.rng.below(12 * S)
+                if self.now >= relay.stopped:
+                    self.works(relay, load * weight / sum(weights) / 100)
                     if divides and (step + place) % 50 == 0:
-                        self.renews(one)
+                        self.renews(relay)
             if divides and step % 50 == 49:
                 self.leads()
 
@@ -493,14 +500,14 @@
             )
             self.uses += [(self.now, -1)] * len(shut)
         self.freeing = [freed for freed in self.freeing if freed[0] > self.now]
-        told = tuple(
+        demand_rows = tuple(
             SessionDemand(relay.session, relay.told[0], *self.held[relay.session], relay.told[1], "s")
             for relay in self.relays
             if relay.session in self.held
         )
         others = sum(amount for _, amount, _ in self.freeing)
-        self.credit = update_credit(self.budget, told, self.credit)
-        changes = divide(self.budget, told, others, self.credit)
+        self.credit = update_credit(self.budget, demand_rows, self.credit)
+        changes = divide(self.budget, demand_rows, others, self.credit)
         self.proposed += bool(changes)
         for session, share in changes:
             self.held[session] = [max(share, self.held[session][0]), share]
@@ -572,19 +579,19 @@
     The books divide with each heartbeat and when a session ends (`Coordinator`).
     """
     fleet = Fleet(Budget("b", RATE, 24, 1, 6, 0, 0), 6, seed)
-    dies, step, took = 2000 + 7 * seed, 0, -1
-    while took < 0 and step < dies + 600:
+    dies, step, elapsed = 2000 + 7 * seed, 0, -1
+    while elapsed < 0 and step < dies + 600:
         fleet.now = step * S // 100
-        for place, one in enumerate(fleet.relays):
+        for place, relay in enumerate(fleet.relays):
             if place or step < dies:
-                fleet.works(one, 0.4 if place == (step >= dies) else 0.0067)
+                fleet.works(relay, 0.4 if place == (step >= dies) else 0.0067)
                 if (step + 8 * place) % 50 == 0:
-                    fleet.renews(one)
+                    fleet.renews(relay)
         if step % 50 == 49 or any(map(fleet.over, fleet.relays)):
             fleet.leads()
         heir = fleet.relays[1]
         if step >= dies and heir.use.allowed(fleet.now + heir.clock) >= 1 + 0.7 * 18:
-            took = fleet.now - dies * S // 100
+            elapsed = fleet.now - dies * S // 100
         step += 1
-    print(f"redivided_s={took / S}")
-    assert 0 <= took <= BINDS + BEAT
+    print(f"redivided_s={elapsed / S}")
+    assert 0 <= elapsed <= BINDS + BEAT
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -233,8 +233,8 @@
     yield message
     for field, value in message.ListFields():
         if field.message_type:
-            for one in (value,) if hasattr(value, "ListFields") else value:
-                yield from _parts(one)
+            for part in (value,) if hasattr(value, "ListFields") else value:
+                yield from _parts(part)
 
 
 def _lacks(whole: object, less: object) -> bool:
@@ -283,10 +283,10 @@
 
 def test_grpc_is_loaded_by_nothing_else() -> None:
     names = [
-        ".".join(one.relative_to(ROOT).with_suffix("").parts)
-        for one in sorted((ROOT / "laurelcourse/fleet").rglob("*.py"))
-        if one.stem not in ("wiring", "member", "flows_client", "books_client", "receiver", "sender")
-        and (one.parent.name != "calls" or one.stem in ("codec", "mailbox"))
+        ".".join(path.relative_to(ROOT).with_suffix("").parts)
+        for path in sorted((ROOT / "laurelcourse/fleet").rglob("*.py"))
+        if path.stem not in ("wiring", "member", "flows_client", "books_client", "receiver", "sender")
+        and (path.parent.name != "calls" or path.stem in ("codec", "mailbox"))
     ]
     assert "laurelcourse.fleet.orders" in names
     code = f"import sys; [__import__(name) for name in {names}]; print('grpc' in sys.modules)"
@@ -296,19 +296,19 @@
 
 def test_no_part_of_a_fleet_reads_the_time_of_day(monkeypatch: pytest.MonkeyPatch) -> None:
     """Leases are counted by a clock that goes on while the machine sleeps."""
-    clocks, found = {"monotonic", "sleep", "clock_gettime_ns", "CLOCK_BOOTTIME"}, set()
-    for one in sorted((ROOT / "laurelcourse" / "fleet").rglob("*.py")):
-        for node in ast.walk(ast.parse(one.read_text())):
+    clocks, clocks_used = {"monotonic", "sleep", "clock_gettime_ns", "CLOCK_BOOTTIME"}, set()
+    for path in sorted((ROOT / "laurelcourse" / "fleet").rglob("*.py")):
+        for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Attribute) and getattr(node.value, "id", "") == "time":
-                found.add(node.attr)
+                clocks_used.add(node.attr)
             elif isinstance(node, ast.ImportFrom):
-                assert node.module not in ("time", "datetime"), one
+                assert node.module not in ("time", "datetime"), path
             elif isinstance(node, ast.Import):
                 assert all(
                     alias.name != "datetime" and (alias.name != "time" or not alias.asname)
                     for alias in node.names
-                ), one
-    assert "CLOCK_BOOTTIME" in found <= clocks
+                ), path
+    assert "CLOCK_BOOTTIME" in clocks_used <= clocks
     shown = {time.CLOCK_BOOTTIME: 7_000_999, time.CLOCK_MONOTONIC: 5_000_000, time.CLOCK_REALTIME: 9_000_000}
     monkeypatch.setattr(time, "clock_gettime_ns", shown.__getitem__)
     assert wiring.clock() == 7_000
@@ -330,21 +330,21 @@
 
     def _ask(self, order: object) -> Future:
         self.orders.append(order)
-        found = self.script(order)
-        if isinstance(found, Future):
-            return found
+        answer = self.script(order)
+        if isinstance(answer, Future):
+            return answer
         future = Future()
-        if isinstance(found, Exception):
-            future.set_exception(found)
+        if isinstance(answer, Exception):
+            future.set_exception(answer)
         else:
-            future.set_result(found)
+            future.set_result(answer)
         return future
 
     submit = renew = ask = change = _ask
 
 
-def refused(code: str, **told: object) -> books.Done:
-    return books.Done(code=code, to="x", told=tuple(told.items()))
+def refused(code: str, **figures: object) -> books.Done:
+    return books.Done(code=code, to="x", told=tuple(figures.items()))
 
 
 class Ground:
@@ -382,7 +382,7 @@
                     self.held[-1].sendall(b"\0\0\0\4\0\0\0\0\0")
 
         threading.Thread(target=serve, daemon=True).start()
-        self.ends.callback(lambda: [one.close() for one in self.held])
+        self.ends.callback(lambda: [conn.close() for conn in self.held])
         self.ends.callback(listener.shutdown, socket.SHUT_RDWR)
         return f"127.0.0.3:{listener.getsockname()[1]}"
 
@@ -456,10 +456,10 @@
 def test_what_a_keeper_refuses_comes_out_by_type(ground: Ground, answer: object, heard: type) -> None:
     keeping = Scripted(lambda _: answer)
     client = ground.client({"a": at(ground.keeper("a", keeping))}, LIMITS._replace(order_timeout=SECOND // 2))
-    found = told(client.submit, SUBMIT)
-    assert type(found) is heard and len(keeping.orders) < 12  # with pauses in between
+    received = told(client.submit, SUBMIT)
+    assert type(received) is heard and len(keeping.orders) < 12  # with pauses in between
     if heard is books.Done:
-        assert found.code == (answer.code or "too_large")
+        assert received.code == (answer.code or "too_large")
 
 
 # One attempt, with seconds for its answer: one cut off by the end of the order would be of unknown fate.
@@ -511,7 +511,7 @@
 def test_without_keepers_an_order_ends_in_its_time(
     ground: Ground, verb: str, form: object, keepers: list[str], error: type
 ) -> None:
-    addresses = {one: getattr(ground, one)() for one in keepers}
+    addresses = {keeper: getattr(ground, keeper)() for keeper in keepers}
     client, began = ground.client(addresses, LIMITS._replace(order_timeout=SECOND // 2)), now()
     assert type(told(getattr(client, verb), form)) is error
     assert SECOND // 2 <= now() - began < 2 * SECOND
@@ -531,7 +531,7 @@
     began = now()
     client.close(SECOND)
     assert now() - began < SECOND
-    assert [type(one) for one in results] == [errors.UnknownFateError] + [
+    assert [type(result) for result in results] == [errors.UnknownFateError] + [
         errors.StoppingError
     ] * LIMITS.queue_length
     with pytest.raises(errors.StoppingError):
@@ -575,8 +575,8 @@
     rng = Prng(3)
     for start in (b"", b"GET / HTTP/1.1\r\n\r\n", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"):
         garbage = start + bytes(rng.below(256) for _ in range(3000))
-        with socket.create_connection(("127.0.0.2", service.port)) as one, contextlib.suppress(OSError):
-            one.sendall(garbage)
+        with socket.create_connection(("127.0.0.2", service.port)) as sock, contextlib.suppress(OSError):
+            sock.sendall(garbage)
     channel = ground.raw(service)
     renew = "/laurelcourse.fleet.v1.Books/Renew"
     for data, status in (
@@ -721,17 +721,17 @@
     for name, following in (("a", "b"), ("b", "c"), ("c", "a")):  # each takes another for the leader
         asked[name].script = lambda _, leader=following: refused("not_leader", leader=leader)
         doors[name].forwarder = Forwarder(
-            "fleet", name, {one: at(door) for one, door in doors.items()}, LIMITS
+            "fleet", name, {keeper: at(door) for keeper, door in doors.items()}, LIMITS
         )
     stub = fleet_pb2_grpc.BooksStub(ground.raw(doors["a"]))
     order = {"head": _head(), "what": codec.to_message(BEAT)}
     answer = stub.Renew(wire.RenewOrder(**order, hand_on=True), timeout=5)
     done = answer.answer.done
     assert (answer.by, done.code, done.told[0].value.text) == ("b", "not_leader", "c")
-    assert [len(one.orders) for one in asked.values()] == [1, 1, 0]
+    assert [len(keeper.orders) for keeper in asked.values()] == [1, 1, 0]
     answer = stub.Renew(wire.RenewOrder(**order), timeout=5)  # nobody wished for it
     assert (answer.by, answer.answer.done.told[0].value.text) == ("", "b")
-    assert [len(one.orders) for one in asked.values()] == [2, 1, 0]
+    assert [len(keeper.orders) for keeper in asked.values()] == [2, 1, 0]
 
 
 @pytest.mark.parametrize(
@@ -812,14 +812,14 @@
     addresses = {"a": "127.0.0.2:1", "b": at(first), "c": ground.mute()}
     peers = Peers("fleet", "a", addresses, LIMITS._replace(keeper_timeout=60 * SECOND), Prng(1))
     ground.ends.callback(peers.close, SECOND)
-    for one in TALK:
+    for message in TALK:
         began = now()
-        peers.send("c", one)  # never answers: its queue fills, the sender does not wait
-        peers.send("d", one)  # without an address
-        peers.send("b", one)
+        peers.send("c", message)  # never answers: its queue fills, the sender does not wait
+        peers.send("d", message)  # without an address
+        peers.send("b", message)
         assert now() - began < SECOND
-        wait_until(lambda one=one: keeping.talk and keeping.talk[-1] == ("a", one))
-    assert [one for _, one in keeping.talk] == list(TALK)
+        wait_until(lambda message=message: keeping.talk and keeping.talk[-1] == ("a", message))
+    assert [message for _, message in keeping.talk] == list(TALK)
     assert len(peers.peers["c"].queue) <= LIMITS.queue_length
     first.stop(0)
     peers.send("b", TALK[0])
--- a/tests/test_fleet_coordinator.py
+++ b/tests/test_fleet_coordinator.py
@@ -291,8 +291,9 @@
             snapshot = Snapshot(last, 1, TERMS.keepers, b"")
         entries = tuple(Entry(last + 1 + more, step, BOOKS, b"") for more in range(rng.below(4)))
         marks = {"b": Mark("x", step, 0)} if rng.below(2) else None
-        apart.save(one := Write(step, "v", cut, entries, snapshot, whole, marks))
-        write = merge_writes(write, one)
+        next_write = Write(step, "v", cut, entries, snapshot, whole, marks)
+        apart.save(next_write)
+        write = merge_writes(write, next_write)
         if rng.below(3) == 0:
             joined.save(write)
             write = None
@@ -318,13 +319,13 @@
 
 
 def decode(data: bytes) -> Batch:
-    at, term, told = json.loads(data)
+    at, term, commands = json.loads(data)
     return Batch(
         at,
         term,
         tuple(
             Command(Fence(*fence) if fence else None, mark, what(kind, fields))
-            for fence, mark, kind, fields in told
+            for fence, mark, kind, fields in commands
         ),
     )
 
@@ -334,7 +335,7 @@
         case "Define":
             return forms.Define(tuple(forms.Budget(*field) for field in fields[0]))
         case "Grant":
-            return Grant(fields[0], tuple((one, share) for one, share in fields[1]))
+            return Grant(fields[0], tuple((session, share) for session, share in fields[1]))
     return KINDS[kind](*fields)
 
 
@@ -494,7 +495,7 @@
     fleet.cut = set(fleet.desks) - {fleet.leader().name}
     most = TERMS.bounds.max_waiting
     beats = [fleet.call("renew", Beat(fence)) for _ in range(most + 1)]
-    opens = [fleet.call("submit", submit(None, Open(f"r{one}", ""))) for one in range(most + 2)]
+    opens = [fleet.call("submit", submit(None, Open(f"r{number}", ""))) for number in range(most + 2)]
     assert [fleet.answers[token][0].code for token in (beats[-1], opens[-1])] == ["overloaded"] * 2
     assert beats[0] not in fleet.answers and opens[0] not in fleet.answers
     fleet.until(lambda: all(token in fleet.answers for token in beats + opens))
@@ -621,7 +622,7 @@
     fleet = Fleet(terms=TERMS._replace(snapshot_every=5))
     behind = next(name for name in fleet.desks if name != fleet.leader().name)
     fleet.cut = {behind}
-    fences = [fleet.open(f"r{one}") for one in range(12)]
+    fences = [fleet.open(f"r{number}") for number in range(12)]
     fleet.cut = set()
     fleet.until(lambda: len({desk.books.hash() for desk in fleet.desks.values()}) == 1)
     assert len(fleet.desks[behind].books.sessions()) == 12
@@ -702,7 +703,7 @@
         self.prompt, self.until = prompt, until
         self.now, self.books, self.live, self.lapses = 0, Books(), {}, ()
         self.books.apply(1, Batch(0, 1, (Command(None, 0, forms.Define(SMALL.budgets)),)))
-        self.relays = [Session(f"r{one}", "", SMALL, Prng(one), 0) for one in (0, 1)]
+        self.relays = [Session(f"r{number}", "", SMALL, Prng(number), 0) for number in (0, 1)]
         self.requests, self.heard, self.answers = [()] * 2, [None] * 2, [()] * 2
         self.paused, self.left = False, ("pause", "restart", "lead")
         self.act()
@@ -727,10 +728,10 @@
             for requests, answers, heard in zip(self.requests, self.answers, self.heard, strict=True)
         ]
         counted = tuple(
-            (one, max(member.renewed_at, self.now - SMALL.keeper_lease()), member.lapse_proposed)
-            for one, member in self.live.items()
+            (session, max(member.renewed_at, self.now - SMALL.keeper_lease()), member.lapse_proposed)
+            for session, member in self.live.items()
         )
-        relays = (plain(one, under, self.now) for one, under in zip(self.relays, asked, strict=True))
+        relays = (plain(session, under, self.now) for session, under in zip(self.relays, asked, strict=True))
         return (
             self.now,
             *relays,
@@ -747,7 +748,7 @@
 
     def members(self) -> Members:
         members = Members(SMALL, 0, ())
-        members.by_session = self.live = {session: copied(one) for session, one in self.live.items()}
+        members.by_session = self.live = {session: copied(member) for session, member in self.live.items()}
         members.next_expiry = 0
         return members
 
@@ -843,7 +844,7 @@
         self.apply(Command(None, 0, Lapse(session)))
 
     def grant(self) -> Command | None:
-        granted = {one: (has, wants) for one, has, wants in self.books.shares("x")}
+        granted = {session: (has, wants) for session, has, wants in self.books.shares("x")}
         live = [session.number for session in self.books.sessions()]
         free, changes = WHOLE - sum(has for has, _ in granted.values()), []
         for session in live:
@@ -884,7 +885,7 @@
     one.
     """
     first = World(prompt, until)
-    came: dict[tuple, tuple[tuple | None, str]] = {first.key(): (None, "")}
+    parents: dict[tuple, tuple[tuple | None, str]] = {first.key(): (None, "")}
     todo = deque([first])
     while todo:
         world = todo.popleft()
@@ -893,17 +894,17 @@
             new = world.copy()
             step(new)
             there = new.key()
-            if there in came:
+            if there in parents:
                 continue
-            came[there] = key, name
+            parents[there] = key, name
             if fault := new.fault():
                 way = [fault]
                 while there is not None:
-                    there, name = came[there]
+                    there, name = parents[there]
                     way.append(name)
-                return len(came), way[::-1]
+                return len(parents), way[::-1]
             todo.append(new)
-    return len(came), []
+    return len(parents), []
 
 
 @pytest.mark.parametrize("until, prompt", [(1, False), (UNTIL, True)])
@@ -957,7 +958,7 @@
             if rng.below(50) == 0:
                 resumes[place] = true + rng.below(2 * terms.lease)
         if true >= resumes[1]:
-            for when, order in [one for one in under_way if one[0] <= true]:
+            for when, order in [entry for entry in under_way if entry[0] <= true]:
                 under_way.remove((when, order))
                 verb = "renew" if isinstance(order, Beat) else "submit"
                 fleet.now = start + theirs
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -94,10 +94,12 @@
                 self.wire.append((at, self.sent, name, to, message))
         if out.restore:
             self.books[name] = out.restore.data.split(b"|")[1:]
-        for one in out.apply:
-            assert self.committed.setdefault(one.index, one) == one, "two entries committed at one index"
-            self.books[name].append(one.data)
-            assert len(self.books[name]) == one.index, "not each once, in order"
+        for entry in out.apply:
+            assert self.committed.setdefault(entry.index, entry) == entry, (
+                "two entries committed at one index"
+            )
+            self.books[name].append(entry.data)
+            assert len(self.books[name]) == entry.index, "not each once, in order"
         for token, index in out.reads:
             assert index >= self.asked[token], "older than what was committed when it was asked"
         self.taken |= {token: (index, term) for token, index, term in out.appended}
@@ -137,14 +139,16 @@
         end = self.now + within
         while not until():
             self.step()
-            assert self.now < end, {name: (one.role, one.term, one.last) for name, one in self.cores.items()}
+            assert self.now < end, {
+                name: (core.role, core.term, core.last) for name, core in self.cores.items()
+            }
 
     def rest(self, time: int = 3 * BOUNDS.heartbeat) -> None:
         end = self.now + time
         self.run(lambda: self.now >= end)
 
     def leading(self) -> str:
-        results = [name for name, one in sorted(self.cores.items()) if one.role == LEADER]
+        results = [name for name, core in sorted(self.cores.items()) if core.role == LEADER]
         return max(results, key=lambda name: self.cores[name].term, default="")
 
     def lead(self, name: str = "a") -> Core:
@@ -178,7 +182,9 @@
     def part(self, *names: str) -> None:
         """Cuts these keepers off from the others."""
         every = {*self.disks}
-        self.cut = {(one, other) for one in every for other in every if (one in names) != (other in names)}
+        self.cut = {
+            (first, other) for first in every for other in every if (first in names) != (other in names)
+        }
 
     def same(self) -> bool:
         """Waits until one leads, and all that it replicates to have applied the whole log."""
@@ -186,7 +192,7 @@
             return False
         inside = [self.cores[name] for part in self.cores[lead].keepers for name in part]
         last = self.cores[lead].last
-        return all(one.applied == one.last == last and one.role in (FOLLOWER, LEADER) for one in inside)
+        return all(core.applied == core.last == last and core.role in (FOLLOWER, LEADER) for core in inside)
 
 
 SEEDS = 12  # of each fleet
@@ -286,8 +292,8 @@
     fleet, core = begun(disk("b", *held))
     entries = log(*terms)[before[0] :] if answer else log(*terms)
     out = fleet.say("a", "b", messages.Append(term, *before, entries, known, 7))
-    said = [messages.Appended(core.term, *answer, 7 if term == core.term else 0)] if answer else []
-    assert [message for _, message in out.send] == said
+    expected = [messages.Appended(core.term, *answer, 7 if term == core.term else 0)] if answer else []
+    assert [message for _, message in out.send] == expected
     assert (tuple(entry.term for entry in core.log.entries), core.commit, core.applied) == (
         left,
         commit,
@@ -338,7 +344,7 @@
     fleet.say("a", "b", messages.Appended(4, True, 2, 1))
     fleet.say("a", "b", messages.Appended(4, True, 99, 1))  # more than there is
     assert core.commit == 0  # figure 8: a majority holds entry 2, and it may still be lost
-    assert [one.index for one in fleet.say("a", "b", messages.Appended(4, True, 3, 1)).apply] == [1, 2, 3]
+    assert [entry.index for entry in fleet.say("a", "b", messages.Appended(4, True, 3, 1)).apply] == [1, 2, 3]
 
 
 def test_a_read_is_confirmed_by_a_round_begun_after_it_and_after_the_first_commit_of_the_term() -> None:
@@ -613,7 +619,7 @@
     """Requests for votes and entries count too: a candidate counts its own vote, a leader what it holds
     itself.
     """
-    fleet, moments, told, refused = Fleet(seed=seed), [], [stale_disk.NO_MARK], 0
+    fleet, moments, marks_told, refused = Fleet(seed=seed), [], [stale_disk.NO_MARK], 0
     carry, say = fleet.carry, fleet.say
 
     def carried(name: str, out: messages.Out) -> messages.Out:
@@ -624,7 +630,7 @@
     def said(sender: str, to: str, message: messages.Message) -> messages.Out:
         told_it = not isinstance(message, messages.Hello | messages.Known) and fleet.cores[to].role != PROVING
         if sender == "c" and told_it:
-            told.append(max(told[-1], told_of_disk(message, fleet.cores["c"])))
+            marks_told.append(max(marks_told[-1], told_of_disk(message, fleet.cores["c"])))
         return say(sender, to, message)
 
     fleet.carry, fleet.say, disks = carried, said, [fleet.disks["c"]]
@@ -641,7 +647,7 @@
             last = kept.entries[-1].index if kept.entries and kept.entries[-1].term == kept.term else 0
             held = messages.Mark(kept.disk, kept.term, last)
             is_known = any(stale_disk.is_older(held, fleet.cores[name].marks.of("c")) for name in "ab")
-            assert is_known >= stale_disk.is_older(held, told[-1]), (held, told[-1])
+            assert is_known >= stale_disk.is_older(held, marks_told[-1]), (held, marks_told[-1])
             refused += is_known
         assert not is_known, "its newest disk is not let in"
     assert refused > 1000 and "c" in fleet.leaders.values()
@@ -659,7 +665,7 @@
 
 
 @pytest.mark.parametrize(
-    "sender, said, role",
+    "sender, reports, role",
     [
         ("a", (1, "disk-b", False, ("disk-b", 1, 1)), PROVING),  # the other one may know more
         ("ac", (1, "disk-b", False, ("disk-b", 1, 1)), FOLLOWER),
@@ -670,10 +676,10 @@
         ("x", (1, "disk-b", False, ("", 0, 0)), PROVING),
     ],
 )  # no voter
-def test_what_the_others_know_of_a_disk(sender: str, said: tuple, role: str) -> None:
+def test_what_the_others_know_of_a_disk(sender: str, reports: tuple, role: str) -> None:
     fleet = Fleet(disks={"b": disk("b", 1)}, names="b")
-    for one in sender:
-        fleet.say(one, "b", messages.Known(*said[:3], messages.Mark(*said[3])))
+    for name in sender:
+        fleet.say(name, "b", messages.Known(*reports[:3], messages.Mark(*reports[3])))
     assert fleet.cores["b"].role == role
     out = fleet.say("x", "b", messages.Hello(4, "disk-x", 0))
     assert out.send[0][1].older is False and out.write is None  # no keeper, no mark
@@ -691,14 +697,14 @@
 
 
 def test_a_leader_takes_no_late_answer_for_news() -> None:
-    one = progress.Progress(0, 9, 4)
-    one.record_match(5)
-    one.record_mismatch(2)
-    assert (one.next, one.state) == (6, progress.PROBE)
-    one.begin_snapshot(messages.Snapshot(8, 1, ABC, b"x" * 99))
-    one.record_mismatch(7)
-    assert one.state == progress.SNAPSHOT
-    assert [one.record_chunk_answer(offset) for offset in (40, 40, 80, 40, 80)] == [
+    follower = progress.Progress(0, 9, 4)
+    follower.record_match(5)
+    follower.record_mismatch(2)
+    assert (follower.next, follower.state) == (6, progress.PROBE)
+    follower.begin_snapshot(messages.Snapshot(8, 1, ABC, b"x" * 99))
+    follower.record_mismatch(7)
+    assert follower.state == progress.SNAPSHOT
+    assert [follower.record_chunk_answer(offset) for offset in (40, 40, 80, 40, 80)] == [
         True,
         False,
         True,
@@ -722,33 +728,33 @@
 def fault(fleet: Fleet, token: int) -> None:
     """Injects something that operators, relays or machines do to a keeper."""
     every, rng, lead = sorted(fleet.disks), fleet.rng, fleet.leading()
-    one, what = every[rng.below(len(every))], rng.below(60)
-    if one not in fleet.cores:
+    name, what = every[rng.below(len(every))], rng.below(60)
+    if name not in fleet.cores:
         if what < 20:
-            fleet.start(one)
+            fleet.start(name)
     elif what < 20:
-        fleet.propose(lead or one, token)
+        fleet.propose(lead or name, token)
     elif what < 30:
-        fleet.read(one, token)
+        fleet.read(name, token)
     elif what < 33:
-        fleet.part(one, every[rng.below(len(every))])
-        fleet.cut = {pair for pair in fleet.cut if what == 30 or one in pair[what - 31 : what - 30]}
+        fleet.part(name, every[rng.below(len(every))])
+        fleet.cut = {pair for pair in fleet.cut if what == 30 or name in pair[what - 31 : what - 30]}
     elif what < 37:
         fleet.cut = set()
     elif what < 39:
-        fleet.compact(one)
+        fleet.compact(name)
     elif what == 39:
-        fleet.asleep[one] = fleet.now + rng.below(2 * BOUNDS.election_timeout)
+        fleet.asleep[name] = fleet.now + rng.below(2 * BOUNDS.election_timeout)
     elif what == 40:
-        fleet.carry(one, fleet.cores[one].hand_over(fleet.now))
+        fleet.carry(name, fleet.cores[name].hand_over(fleet.now))
     elif what < 45 and lead:
         voters, learners = (set(part) for part in fleet.cores[lead].keepers)
-        if one in voters:
-            learners |= {one} if what == 43 else set()
-            voters.discard(one)
+        if name in voters:
+            learners |= {name} if what == 43 else set()
+            voters.discard(name)
         else:
-            voters |= {one} & learners
-            learners ^= {one}
+            voters |= {name} & learners
+            learners ^= {name}
         fleet.change(lead, "".join(voters), "".join(learners))
 
 
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -68,14 +68,14 @@
 def test_an_error_says_what_happened_to_what_and_what_to_do(kind: type[FleetError]) -> None:
     error_figures = figures(kind)
     error = kind("relay-7", **error_figures)
-    text, said = str(error), kind.problem.format(**error_figures)
-    assert text == f"relay-7: {said}; {kind.remedy}"
+    text, problem = str(error), kind.problem.format(**error_figures)
+    assert text == f"relay-7: {problem}; {kind.remedy}"
     assert (
-        all(str(value) in said for value in error_figures.values())
+        all(str(value) in problem for value in error_figures.values())
         and kind.remedy
-        and "{" not in kind.remedy + said
+        and "{" not in kind.remedy + problem
     )
-    assert error.fields() == {"fault": kind.code, "to": "relay-7", "what": said, "do": kind.remedy}
+    assert error.fields() == {"fault": kind.code, "to": "relay-7", "what": problem, "do": kind.remedy}
     # To another process and back.
     message = codec.to_message(refusal(error))
     done = codec.from_message(orders.Answer, wire.Answer.FromString(message.SerializeToString()))
--- a/tests/test_fleet_plain.py
+++ b/tests/test_fleet_plain.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    "also, found",
+    "also, expected",
     [
         ("", []),
         ("import laurelcourse.fleet.orders", ["laurelcourse.fleet"]),
@@ -40,7 +40,7 @@
     ],
 )
 def test_the_plain_relay_brings_in_none_of_the_fleets_modules(
-    serve: Callable[..., Served], also: str, found: list[str]
+    serve: Callable[..., Served], also: str, expected: list[str]
 ) -> None:
     served = serve(watched=WATCHED.format(absent=ABSENT, also=also))
     assert served.client().ask(build_query())[:2] == COMPLETED
@@ -49,7 +49,7 @@
     assert served.client().ask(build_query())[:2] == COMPLETED
     served.process.send_signal(signal.SIGTERM)
     assert served.process.wait(10) == 0
-    assert f"watched True {found}" in served.log.read_text()
+    assert f"watched True {expected}" in served.log.read_text()
 
 
 class Still:
@@ -105,7 +105,7 @@
     def hear(result: tuple) -> None:
         carried.append(result)
         if result[0] == face.SEND:
-            tries = sum(one[1] == result[1] for one in carried if one[0] == face.SEND)
+            tries = sum(carried_out[1] == result[1] for carried_out in carried if carried_out[0] == face.SEND)
             under_way.append((result[1], tries - 1, result[2]))
 
     def units(build: int) -> list[face.Listed]:
@@ -161,5 +161,5 @@
     again = [getattr(alone, name)(now, *args) for name, now, args, _ in calls]
     assert again == [results for *_, results in calls]
     given = [result for results in again for result in results if result[0] != face.WAKE]
-    assert carried == given and {face.SEND, face.SHED, face.TELL} <= {one[0] for one in given}
+    assert carried == given and {face.SEND, face.SHED, face.TELL} <= {result[0] for result in given}
     assert len(calls) > 400
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -63,9 +63,9 @@
         )
 
     def answered(self, give: Callable, order: object) -> Answer | FleetError:
-        came: queue.Queue = queue.Queue()
-        give(order, came.put)
-        return came.get(timeout=LEADS)
+        answers: queue.Queue = queue.Queue()
+        give(order, answers.put)
+        return answers.get(timeout=LEADS)
 
     def ask(self, what: str, of: str = "", seconds: float = LEADS) -> tuple:
         def once() -> Done | None:
@@ -76,12 +76,12 @@
 
     def give(self, fence: Fence | None, mark: int, what: object) -> Done:
         """Returns a command's result; a whole order may be refused before any of its commands is applied."""
-        came = self.answered(self.client.submit, Submit((Command(fence, mark, what),)))
-        return came[0] if type(came) is tuple else came
+        answer = self.answered(self.client.submit, Submit((Command(fence, mark, what),)))
+        return answer[0] if type(answer) is tuple else answer
 
     def fence(self, name: str) -> Fence | None:
-        found = self.ask("session", name)
-        return Fence(*found[:4]) if found else None
+        fence_fields = self.ask("session", name)
+        return Fence(*fence_fields[:4]) if fence_fields else None
 
     def fences(self, *names: str) -> dict[str, Fence | None]:
         return {name: self.fence(name) for name in names or self.host.nodes}
@@ -95,8 +95,8 @@
         self.guests += 1
 
         def opened() -> tuple:
-            came = self.give(None, 1, Open(f"g{self.guests}", "a"))
-            return came.value if isinstance(came, Done) else ()
+            answer = self.give(None, 1, Open(f"g{self.guests}", "a"))
+            return answer.value if isinstance(answer, Done) else ()
 
         return Fence(*wait_until(opened, LEADS))
 
@@ -126,9 +126,9 @@
 
     def whole(self) -> None:
         """Checks that each keeper's disk replays to the same books, and that no log shows a fault."""
-        index, found = self.ask("hash")
+        index, books_hash = self.ask("hash")
         for name in KEEPERS:
-            wait_until(lambda name=name: self.replayed(name, index) == found, HELD)
+            wait_until(lambda name=name: self.replayed(name, index) == books_hash, HELD)
         for name, node in self.host.nodes.items():
             text = node.log.read_text()
             for word in ("Traceback", "module fault", "task died", "takes part no more", "order refused"):
@@ -151,18 +151,18 @@
 def run(folder: Path, **more: object) -> Iterator[Seen]:
     with Cluster(folder, KEEPERS, MEMBERS, budgets=(BUDGET,), skewed=True, **more) as host:
         host.start()
-        seen = Seen(host)
+        observed = Seen(host)
         try:
-            seen.settled()
-            yield seen
+            observed.settled()
+            yield observed
         finally:
-            seen.client.close(SECOND)
+            observed.client.close(SECOND)
 
 
 @pytest.fixture(scope="module")
 def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Seen]:
-    with run(tmp_path_factory.mktemp("fleet")) as seen:
-        yield seen
+    with run(tmp_path_factory.mktemp("fleet")) as observed:
+        yield observed
 
 
 @pytest.fixture
@@ -338,7 +338,7 @@
         began = time.monotonic()
         fleet.host.nodes[former].pause()
         new = wait_until(
-            lambda had=had: next((one for one, led in times().items() if led > had[one]), ""), LEADS
+            lambda had=had: next((name for name, led in times().items() if led > had[name]), ""), LEADS
         )
         if (time.monotonic() - began) * SECOND < fleet.terms.lease / 2:
             return former, new, before
--- a/tests/test_fleet_routing.py
+++ b/tests/test_fleet_routing.py
@@ -146,10 +146,10 @@
     sys.setswitchinterval(1e-6)
     try:
         lanes = [threading.Thread(target=lane, args=(seed,)) for seed in range(3)]
-        for one in lanes:
-            one.start()
-        for one in lanes:
-            one.join()
+        for thread in lanes:
+            thread.start()
+        for thread in lanes:
+            thread.join()
     finally:
         sys.setswitchinterval(interval)
     assert strange == []
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -142,7 +142,7 @@
 def test_a_fault_is_named_with_its_line(tmp_path: Path, old: str, new: str, words: str) -> None:
     assert EXAMPLE.count(old) >= 1
     problems = read(tmp_path, EXAMPLE.replace(old, new, 1))
-    at = [one for one in problems if words in one]
+    at = [problem for problem in problems if words in problem]
     assert at, problems
     name, line, _ = at[0].split(":", 2)
     # Of a tag over two lines the parser tells the second.
@@ -167,7 +167,7 @@
 )
 def test_a_fault_of_the_whole_is_named(tmp_path: Path, text: str, words: str) -> None:
     problems = read(tmp_path, text)
-    assert any(words in one for one in problems), problems
+    assert any(words in problem for problem in problems), problems
 
 
 @pytest.mark.parametrize(
@@ -186,4 +186,6 @@
     for name in ("image", "director"):
         (tmp_path / "roots" / f"{name}.json").write_text("{}")
     problems = read(tmp_path, EXAMPLE.replace("</operator>", f"{front}</operator>"))
-    assert any(words in one for one in problems) if words else isinstance(problems, settings.Fleet), problems
+    assert any(words in problem for problem in problems) if words else isinstance(problems, settings.Fleet), (
+        problems
+    )
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -182,9 +182,9 @@
     db.execute(sql)
     db.close()
     newer = sql.endswith("version = 2")
-    with pytest.raises(errors.NewerBooksError if newer else errors.DamagedBooksError) as found:
+    with pytest.raises(errors.NewerBooksError if newer else errors.DamagedBooksError) as raised:
         opened(tmp_path)
-    assert "\n" not in str(found.value)
+    assert "\n" not in str(raised.value)
 
 
 def test_a_damaged_file_is_refused_or_read_as_it_was(tmp_path: Path) -> None:
@@ -235,7 +235,7 @@
             except errors.DamagedBooksError:
                 refused += 1
     # As before, too, while only free room of a page has changed.
-    assert all(one in (before, after) for one in results)
+    assert all(outcome in (before, after) for outcome in results)
     assert refused + len(results) == 2 * len(places) - 2 and refused > 100
 
 
@@ -319,23 +319,23 @@
 
 
 def test_whatever_was_acknowledged_outlives_kill_9_and_a_failing_disk(tmp_path: Path) -> None:
-    rng, last, told, fault = Prng(11), 0, tmp_path / "told", tmp_path / "fault"
+    rng, last, acknowledged, fault = Prng(11), 0, tmp_path / "told", tmp_path / "fault"
     for turn in range(int(os.environ.get("KILLS", "8"))):
         limit = 0 if turn else 40_000  # bytes that a file may have, once: a failing write, told as such
         order = [sys.executable, "-c", CHILD, str(tmp_path), str(limit)]
         with (
-            told.open("w") as out,
+            acknowledged.open("w") as out,
             fault.open("w") as err,
-            subprocess.Popen(order, cwd=ROOT, stdout=out, stderr=err) as one,
+            subprocess.Popen(order, cwd=ROOT, stdout=out, stderr=err) as process,
         ):
             try:
                 lines = 1 + rng.below(12)
-                until(lambda: one.poll() is not None or told.read_text().count("\n") >= lines)  # noqa: B023
+                until(lambda: process.poll() is not None or acknowledged.read_text().count("\n") >= lines)  # noqa: B023
                 time.sleep(rng.below(3000) / 1e6)  # the moment of the fault, anywhere between two writes
             finally:
-                one.kill() if turn else one.wait(10)
+                process.kill() if turn else process.wait(10)
         assert turn or errors.DiskFailedError.__name__ in fault.read_text()
-        last, now = max([last, *map(int, told.read_text().split("\n")[:-1])]), kept(tmp_path)
+        last, now = max([last, *map(int, acknowledged.read_text().split("\n")[:-1])]), kept(tmp_path)
         assert last <= now.term <= last + 1 and now.vote == f"v{now.term}"
         assert now.entries[-1].index == now.term and now.entries[-1].data == b"x" * (now.term * 7919 % 9000)
         last = now.term
@@ -362,10 +362,10 @@
     def _said(self, what: str, *of: object) -> Acts:
         self.seen.append((what, *of))
         assert self.free.wait(10)
-        said = self.says.get(what, Acts())
-        if isinstance(said, Exception):
-            raise said
-        return said._replace(answers=tuple((of[0], one) for _, one in said.answers))
+        acts = self.says.get(what, Acts())
+        if isinstance(acts, Exception):
+            raise acts
+        return acts._replace(answers=tuple((of[0], answer) for _, answer in acts.answers))
 
     def hear(self, now: int, sender: str, message: object) -> Acts:
         return self._said("hear", sender)
@@ -425,8 +425,8 @@
     assert first.result(10) == Done("yes")
     assert future.submit(ORDER).result(10) == Done("yes")
     tail = [("save", WRITE), ("send", "b", TakeOver(3)), ("send", "c", TakeOver(3))]
-    assert [seen for seen in desk.seen if seen[0] != "submit"][-6:] == tail + tail and desk.saved == 2
-    assert not [seen for seen in desk.seen if seen[0] == "hear"]
+    assert [call for call in desk.seen if call[0] != "submit"][-6:] == tail + tail and desk.saved == 2
+    assert not [call for call in desk.seen if call[0] == "hear"]
     assert future.stop(1_000_000) and desk.closed
     assert [record.message for record in caplog.records] == [
         "keeper steps out",
@@ -447,19 +447,19 @@
     says: dict, error: type, caplog: pytest.LogCaptureFixture
 ) -> None:
     desk = Scripted(**({"hear": ACTS} | says))
-    one = desk.begin()
-    taken = one.submit(ORDER)  # never answered by this desk
+    replica = desk.begin()
+    taken = replica.submit(ORDER)  # never answered by this desk
     until(lambda: ("submit", 1) in desk.seen)
     desk.free.clear()
-    one.heard("b", TakeOver(1))
+    replica.heard("b", TakeOver(1))
     until(lambda: ("hear", "b") in desk.seen)
-    waits = one.ask(None)
+    waits = replica.ask(None)
     desk.free.set()
     for future in (taken, waits):
         assert isinstance(future.exception(10), error)
-    assert isinstance(one.change(VOTERS).exception(10), error)
+    assert isinstance(replica.change(VOTERS).exception(10), error)
     until(lambda: desk.closed)
-    assert one.stop(1_000_000) and not [seen for seen in desk.seen if seen[0] in ("send", "ask", "stop")]
+    assert replica.stop(1_000_000) and not [call for call in desk.seen if call[0] in ("send", "ask", "stop")]
     assert [record.message for record in caplog.records] == ["keeper takes part no more"]
     assert bool(caplog.records[0].exc_info) == (error is errors.KeeperFaultError)
 
@@ -469,17 +469,17 @@
     desk, ticks, results = Scripted(), itertools.count(1), []
 
     def noted(now: int, *of: object) -> Acts:
-        results.append((now, came[0]))
+        results.append((now, came_at[0]))
         return Acts(answers=((of[0], Done("yes")),) if isinstance(of[0], int) else ())
 
     desk.submit = desk.renew = desk.ask = desk.change = desk.hear = noted
-    came = [0]
+    came_at = [0]
     replica = Replica(desk, desk, desk.send, lambda: next(ticks), desk.log)
     for turn in range(40):  # nearly always it waits for the next one by then
         for ask in (replica.submit, replica.renew, replica.ask, replica.change):
-            came[0] = next(ticks)
+            came_at[0] = next(ticks)
             assert ask(None).result(10) == Done("yes")
-        came[0] = next(ticks)
+        came_at[0] = next(ticks)
         replica.heard("b", TakeOver(1))
         until(lambda: len(results) == 5 * (turn + 1))  # noqa: B023
     assert all(now > after for now, after in results)
--- a/tests/test_fleet_transfer_processes.py
+++ b/tests/test_fleet_transfer_processes.py
@@ -46,7 +46,7 @@
         moves = "".join(
             f'<site name="{site}" slots="4" folder="{folder}/{site}">{doors[site]}</site>' for site in "ab"
         ) + "".join(
-            f'<link origin="{one}" to="{to}" capacity="2MiB" kept="1MiB"/>' for one, to in ("ab", "ba")
+            f'<link origin="{origin}" to="{to}" capacity="2MiB" kept="1MiB"/>' for origin, to in ("ab", "ba")
         )
         super().__init__(folder, KEEPERS, MEMBERS, transfers_xml=moves)
         settings = reading.read(str(folder / "m1" / "operator.xml")).fleet
@@ -66,10 +66,10 @@
         super().close()
 
     def asked(self, ask: Callable, what: object) -> object:
-        found: list = []
-        ask(what, found.append)
-        wait_until(lambda: found, 10)
-        return found[0]
+        answers: list = []
+        ask(what, answers.append)
+        wait_until(lambda: answers, 10)
+        return answers[0]
 
     def look(self, job: str) -> views.TransferList:
         return views.from_plain(self.asked(self.client.ask, Question("move", job)).value)
@@ -119,8 +119,8 @@
 )
 def test_what_does_not_fit_is_said_with_its_line(tmp_path: Path, old: str, new: str, words: str) -> None:
     path = tmp_path / "fleet.xml"
-    head, found, rest = EXAMPLE.partition(old)
-    assert found
+    head, matched, rest = EXAMPLE.partition(old)
+    assert matched
     path.write_text(head + new + rest)
     with pytest.raises(reading.OperatorError) as error:
         reading.read(str(path))
@@ -130,14 +130,16 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Fleet]:
-    with Fleet(tmp_path_factory.mktemp("moves")) as found:
-        found.start()
+    with Fleet(tmp_path_factory.mktemp("moves")) as started:
+        started.start()
         # Places are in the books, and both sites' relays have sessions.
         wait_until(
-            lambda: all(found.asked(found.client.ask, Question("session", name)).value for name in MEMBERS),
+            lambda: all(
+                started.asked(started.client.ask, Question("session", name)).value for name in MEMBERS
+            ),
             20,
         )
-        yield found
+        yield started
 
 
 def test_a_copy_is_whole_at_the_far_end_and_leaves_nothing_reserved(fleet: Fleet) -> None:
--- a/tests/test_fleet_transfers.py
+++ b/tests/test_fleet_transfers.py
@@ -54,7 +54,7 @@
         self.index, self.mark = self.index + 1, self.mark + 1
         batch = Batch(self.at, 1, (Command(fence, self.mark, what),))
         self.log.append((batch, self.books.hash() if self.index % 50 == 0 else ""))
-        for name in [one for one, there in self.jobs.items() if there[0].deadline + GRACE_US <= self.at]:
+        for name in [name_ for name_, there in self.jobs.items() if there[0].deadline + GRACE_US <= self.at]:
             del self.jobs[name]
         done = self.books.apply(self.index, batch)[0]
         self.taken[type(what).__name__, done.code] += 1
@@ -66,17 +66,19 @@
     def used(self, name: str, at: int) -> int:
         if ">" in name:
             return sum(
-                one.rate
+                piece.rate
                 for there in self.jobs.values()
-                for one in there[1]
-                if one.first <= at < one.until
-                and name in ">".join(one.way)
-                and f"{name[0]}>{name[2]}" in [f"{x}>{y}" for x, y in zip(one.way, one.way[1:], strict=False)]
+                for piece in there[1]
+                if piece.first <= at < piece.until
+                and name in ">".join(piece.way)
+                and f"{name[0]}>{name[2]}"
+                in [f"{x}>{y}" for x, y in zip(piece.way, piece.way[1:], strict=False)]
             )
         return sum(
             there[0].slots
             for there in self.jobs.values()
-            if name in (there[0].origin, there[0].to) and any(one.first <= at < one.until for one in there[1])
+            if name in (there[0].origin, there[0].to)
+            and any(piece.first <= at < piece.until for piece in there[1])
         )
 
     def book(self, job: Job, pieces: tuple, proven: int, owner: int) -> None:
@@ -102,7 +104,7 @@
 
     def pieces(self, job: Job) -> tuple[Stretch, ...]:
         below, made, first = self.rng.below, [], max(self.at, job.earliest) // S + 1
-        third = next(one for one in SITES if one not in (job.origin, job.to))
+        third = next(site for site in SITES if site not in (job.origin, job.to))
         for _ in range(1 + below(3)):
             way = (job.origin, third, job.to) if below(40) == 0 else (job.origin, job.to)
             until = first + 1 + below(8)
@@ -143,9 +145,9 @@
             self.give(None, Shrink(resource, amount, since))
             self.cap[resource][since:] = [max(0, amount - 10 * (">" in resource))] * (4000 - since)
         elif kind < 38:
-            told = self.give(None, Recall((name,)))
-            if there and not told.code:
-                if told.value and there[4]:
+            result = self.give(None, Recall((name,)))
+            if there and not result.code:
+                if result.value and there[4]:
                     self.wrong["told_twice"] += 1
                 there[4] = there[3] > 0
                 there[1] = there[1] if there[3] else ()
@@ -154,9 +156,13 @@
                 fence for fence in reversed(self.fences) if self.books.session(fence.name).fence == fence
             )
             self.give(None, forms.Lapse(live.session))
-            for one in self.jobs.values():
-                if one[3] == live.session:
-                    one[1], one[3], one[4] = () if one[4] else one[1], 0, False
+            for job_pieces in self.jobs.values():
+                if job_pieces[3] == live.session:
+                    job_pieces[1], job_pieces[3], job_pieces[4] = (
+                        () if job_pieces[4] else job_pieces[1],
+                        0,
+                        False,
+                    )
             self.open(live.name)
             self.fences = self.fences[-8:]
         elif there:
@@ -258,7 +264,7 @@
 
 
 @pytest.mark.parametrize(
-    "commands, code, told",
+    "commands, code, expected",
     [
         ((Reserve(JOB, FULL),), "", {}),
         (
@@ -319,14 +325,14 @@
         ((Places((Link("a", "b", 1, 2),), ()),), "out_of_order", {}),
     ],
 )
-def test_commands(commands: tuple, code: str, told: dict) -> None:
+def test_commands(commands: tuple, code: str, expected: dict) -> None:
     play = Play(1)
     for what in commands[:-1]:
         assert not play.give(None if type(what) is Shrink else play.fences[0], what).code
     what = commands[-1]
     done = play.give(None if type(what) is Shrink else play.fences[0], what)
     assert done.code == code
-    assert told.items() <= dict(done.told).items()
+    assert expected.items() <= dict(done.told).items()
 
 
 def test_bounds_and_forgetting(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -428,9 +434,9 @@
     )
 
 
-def held(name: str, earnings: int, rate: int, told: bool = False) -> plan.ReservedJob:
+def held(name: str, earnings: int, rate: int, recalled: bool = False) -> plan.ReservedJob:
     want = plan.JobRequest(JOB._replace(name=name, earnings=earnings, size=4 * rate), 4 * rate, 0, 4)
-    return plan.ReservedJob(want, tuple((grain, rate, ("a", "b")) for grain in range(4)), told)
+    return plan.ReservedJob(want, tuple((grain, rate, ("a", "b")) for grain in range(4)), recalled)
 
 
 NEW = plan.JobRequest(JOB._replace(name="n", earnings=105, size=400), 400, 0, 4)
@@ -522,7 +528,7 @@
     assert not moving.plan(play.books, 0, comes)
     assert moving.recall(play.books, 0, BEAT) == (recall := Recall(("x",)))
     assert play.give(None, recall).value == ("x",) and not play.give(play.fences[0], Move("x", ())).code
-    assert {one.way for one in moving.plan(play.books, 0, comes)} == {("a", "b")}
+    assert {piece.way for piece in moving.plan(play.books, 0, comes)} == {("a", "b")}
 
 
 def test_after_a_recall_room_is_kept_for_whom_it_was_made_and_others_go_on() -> None:
--- a/tests/test_fleet_workflow_processes.py
+++ b/tests/test_fleet_workflow_processes.py
@@ -56,7 +56,7 @@
         self.host.start()
 
     def client(self, *names: str) -> FlowsClient:
-        return FlowsClient([f"{RELAY_HOST}:{self.host.workflow_ports[one]}" for one in names])
+        return FlowsClient([f"{RELAY_HOST}:{self.host.workflow_ports[name]}" for name in names])
 
     def start(self, mark: str, *names: str, wait: float = WAIT, **values: str) -> WorkflowStatus:
         values = {"room": f"r-{mark}", "device": f"d-{mark}"} | values
@@ -65,36 +65,36 @@
     def behind(
         self, mark: str, *names: str, wait: float = WAIT
     ) -> tuple[threading.Thread, list[WorkflowStatus]]:
-        told: list[WorkflowStatus] = []
-        thread = threading.Thread(target=lambda: told.append(self.start(mark, *names, wait=wait)))
+        statuses: list[WorkflowStatus] = []
+        thread = threading.Thread(target=lambda: statuses.append(self.start(mark, *names, wait=wait)))
         thread.start()
-        return thread, told
+        return thread, statuses
 
     def effects(self, mark: str) -> list[str]:
         """Returns effects in the order in which they came to the units."""
         results = [
-            (one.at, f"{one.kind} {one.thing.partition('.')[0]}")
-            for one in self.ledger.effects
-            if one.thing.endswith(f"-{mark}")
+            (effect.at, f"{effect.kind} {effect.thing.partition('.')[0]}")
+            for effect in self.ledger.effects
+            if effect.thing.endswith(f"-{mark}")
         ]
         return [what for _, what in sorted(results)]
 
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Fleet]:
-    found = Fleet(tmp_path_factory.mktemp("flows"))
-    with found.host:
-        assert wait_until(lambda: found.start("first").answer == DONE, 20)
-        yield found
+    started = Fleet(tmp_path_factory.mktemp("flows"))
+    with started.host:
+        assert wait_until(lambda: started.start("first").answer == DONE, 20)
+        yield started
 
 
 def test_done_and_the_same_mark_at_another_relay_is_the_same(fleet: Fleet) -> None:
-    one = fleet.start("one")
+    first = fleet.start("one")
     again = fleet.start("one", "m2")
-    assert (one.answer, again.answer, one.number) == (DONE, DONE, again.number)
+    assert (first.answer, again.answer, first.number) == (DONE, DONE, again.number)
     assert [state for _, state in again.fates] == ["completed"] * 3
     assert fleet.effects("one") == ["hold room", "hold device", "notice r-one"]
-    assert fleet.client("k1").look(one.number)[:3] == (one.number, DONE, DONE)
+    assert fleet.client("k1").look(first.number)[:3] == (first.number, DONE, DONE)
 
 
 def test_a_step_that_is_refused_undoes_those_before_it(fleet: Fleet) -> None:
@@ -119,17 +119,17 @@
 def test_what_would_be_no_statement_is_refused_before_anything_is_held(
     fleet: Fleet, definition: str, values: dict[str, str], code: str
 ) -> None:
-    told = fleet.client("m1").start(definition, "firm", "bad", values, 2.0)
-    assert (told.number, told.answer, told.refused) == (0, ERRORED, code)
+    status = fleet.client("m1").start(definition, "firm", "bad", values, 2.0)
+    assert (status.number, status.answer, status.refused) == (0, ERRORED, code)
 
 
 @pytest.mark.parametrize("data", [b"\xff" * 9, b"x" * (1 << 20)])
 def test_garbage_ends_nothing(fleet: Fleet, data: bytes) -> None:
     channel = grpc.insecure_channel(f"{RELAY_HOST}:{fleet.host.workflow_ports['m1']}")
     for method in wire.DESCRIPTOR.services_by_name["Flows"].methods:
-        with pytest.raises(grpc.RpcError) as found:
+        with pytest.raises(grpc.RpcError) as raised:
             channel.unary_unary(f"/{method.containing_service.full_name}/{method.name}")(data, timeout=5)
-        assert found.value.code() is not grpc.StatusCode.DEADLINE_EXCEEDED
+        assert raised.value.code() is not grpc.StatusCode.DEADLINE_EXCEEDED
     channel.close()
     assert fleet.client("m1").look(1).number == 1
 
@@ -150,30 +150,30 @@
 
 def test_an_undo_that_is_stuck_is_named_and_settled_by_hand(fleet: Fleet) -> None:
     fleet.ledger.answers |= {"hold.device.d-stuck": "syntax", "free.room.r-stuck": "failed"}
-    told = fleet.start("stuck", wait=6.0)
-    assert (told.answer, told.state) == (ERRORED, "stuck")
+    status = fleet.start("stuck", wait=6.0)
+    assert (status.answer, status.state) == (ERRORED, "stuck")
     assert "fault=undo_stuck" in fleet.host.nodes["m1"].log.read_text()
-    assert fleet.client("m2").settle(told.number, 0, "by_hand").answer == UNDONE
+    assert fleet.client("m2").settle(status.number, 0, "by_hand").answer == UNDONE
 
 
 @pytest.mark.parametrize("slow", ["hold.room.r-killed", "hold.device.d-killed2", "notice.r-killed3"])
 def test_the_owner_killed_in_the_middle_is_followed_by_one_other(fleet: Fleet, slow: str) -> None:
     mark = slow.partition("-")[2]
     fleet.ledger.delays[slow] = 0.5
-    thread, told = fleet.behind(mark, "m2", "m1")
+    thread, statuses = fleet.behind(mark, "m2", "m1")
     wait_until(lambda: fleet.ledger.count_received(slow))
     fleet.host.nodes["m2"].restart()
     thread.join()
-    assert told[0].answer in (DONE, UNDONE)
+    assert statuses[0].answer in (DONE, UNDONE)
     effects = fleet.effects(mark)
-    assert effects.count(f"notice r-{mark}") == (told[0].answer == DONE)
-    if told[0].answer == UNDONE:
+    assert effects.count(f"notice r-{mark}") == (statuses[0].answer == DONE)
+    if statuses[0].answer == UNDONE:
         assert [effect for effect in effects if "free" in effect][-1] == "free room"
 
 
 def test_the_owner_that_was_paused_sends_nothing_more(fleet: Fleet) -> None:
     fleet.ledger.delays["hold.room.r-paused"] = 0.5
-    thread, told = fleet.behind("paused", "m2", "m1")
+    thread, statuses = fleet.behind("paused", "m2", "m1")
     wait_until(lambda: fleet.ledger.count_received("hold.room.r-paused"))
     node = fleet.host.nodes["m2"]
     node.pause()
@@ -182,9 +182,14 @@
     before = len(fleet.ledger.received)
     node.wake()
     thread.join()
-    assert again.answer in (DONE, UNDONE) and told[0][:2] == again[:2]
+    assert again.answer in (DONE, UNDONE) and statuses[0][:2] == again[:2]
     wait_until(lambda: node.log.read_text().rstrip().count("session is now") >= 2, 8)
-    assert len([one for one in fleet.ledger.received[before:] if one.thing.endswith("-paused")]) == 0
+    assert (
+        len(
+            [statement for statement in fleet.ledger.received[before:] if statement.thing.endswith("-paused")]
+        )
+        == 0
+    )
 
 
 # Without processes
@@ -216,9 +221,11 @@
 
 def test_a_workflow_is_told_as_the_books_have_it() -> None:
     books, send = Books(), d.Send("read", "x", 5)
-    found = d.Definition("n", 100, 2, 3, 4, (d.Step("s", send, send),))
+    expected = d.Definition("n", 100, 2, 3, 4, (d.Step("s", send, send),))
     fence = books.apply(1, f.Batch(1, 1, (f.Command(None, 7, f.Open("r", "a")),)))[0].value
-    books.apply(2, f.Batch(1, 1, (f.Command(f.Fence(*fence), 1, f.Begin("t", "m", found, (("a", "b"),))),)))
+    books.apply(
+        2, f.Batch(1, 1, (f.Command(f.Fence(*fence), 1, f.Begin("t", "m", expected, (("a", "b"),))),))
+    )
     assert views.from_plain(views.to_plain(books.workflow(1))) == books.workflow(1)
     assert views.from_plain(views.to_plain(None)) is None
     for index, (what, elapsed) in enumerate(
@@ -257,11 +264,11 @@
         (Effect(at, *word.strip("?").split("."), "", ""), word[-1] != "?")
         for at, word in enumerate(words.split())
     ]
-    results = [(one._replace(thing=one.thing + ".m"), effect) for one, effect in results]
+    results = [(effect_._replace(thing=effect_.thing + ".m"), effect) for effect_, effect in results]
     return workflow_checks.group_by_mark(
         ["m"],
-        [one for one, _ in results],
-        [one for one, effect in results if effect],
+        [effect_ for effect_, _ in results],
+        [effect_ for effect_, effect in results if effect],
         frozenset(["device.m"]),
     )
 
@@ -383,8 +390,8 @@
         post_or_drop=None,
         sender=SimpleNamespace(send=lambda *of: sent.append(of)),
     )
-    one = SimpleNamespace(sending=lambda: SimpleNamespace(tried=2), on_outcome=None)
-    WorkflowEngine._send(flows, one, step_sender.SendReq("i", "k", "mark", "SELECT 1", 5000))
+    run = SimpleNamespace(sending=lambda: SimpleNamespace(tried=2), on_outcome=None)
+    WorkflowEngine._send(flows, run, step_sender.SendReq("i", "k", "mark", "SELECT 1", 5000))
     ((_, left, again, look, _),) = sent
     assert (left, again, looks) == (4900, True, []), "looked at when it is sent, not before"
     assert look() and looks == [101]
--- a/tests/test_fleet_workflow_service.py
+++ b/tests/test_fleet_workflow_service.py
@@ -41,11 +41,11 @@
 
     post_or_drop = post
 
-    def start(self, _: str, __: str, mark: str, ___: tuple, ____: int, told: Callable) -> None:
-        self.asked[mark] = told
+    def start(self, _: str, __: str, mark: str, ___: tuple, ____: int, on_answer: Callable) -> None:
+        self.asked[mark] = on_answer
 
-    def client_left(self, told: Callable) -> None:
-        self.gone.append(told)
+    def client_left(self, on_answer: Callable) -> None:
+        self.gone.append(on_answer)
 
     def tell(self, mark: str) -> None:
         self.asked[mark](ClientAnswer(int(mark), "done", "done", (("room", "completed"),)))
@@ -96,12 +96,12 @@
 def test_a_client_that_leaves_is_told_of_and_no_other() -> None:
     flows = Flows()
     with served(flows) as (_, stub):
-        one, two = (stub.Start.future(order(mark), timeout=30) for mark in (1, 2))
+        first, second = (stub.Start.future(order(mark), timeout=30) for mark in (1, 2))
         wait_until(lambda: len(flows.asked) == 2)
-        one.cancel()
+        first.cancel()
         wait_until(lambda: flows.gone)
         flows.tell("1"), flows.tell("2")
-        assert two.result(5).number == 2 and flows.gone == [flows.asked["1"]]
+        assert second.result(5).number == 2 and flows.gone == [flows.asked["1"]]
 
 
 def test_whoever_waits_hears_of_the_end_at_once() -> None:
@@ -132,8 +132,8 @@
     with served(flows) as (_, stub):
         begun = time.monotonic()
         # Without a time of its own: the order's counts.
-        told = stub.Start(wire.StartOrder(definition="booking", mark="1", wait=wait))
-        assert (told.answer, told.refused.code) == ("errored", code) and time.monotonic() < begun + 5
+        answer = stub.Start(wire.StartOrder(definition="booking", mark="1", wait=wait))
+        assert (answer.answer, answer.refused.code) == ("errored", code) and time.monotonic() < begun + 5
         assert not flows.gone
 
 
@@ -142,9 +142,9 @@
     with served(flows) as (_, stub):
         name = "/" + wire.DESCRIPTOR.services_by_name["Flows"].full_name + "/Start"
         for data, code in ((b"\xff" * 9, "UNKNOWN"), (b"x" * (1 << 20), "RESOURCE_EXHAUSTED")):
-            with pytest.raises(grpc.RpcError) as found:
+            with pytest.raises(grpc.RpcError) as raised:
                 stub.channel.unary_unary(name)(data, timeout=5)
-            assert found.value.code().name == code
+            assert raised.value.code().name == code
         assert not caplog.records
         flows.refuses = ValueError("a fault")
         with pytest.raises(grpc.RpcError):
@@ -154,8 +154,8 @@
 
 def test_an_address_that_is_taken_is_named() -> None:
     address = f"{RELAY_HOST}:{reserve_port()}"
-    one = FlowsService(Flows(), address, LIMITS)
+    service = FlowsService(Flows(), address, LIMITS)
     with pytest.raises(OSError, match=address):
         FlowsService(Flows(), address, LIMITS)
-    one.start()
-    one.stop(0)
+    service.start()
+    service.stop(0)
--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -54,20 +54,20 @@
         fleet = reading.read(str(path)).fleet
     except reading.OperatorError as error:
         return str(error).splitlines()
-    return [f"{path}:{one.line}: {one.message}" for one in workflows.find_route_faults(fleet, ROUTES)]
+    return [f"{path}:{fault.line}: {fault.message}" for fault in workflows.find_route_faults(fleet, ROUTES)]
 
 
 def test_the_example_becomes_a_definition(tmp_path: Path) -> None:
     assert faults(tmp_path, EXAMPLE) == []
     fleet = reading.read(str(tmp_path / "fleet.xml")).fleet
-    found = workflows.to_definitions(fleet, ROUTES)["booking"]
+    definition = workflows.to_definitions(fleet, ROUTES)["booking"]
     assert (
-        found.timeout,
-        found.tries,
-        found.back_off,
-        found.longest,
-        found.no_return_index(),
-        found.max_total_back_off(),
+        definition.timeout,
+        definition.tries,
+        definition.back_off,
+        definition.longest,
+        definition.no_return_index(),
+        definition.max_total_back_off(),
     ) == (
         20_000_000,
         3,
@@ -76,12 +76,12 @@
         3,
         250_000,
     )
-    assert found.steps[2] == d.Step(
+    assert definition.steps[2] == d.Step(
         "device",
         d.Send("hold", ASK % "hold.{device}", 2_000_000, NON_RETRIABLE),
         d.Send("keyed", ASK % "free.{device}", 1_000_000, DEDUPED, 3_250_000),
     )
-    assert [(step.effect, step.no_return, step.fails) for step in found.steps] == [
+    assert [(step.effect, step.no_return, step.fails) for step in definition.steps] == [
         (True, False, "may"),
         (False, False, "may"),
         (True, False, "may"),
@@ -89,7 +89,9 @@
         (True, False, "harmless"),
     ]
     assert (
-        d.is_well_formed(found) and d.from_plain(d.to_plain(found)) == found and not list(d.find_flaws(found))
+        d.is_well_formed(definition)
+        and d.from_plain(d.to_plain(definition)) == definition
+        and not list(d.find_flaws(definition))
     )
     assert workflows.to_limits(fleet) == f.Limits(500, 50, 20, 600_000_000)
 
@@ -142,12 +144,12 @@
 )
 def test_a_fault_is_named_with_its_line(tmp_path: Path, old: str, new: str, words: str) -> None:
     assert old in EXAMPLE
-    found = faults(tmp_path, EXAMPLE.replace(old, new, 1))
+    problems = faults(tmp_path, EXAMPLE.replace(old, new, 1))
     if not words:
-        assert found == []
+        assert problems == []
         return
-    at = [one for one in found if words in one]
-    assert at, found
+    at = [problem for problem in problems if words in problem]
+    assert at, problems
     assert int(at[0].split(":")[1]) == EXAMPLE[: EXAMPLE.index(old)].count("\n") + 1
 
 
@@ -185,14 +187,16 @@
 ]
 
 
-def begun(found: d.Definition, values: tuple[tuple[str, str], ...]) -> str:
+def begun(definition: d.Definition, values: tuple[tuple[str, str], ...]) -> str:
     """Returns the code with which a Start is refused, empty if it is not."""
-    fault = statements.find_unfit(found, values)
+    fault = statements.find_unfit(definition, values)
     if fault:
         return fault.code
     books = Books()
     fence = f.Fence(*books.apply(1, f.Batch(1, 1, (f.Command(None, 7, f.Open("r", "a")),)))[0].value)
-    return books.apply(2, f.Batch(1, 1, (f.Command(fence, 1, f.Begin("t", "m", found, values)),)))[0].code
+    return books.apply(2, f.Batch(1, 1, (f.Command(fence, 1, f.Begin("t", "m", definition, values)),)))[
+        0
+    ].code
 
 
 @pytest.mark.parametrize("old, new, words", STATEMENTS, ids=lambda one: one[:60])
@@ -211,15 +215,15 @@
     ]
     # What is begun with settings that nobody checked is refused then, and nothing else is.
     monkeypatch.setattr(reading.validation, "find_faults", lambda *_: [])
-    found = workflows.to_definitions(reading.read(str(path)).fleet, ROUTES)["booking"]
-    taken = any(not begun(found, values) for values in GIVEN)
+    definition = workflows.to_definitions(reading.read(str(path)).fleet, ROUTES)["booking"]
+    taken = any(not begun(definition, values) for values in GIVEN)
     assert (ran.exit_code, bool(results), taken) == ((2, True, False) if words else (0, False, True)), (
         ran.output
     )
-    assert not words or any(words in one for one in results), ran.output
+    assert not words or any(words in problem for problem in results), ran.output
 
 
 def test_a_second_of_one_name_is_named(tmp_path: Path) -> None:
     again = EXAMPLE[EXAMPLE.index("<workflow name") : EXAMPLE.index("  </fleet>")]
-    found = faults(tmp_path, EXAMPLE.replace("  </fleet>", again + "</fleet>"))
-    assert any("workflow booking stands twice" in one for one in found)
+    problems = faults(tmp_path, EXAMPLE.replace("  </fleet>", again + "</fleet>"))
+    assert any("workflow booking stands twice" in problem for problem in problems)
--- a/tests/test_fleet_workflows.py
+++ b/tests/test_fleet_workflows.py
@@ -94,7 +94,7 @@
         self.fences: dict[str, f.Fence] = {}
         self.batches: list[f.Batch] = []
         self.do(None, f.Limits(2, 2, 1, 1000 * MS))
-        self.fences = {one: self.do(None, f.Open(one, "x"), 7).value for one in "ab"}
+        self.fences = {name: self.do(None, f.Open(name, "x"), 7).value for name in "ab"}
         assert self.say(f"begin a m1 {kind}") == "1 forward"
 
     def do(self, who: str | None, what: f.What, mark: int = 0) -> f.Done:
@@ -135,9 +135,11 @@
             it.batches.append(f.Batch(it.at, 1, ()))
             continue
         before = it.books.to_plain()[9]
-        told = it.say(order)
-        assert told == wanted if wanted else told not in ERRORS_BY_CODE, step
-        assert told not in ERRORS_BY_CODE or it.books.to_plain()[9] == before, f"{step}: refused, yet it did"
+        result = it.say(order)
+        assert result == wanted if wanted else result not in ERRORS_BY_CODE, step
+        assert result not in ERRORS_BY_CODE or it.books.to_plain()[9] == before, (
+            f"{step}: refused, yet it did"
+        )
     again = Books()
     for batch in it.batches:
         again = Books.from_snapshot(again.snapshot())
@@ -233,8 +235,8 @@
         self.batches.append(batch)
         done = self.books.apply(self.books.index + 1, batch)[0]
         if type(what) is f.Result and not what.undo and not done.code:
-            one = self.books.workflow(what.workflow).steps[what.step]
-            if one.state in (w.NEVER_RAN, w.FAILED):
+            step = self.books.workflow(what.workflow).steps[what.step]
+            if step.state in (w.NEVER_RAN, w.FAILED):
                 self.known_not.add(what.step)
         if type(what) is f.Intend and not what.undo and not done.code:
             self.known_not.discard(what.step)
@@ -265,7 +267,7 @@
                 self.do(None, f.Lapse(session))
         self.arrive()
         due = [call for at, call in self.late if at <= self.now]
-        self.late = [one for one in self.late if one[0] > self.now]
+        self.late = [entry for entry in self.late if entry[0] > self.now]
         for call in due:
             call()
         for relay in self.relays:
@@ -273,8 +275,8 @@
                 self.relay(relay)
         if self.now >= self.leaves and self.rng(20):
             self.do(self.relays[self.c.below(3)], f.Leave(self.number, f.LEFT))
-        told = self.client.answer(self.now, self.books.workflow(self.number))
-        self.told += [told] if told else []
+        answer = self.client.answer(self.now, self.books.workflow(self.number))
+        self.told += [answer] if answer else []
 
     def relay(self, relay: Relay) -> None:
         due, relay.events = relay.events, []
@@ -302,9 +304,9 @@
                 self.now, self.books.orphaned_workflows(), live, me, len(owned)
             ):
                 self.do(relay, adopt)
-        for one in owned:
-            if one not in relay.runs or relay.runs[one].state == r.OVER:
-                relay.runs[one] = r.WorkflowRun(one, Prng(self.c.below(1 << 30)))
+        for number in owned:
+            if number not in relay.runs or relay.runs[number].state == r.OVER:
+                relay.runs[number] = r.WorkflowRun(number, Prng(self.c.below(1 << 30)))
         for number, run in sorted(relay.runs.items()):
             self.carry(
                 relay,
@@ -358,19 +360,19 @@
         self.reqs.append(Req(at, send, what, relay, run, fate, runs, not lost))
 
     def arrive(self) -> None:
-        due = sorted((req for req in self.reqs if req.at <= self.now), key=lambda one: one.at)
+        due = sorted((req for req in self.reqs if req.at <= self.now), key=lambda req: req.at)
         self.reqs = [req for req in self.reqs if req.at > self.now]
-        for one in due:
-            if one.runs:
-                self.effect(one.what)
-            if one.answered:
-                one.relay.events.append(partial(one.run.on_outcome, self.now, one.what, one.fate))
+        for req in due:
+            if req.runs:
+                self.effect(req.what)
+            if req.answered:
+                req.relay.events.append(partial(req.run.on_outcome, self.now, req.what, req.fate))
 
     def effect(self, what: f.Intend) -> None:
         steps = self.definition.steps
         if what.undo:
             self.undos += 1
-            self.seen["out_of_order"] += any(one > what.step for one in self.there)
+            self.seen["out_of_order"] += any(step > what.step for step in self.there)
             self.there.discard(what.step)
         else:
             self.seen["out_of_order"] += any(
@@ -390,23 +392,25 @@
             if view.state in w.END_STATES and not self.reqs and self.told and self.now > self.calm:
                 break
         self.tick()
-        state, seen = self.books.workflow(self.number).state, self.seen
-        seen["effects_left_behind"] += state == w.UNDONE and bool(self.there)
-        seen["undone_though_done"] += (state == w.DONE or self.point_ran) and self.undos > 0
-        seen["notices_twice"] += self.notices > 1
+        state, counts = self.books.workflow(self.number).state, self.seen
+        counts["effects_left_behind"] += state == w.UNDONE and bool(self.there)
+        counts["undone_though_done"] += (state == w.DONE or self.point_ran) and self.undos > 0
+        counts["notices_twice"] += self.notices > 1
         right = [
-            one for one in self.told if one.answer == (state if one.state in w.END_STATES else r.ERRORED)
+            answer
+            for answer in self.told
+            if answer.answer == (state if answer.state in w.END_STATES else r.ERRORED)
         ]
-        seen["one_outcome_each"] += state not in w.END_STATES or len(self.told) != 1 or right != self.told
+        counts["one_outcome_each"] += state not in w.END_STATES or len(self.told) != 1 or right != self.told
 
 
 def explored(seeds: range, lease_check: bool = True) -> tuple[dict[str, int], dict[str, int]]:
-    seen, states = dict.fromkeys(CHECKS, 0), {}
+    counts, states = dict.fromkeys(CHECKS, 0), {}
     for seed in seeds:
         world = World(seed, lease_check)
         world.finish()
         for check in CHECKS:
-            seen[check] += world.seen[check] > 0
+            counts[check] += world.seen[check] > 0
         state = world.books.workflow(world.number).state + f" {min(len(set(world.sessions)), 3)} owners"
         states[state] = states.get(state, 0) + 1
         if seed % 40 == 0:
@@ -416,12 +420,12 @@
                 again = Books.from_snapshot(again.snapshot()) if at == cut else again
                 again.apply(at + 1, batch)
             assert again.hash() == world.books.hash()
-    return seen, states
+    return counts, states
 
 
 def test_explorer_finds_nothing() -> None:
-    seen, states = explored(range(1200))
-    assert seen == dict.fromkeys(CHECKS, 0)
+    counts, states = explored(range(1200))
+    assert counts == dict.fromkeys(CHECKS, 0)
     assert all(states.get(f"{end} {owners} owners", 0) > 20 for end in w.END_STATES for owners in (1, 2)), (
         states
     )
@@ -435,8 +439,8 @@
         lambda flow: max(
             (
                 at
-                for at, one in enumerate(flow.steps)
-                if one.state in w.UNDOABLE_STEP_STATES and flow.definition.steps[at].undo
+                for at, step in enumerate(flow.steps)
+                if step.state in w.UNDOABLE_STEP_STATES and flow.definition.steps[at].undo
             ),
             default=-1,
         ),
@@ -450,8 +454,8 @@
         lambda flow: min(
             (
                 at
-                for at, one in enumerate(flow.steps)
-                if one.state in w.UNDOABLE_STEP_STATES and flow.definition.steps[at].effect
+                for at, step in enumerate(flow.steps)
+                if step.state in w.UNDOABLE_STEP_STATES and flow.definition.steps[at].effect
             ),
             default=-1,
         ),
@@ -479,7 +483,7 @@
         w,
         "NEXT_STEP_STATES",
         w.NEXT_STEP_STATES
-        | {one: (*w.NEXT_STEP_STATES[one], w.UNDO_INTENDED) for one in (w.NEVER_RAN, w.FAILED)},
+        | {state: (*w.NEXT_STEP_STATES[state], w.UNDO_INTENDED) for state in (w.NEVER_RAN, w.FAILED)},
     )
 
 
@@ -512,10 +516,10 @@
     check: str, guard: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     guard(monkeypatch)
-    seen, start = 0, 0
-    while not seen and start < 1200:
-        seen, start = explored(range(start, start + 40))[0][check], start + 40
-    assert seen, f"{check} can't fail"
+    count, start = 0, 0
+    while not count and start < 1200:
+        count, start = explored(range(start, start + 40))[0][check], start + 40
+    assert count, f"{check} can't fail"
 
 
 # Taking over
@@ -569,8 +573,8 @@
     view, run, client = it.books.workflow(1), r.WorkflowRun(1, rng), r.WaitingClient(1, 50)
     assert run.step(0, view, 1, True, lambda: True) == () and run.due() == BOOKING.longest
     assert client.answer(49, view) is None
-    told = client.answer(50, view)
-    assert told[:3] == (1, r.ERRORED, w.STUCK) and told.fates[0] == ("room", w.UNDO_DUE)
+    answer = client.answer(50, view)
+    assert answer[:3] == (1, r.ERRORED, w.STUCK) and answer.fates[0] == ("room", w.UNDO_DUE)
     assert client.answer(51, view) is None and r.WaitingClient(1, 5).answer(5, None).state == "unknown"
 
 
@@ -693,7 +697,7 @@
 
 def test_who_does_not_come_is_stood_in_for() -> None:
     live, orphans = (11, 12, 13), ((7, 3),)
-    order = sorted(live, key=lambda one: rank(7, live, one))
+    order = sorted(live, key=lambda session: rank(7, live, session))
     for place, me in enumerate(order):
         takeover = Takeover(PACE)
         takeover.requests(0, orphans, live, me, PACE.max_owned)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -35,12 +35,12 @@
     for some in (guards[at : at + AT_ONCE] for at in range(0, len(guards), AT_ONCE)):
         ran = {broken: lab(name, *words, *(["--break", broken] if broken else [])) for broken in some}
         for broken, process in ran.items():
-            told, _ = process.communicate(timeout=120)
-            report = json.loads(told)
-            checks = {one["name"]: one["holds"] for one in report["checks"]}
+            output, _ = process.communicate(timeout=120)
+            report = json.loads(output)
+            checks = {check["name"]: check["holds"] for check in report["checks"]}
             assert set(GUARDS[name]) == set(checks), broken
-            assert process.returncode == int(bool(broken)) and report["holds"] is not bool(broken), told
-            assert not broken or checks[broken] is False, (broken, told)
+            assert process.returncode == int(bool(broken)) and report["holds"] is not bool(broken), output
+            assert not broken or checks[broken] is False, (broken, output)
 
 
 KILLED = """
@@ -74,9 +74,9 @@
     """One relay runs and one is paused by a script of faults as the lab is killed, which can't clean up."""
     with subprocess.Popen(
         [sys.executable, "-c", KILLED, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE, text=True
-    ) as one:
-        pids = [int(pid) for pid in one.stdout.readline().split()]
-        one.kill()
+    ) as lab_process:
+        pids = [int(pid) for pid in lab_process.stdout.readline().split()]
+        lab_process.kill()
     try:
         assert len(pids) == 2
         wait_until(lambda: all(map(ended, pids)))
--- a/tests/test_lab_budgets.py
+++ b/tests/test_lab_budgets.py
@@ -57,9 +57,9 @@
     [("m", "", True), ("m", "TDCZ", True), ("m", "TDCZTDCZ", False), ("k", "", False)],
 )
 def test_only_a_killed_or_paused_relay_owes_no_answer(relay: str, letters: str, excused: bool) -> None:
-    one = Request("1", relay, 1.0)
-    one.answer = letters
-    assert budgets_checks.is_excused(one, [Span("m", 0.5, 2.0)]) is excused
+    request = Request("1", relay, 1.0)
+    request.answer = letters
+    assert budgets_checks.is_excused(request, [Span("m", 0.5, 2.0)]) is excused
 
 
 # Six relays beside units and clients of 60 connections: the short form too wants the machine for itself.
@@ -75,7 +75,7 @@
         timeout=90,
     )
     report = json.loads(ran.stdout)
-    checks = {one["name"]: one["holds"] for one in report["checks"]}
+    checks = {check["name"]: check["holds"] for check in report["checks"]}
     assert set(GUARDS["budgets"]) == set(checks)
     assert ran.returncode == int(bool(broken)) and report["holds"] is not bool(broken), ran.stdout
     assert not broken or checks[broken] is False, ran.stdout
--- a/tests/test_lab_keepers.py
+++ b/tests/test_lab_keepers.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("looks", "found"),
+    ("looks", "stale_count"),
     [
         ([(1, 2, 5), (3, 4, 5), (5, 6, 9)], 0),
         ([(1, 2, 5), (3, 4, 4)], 1),
@@ -64,8 +64,10 @@
         ([(1, 9, 2), (2, 3, 7), (4, 5, 6), (6, 8, 1)], 2),
     ],
 )
-def test_looks_at_what_only_grows(looks: list[tuple[int, int, int]], found: int) -> None:
-    assert len(stale_reads([op(began, ended, "hash", told) for began, ended, told in looks])) == found
+def test_looks_at_what_only_grows(looks: list[tuple[int, int, int]], stale_count: int) -> None:
+    assert (
+        len(stale_reads([op(began, ended, "hash", number) for began, ended, number in looks])) == stale_count
+    )
 
 
 def test_sums_of_shares_and_answers_that_are_gone() -> None:
@@ -130,9 +132,9 @@
 def test_each_check_fails_without_its_guard(check: str) -> None:
     kind, seeds = WITHOUT[check]
     with keepers_guards.without_guard(check):
-        found = next((seed for seed in range(seeds) if check in broken(seed, kind)), None)
-    assert found is not None
-    assert not broken(found, kind)
+        failing_seed = next((seed for seed in range(seeds) if check in broken(seed, kind)), None)
+    assert failing_seed is not None
+    assert not broken(failing_seed, kind)
 
 
 def test_the_lab_reports_its_checks_and_figures() -> None:
--- a/tests/test_lab_transfers.py
+++ b/tests/test_lab_transfers.py
@@ -15,12 +15,12 @@
 from laurelcourse.lab.request_load import MIN_REQUESTS, Latency, compare_latencies
 
 
-@pytest.mark.parametrize("found", [None, solver.SolverPlan({}, 1, False)])
+@pytest.mark.parametrize("solved", [None, solver.SolverPlan({}, 1, False)])
 def test_a_solver_short_of_time_does_not_lower_the_yardstick(
-    found: solver.SolverPlan | None, monkeypatch: pytest.MonkeyPatch
+    solved: solver.SolverPlan | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     room, wants = instance(1, 16, 6, 80)
-    monkeypatch.setattr(transfers.solver, "solve", lambda *_, **__: found)
+    monkeypatch.setattr(transfers.solver, "solve", lambda *_, **__: solved)
     assert (
         transfers.max_earnings(room, tuple(wants), 2.0)
         == plan.total_earnings(wants, plan.make_plan(room, wants))
@@ -35,9 +35,9 @@
         for at, seconds in ((1, 0.002), (3, 0.006), (5, 0.9))
         for number in range(count if at == 3 else MIN_REQUESTS)
     ]
-    told = compare_latencies(results, (1.0, 2.0), (3.0, 4.0))
-    assert told["reqs_p99_ratio"] == ratio and told["reqs_p99_beside_ms"] == 6.0
-    assert (told["reqs_without"], told["reqs_beside"]) == (MIN_REQUESTS, count)
+    figures = compare_latencies(results, (1.0, 2.0), (3.0, 4.0))
+    assert figures["reqs_p99_ratio"] == ratio and figures["reqs_p99_beside_ms"] == 6.0
+    assert (figures["reqs_without"], figures["reqs_beside"]) == (MIN_REQUESTS, count)
 
 
 @pytest.mark.parametrize("leaks", [False, True])
@@ -46,12 +46,12 @@
 ) -> None:
     books, count = Books(), 0
 
-    def submit(order: Submit, told: Callable) -> None:
+    def submit(order: Submit, on_answer: Callable) -> None:
         nonlocal count
         count += 1
-        told(books.apply(count, Batch(0, 1, order.commands)))
+        on_answer(books.apply(count, Batch(0, 1, order.commands)))
 
-    links = tuple(Link(one, to, transfers.USABLE_RATE, 0) for one, to in ("ab", "ba"))
+    links = tuple(Link(origin, to, transfers.USABLE_RATE, 0) for origin, to in ("ab", "ba"))
     submit(Submit((Command(None, 1, Places(links, (Site("a", 2), Site("b", 2)))),)), list)
     if leaks:
         book = reservations._set_pieces
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -113,9 +113,9 @@
 )
 def test_a_units_answer(raw: bytes, whole: bytes | None, code: str, ready: bool) -> None:
     answer, at = postgres.Answer(), 0
-    while found := postgres.parse_unit_frame(raw, at, len(raw), 1000):
-        answer.take(raw[at : found.end], "gauges")
-        at = found.end
+    while frame := postgres.parse_unit_frame(raw, at, len(raw), 1000):
+        answer.take(raw[at : frame.end], "gauges")
+        at = frame.end
     assert (answer.whole(), answer.code, answer.ready) == (whole, code, ready)
 
 
@@ -153,9 +153,9 @@
 def test_a_spoilt_answer_is_refused_before_it_is_whole(raw: bytes) -> None:
     answer, at = postgres.Answer(), 0
     with pytest.raises(postgres.ProtocolError):
-        while found := postgres.parse_unit_frame(raw, at, len(raw), 1000):
-            answer.take(raw[at : found.end], "gauges")
-            at = found.end
+        while frame := postgres.parse_unit_frame(raw, at, len(raw), 1000):
+            answer.take(raw[at : frame.end], "gauges")
+            at = frame.end
 
 
 @pytest.mark.parametrize(
@@ -202,11 +202,11 @@
     ],
 )
 def test_a_list_is_taken_whole_or_not_at_all(change: dict) -> None:
-    one = {"id": "s", "host_port": "h:1", "locality": "a", "phase": "active", "revision_no": 1}
-    root = {"revision": 1, "complete": True, "members": [one]}
+    entry = {"id": "s", "host_port": "h:1", "locality": "a", "phase": "active", "revision_no": 1}
+    root = {"revision": 1, "complete": True, "members": [entry]}
     assert len(payloads.parse_unit_list(root).entries) == 1
     for name, value in change.items():
-        (root if name in root else one)[name] = value
+        (root if name in root else entry)[name] = value
     with pytest.raises(payloads.PayloadError):
         payloads.parse_unit_list(payloads.parse_json(json.dumps(root).encode()))
 
@@ -426,9 +426,9 @@
         return name != face.CONNECTIONS or key not in self.held
 
     def consume(self, now: int, name: str, key: str = "") -> bool:
-        found = self.allows(now, name, key)
-        self.held += [key] if found and name == face.CONNECTIONS else []
-        return found
+        allowed = self.allows(now, name, key)
+        self.held += [key] if allowed and name == face.CONNECTIONS else []
+        return allowed
 
     def release(self, _: int, name: str, key: str = "") -> None:
         self.held.remove(key)
@@ -555,7 +555,7 @@
 
 
 @pytest.mark.parametrize(
-    "lists, found",
+    "lists, expected",
     [
         ([told(5, u1=D, u2=R)], {1: D, 2: R}),
         ([told(5, u1=D), told(5, u1=D)], {1: D}),  # repeats
@@ -570,17 +570,17 @@
         ([told(5, u1=D), told(4, u1=R), told(5, u1=D), *[told(4, u1=R)] * 6], {1: D}),
     ],
 )
-def test_an_older_list_takes_back_no_drain(lists: list[payloads.UnitList], found: dict[int, str]) -> None:
+def test_an_older_list_takes_back_no_drain(lists: list[payloads.UnitList], expected: dict[int, str]) -> None:
     """Lists come one a second; the timeout is six seconds."""
-    one, now = MembershipFilter(told(1, u1=R, u2=R), 6_000_000), 0
+    membership, now = MembershipFilter(told(1, u1=R, u2=R), 6_000_000), 0
     for news in lists:
-        taken = one.filter(now, news)
+        taken = membership.filter(now, news)
         now += 1_000_000
-    assert {entry.unit: entry.health for entry, _ in taken.entries} == found
+    assert {entry.unit: entry.health for entry, _ in taken.entries} == expected
 
 
 def test_units_that_have_gone_are_forgotten() -> None:
-    one = MembershipFilter(told(1, u1=R), 6_000_000)
+    membership = MembershipFilter(told(1, u1=R), 6_000_000)
     for unit in range(2000):
-        one.filter(0, told(2 + unit, False, **{f"u{unit}": G}))
-    assert len(one.health) < 200
+        membership.filter(0, told(2 + unit, False, **{f"u{unit}": G}))
+    assert len(membership.health) < 200
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -35,7 +35,7 @@
     path = folder / "operator.xml"
     path.write_text(re.sub(r"<(rests|freshness) [^>]*/>", "", EXAMPLE))
     (front,) = reading.read(str(path)).fronts
-    assert front.listen == ("127.0.0.2", 8080) and [one.name for one in front.mirrors.listed] == [
+    assert front.listen == ("127.0.0.2", 8080) and [mirror.name for mirror in front.mirrors.listed] == [
         "m-1",
         "m-2",
         "m-3",
@@ -87,9 +87,9 @@
 def test_a_fault_is_named_with_its_line(folder: Path, old: str, new: str, words: str) -> None:
     text = EXAMPLE.replace(old, new, 1)
     line = EXAMPLE[: EXAMPLE.index(old)].count("\n") + 1
-    found = faults(folder, text)
-    at = [one for one in found if words in one]
-    assert len(found) >= 1 and at, found
+    problems = faults(folder, text)
+    at = [problem for problem in problems if words in problem]
+    assert len(problems) >= 1 and at, problems
     assert at[0].startswith(f"{folder / 'operator.xml'}:")
     if words.startswith(("'30'", "mirror", "timeout", "it would", "no pinned")):
         assert int(at[0].split(":")[1]) == line
@@ -97,9 +97,9 @@
 
 def test_every_fault_is_told_at_once_in_the_order_of_lines(folder: Path) -> None:
     text = EXAMPLE.replace('name="m-2"', 'name="m-1"').replace('chunk="64KiB"', 'chunk="2MiB"')
-    found = faults(folder, text.replace('bytes="16MiB"', 'bytes="1KiB"'))
-    lines = [int(one.split(":")[1]) for one in found]
-    assert len(found) == 3 and lines == sorted(lines)
+    problems = faults(folder, text.replace('bytes="16MiB"', 'bytes="1KiB"'))
+    lines = [int(problem.split(":")[1]) for problem in problems]
+    assert len(problems) == 3 and lines == sorted(lines)
 
 
 def test_check_names_the_file_and_ends_with_2(folder: Path) -> None:
--- a/tests/test_race_clients.py
+++ b/tests/test_race_clients.py
@@ -147,10 +147,10 @@
 def kiosks(tmp_path: Path) -> Iterator[TufRig]:
     """Starts a relay with files of two repositories, and a director that drops repeated manifests."""
     image, director = TufRepository(consistent=False), TufRepository()
-    for one in (image, director):
-        one.add("first.bin", b"first" * 100)
-        one.add("next.bin", b"next" * 100)
-        one.publish()
+    for repository in (image, director):
+        repository.add("first.bin", b"first" * 100)
+        repository.add("next.bin", b"next" * 100)
+        repository.publish()
     both = {"/image/": image, "/director/": director}
     mirrors = [MirrorStandIn(both, director="deduped") for _ in range(3)]
     changed = {
--- a/tests/test_race_floods.py
+++ b/tests/test_race_floods.py
@@ -99,12 +99,12 @@
     for client in kept:
         client.ask()
     threads = [threading.Thread(target=bad, args=(served, first, over, how)) for _ in range(MANY)]
-    threads += [threading.Thread(target=one.go_on, args=(over,)) for one in (*kept, *new)]
+    threads += [threading.Thread(target=client.go_on, args=(over,)) for client in (*kept, *new)]
     for thread in threads:
         thread.start()
 
     def few() -> bool:
-        return any(len(one.ends) <= 2 for one in (*kept, *new))
+        return any(len(client.ends) <= 2 for client in (*kept, *new))
 
     most, ends = 0, time.monotonic() + 1.2
     while time.monotonic() < ends + 8 * few():  # the crowd stays until all good clients have asked some more
@@ -113,11 +113,11 @@
     over.set()
     for thread in threads:
         thread.join(5)
-    results = [end for one in (*kept, *new) for end in one.ends]
-    assert most <= SOCKETS and min(len(one.ends) for one in (*kept, *new)) > 2
+    results = [end for client in (*kept, *new) for end in client.ends]
+    assert most <= SOCKETS and min(len(client.ends) for client in (*kept, *new)) > 2
     assert set(results) <= {COMPLETED, SHED}
     assert results.count(COMPLETED) * 2 > len(results)  # what is refused is told so at once, and few are
-    assert max(one.longest for one in (*kept, *new)) < 2  # none waits in the backlog past its time
+    assert max(client.longest for client in (*kept, *new)) < 2  # none waits in the backlog past its time
     assert served.count("tasks_died") == served.count("module_faults") == 0
 
 
@@ -154,16 +154,16 @@
     served = serve(sockets=60)
     ready = [PgClient(served.port) for _ in range(6)]
     idle = [served.client() for _ in range(4)]
-    for one in idle:
-        assert one.ask(build_query())[:2] == COMPLETED
+    for client in idle:
+        assert client.ask(build_query())[:2] == COMPLETED
     time.sleep(0.3)  # silent, or between reqs, for longer than is asked for
     os.kill(served.process.pid, signal.SIGSTOP)
     crowd = [socket.create_connection((RELAY_HOST, served.port)) for _ in range(40)]
-    for one in (*ready, *idle):
-        one.send(build_query("once"))
-    for one in crowd:
-        one.sendall(STARTUP + b"Q")
+    for client in (*ready, *idle):
+        client.send(build_query("once"))
+    for client in crowd:
+        client.sendall(STARTUP + b"Q")
     os.kill(served.process.pid, signal.SIGCONT)
-    assert [one.answer()[:2] for one in (*ready, *idle)] == [COMPLETED] * 10
-    for one in crowd:
-        one.close()
+    assert [client.answer()[:2] for client in (*ready, *idle)] == [COMPLETED] * 10
+    for client in crowd:
+        client.close()
--- a/tests/test_race_lists.py
+++ b/tests/test_race_lists.py
@@ -303,8 +303,8 @@
         self.ended.append(conn)
 
     def close(self) -> None:
-        for one in (self.sock, *self.own, *self.conns):
-            one.close()
+        for sock in (self.sock, *self.own, *self.conns):
+            sock.close()
 
 
 class Platform(DeployerStandIn):
@@ -408,7 +408,7 @@
     started: Callable[..., Served], rolling: Callable[..., Served]
 ) -> None:
     """What a watch misses counts 2 s after its wait. All relays wait at the same time."""
-    watches = [silent_watch(started, *one) for one in SILENT]
+    watches = [silent_watch(started, *case) for case in SILENT]
     for check in [*(silent_stream(rolling, script) for script in LOST), *watches]:
         check()
 
@@ -470,13 +470,13 @@
 def test_a_stream_that_breaks_behind_each_state_is_opened_ever_more_slowly() -> None:
     """A single break costs only the first pause, also after a stream that has lasted for a while."""
     stand, scheduler, results = Breaking([0.0] * 6 + [0.6, 0.0]), Scheduler(Clock(), lambda: None), []
-    found = limits(
+    limit_values = limits(
         SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS})
     )._replace(silence=400_000, backoff_first=20_000, backoff_max=SECOND)
     deployer = Deployer(
         scheduler,
         SimpleNamespace(
-            limits=found, settings=conftest.SETTINGS, seed=7, deployer=(STAND_IN_HOST, stand.port)
+            limits=limit_values, settings=conftest.SETTINGS, seed=7, deployer=(STAND_IN_HOST, stand.port)
         ),
         SimpleNamespace(stage=results.append),
         Counters(),
@@ -752,7 +752,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, known, lifts",
+    "reported, known, lifts",
     [
         ((2, 0, "Progressing", 1), (2, 0, "Aborting", 0), True),
         ((2, 0, "Aborting", 0), (2, 0, "Progressing", 1), False),
@@ -763,12 +763,12 @@
     ],
 )
 def test_an_earlier_state_is_passed_over_where_it_would_lift_a_cap(
-    told: tuple, known: tuple, lifts: bool
+    reported: tuple, known: tuple, lifts: bool
 ) -> None:
-    one, two = (
+    first, second = (
         payloads.parse_build_state(
             dict(zip(("build", "stage", "phase", "cap"), state, strict=True)) | {"age_ms": 0}
         )
-        for state in (told, known)
+        for state in (reported, known)
     )
-    assert payloads.lifts_cap(one, two) == lifts
+    assert payloads.lifts_cap(first, second) == lifts
--- a/tests/test_race_news.py
+++ b/tests/test_race_news.py
@@ -143,9 +143,9 @@
     assert lists.filter(2 * SECOND, again) == again
 
 
-def ask(one: BalancerDriver, key: int | None = 9, route: str = "read") -> tuple:
-    one.made += 1
-    return one.balancer.new_req(one.now, f"r{one.made}", route, "", key, 2 * SECOND, False)[-1]
+def ask(driver: BalancerDriver, key: int | None = 9, route: str = "read") -> tuple:
+    driver.made += 1
+    return driver.balancer.new_req(driver.now, f"r{driver.made}", route, "", key, 2 * SECOND, False)[-1]
 
 
 def test_a_key_that_a_later_build_has_answered_goes_to_no_lower_one_on_trial(
--- a/tests/test_race_restarts.py
+++ b/tests/test_race_restarts.py
@@ -106,8 +106,8 @@
     served = serve(units=1, modes="drip")
     unit, clients = served.units[0], [served.client() for _ in range(6)]
     waits, unread, halves, ahead, gone, idle = clients
-    for one in (waits, gone):
-        one.send(build_query("once"))
+    for client in (waits, gone):
+        client.send(build_query("once"))
     wait_until(lambda: len(unit.connections) == 2)
     halves.sock.sendall(asked(build_query("once"))[:40])
     served.count("notices")
@@ -121,7 +121,7 @@
     wait_until(lambda: "msg=stopping" in served.log.read_text())
     rest = asked(build_query("once"))
     halves.sock.sendall(rest[40:])
-    results = [one.answer()[:2] for one in (waits, unread, halves, ahead, ahead, idle)]
+    results = [client.answer()[:2] for client in (waits, unread, halves, ahead, ahead, idle)]
     assert results == [COMPLETED] * 5 + [("", "")]
     assert served.process.wait(10) == 0
     assert "reqs.once.withdrawn=1" in served.log.read_text().splitlines()[-1] and len(served.queries()) == 5
@@ -167,8 +167,8 @@
         client.send(build_query("once", 3000))
         wait_until(lambda count=taken + 1: len(served.queries()) == count)
         leave(client, "fin")
-    told = served.client().ask(build_query())[:2]
-    assert told == ("EZ", "53300") and served.count("units_no_descriptor") > 0
+    answer = served.client().ask(build_query())[:2]
+    assert answer == ("EZ", "53300") and served.count("units_no_descriptor") > 0
     assert served.count("tries.unreached") == 0 and len(served.queries()) == most
 
 
--- a/tests/test_race_settings.py
+++ b/tests/test_race_settings.py
@@ -137,11 +137,11 @@
 
     def listed(self, now: int, whole: bool, entries: list[face.Listed]) -> None:
         results = {entry.unit: entry for entry in entries}
-        for name, one in self.units.items() if whole else ():
-            results.setdefault(name, one._replace(health=face.GONE))
-        for name, one in results.items():
-            self.units[name] = one
-            if one.health == face.READY:
+        for name, listed_unit in self.units.items() if whole else ():
+            results.setdefault(name, listed_unit._replace(health=face.GONE))
+        for name, listed_unit in results.items():
+            self.units[name] = listed_unit
+            if listed_unit.health == face.READY:
                 self.left.pop(name, None)
             else:
                 self.left.setdefault(name, now)
@@ -178,9 +178,11 @@
         cap, stage = (self.cap(now), self.news[1]) if named else (s.stage_caps[0], 0)
         since = max(now - s.cap_window, self.counted_from - 1 if named else -math.inf)
         scope = [place for place in range(len(s.routes)) if place == rq.place or not s.cap_per_route]
-        tried = sum(at > since and one == build and place in scope for at, one, place in self.tried)
-        took = sum(at > now - s.cap_window and place in scope for at, place in self.took)
-        assert tried + 1 <= s.cap_free_tries + cap * took + 1e-9, "rule 5: over the cap"
+        tried = sum(
+            at > since and its_build == build and place in scope for at, its_build, place in self.tried
+        )
+        req_count = sum(at > now - s.cap_window and place in scope for at, place in self.took)
+        assert tried + 1 <= s.cap_free_tries + cap * req_count + 1e-9, "rule 5: over the cap"
         assert cap > 0, "rule 5: a cap of 0"
         assert stage >= s.protected_stages or rq.route.repeat_policy == RETRIABLE, (
             "rule 5: an effect in a shielded stage"
@@ -264,7 +266,7 @@
         rq = self.rules.reqs[req]
         self.rules.sent(self.now, rq, unit)
         left = min(limit, rq.due - self.now) if limit > 0 else rq.due - self.now
-        took = int(rq.route.objective * self.pace * self.c.between(0.2, 4))
+        duration = int(rq.route.objective * self.pace * self.c.between(0.2, 4))
         bad = self.fleet[unit].build > 5 and self.c.chance(0.3)
         status = (
             face.OK
@@ -281,10 +283,10 @@
             )
         )
         quick = status in (face.BUSY, face.UNREACHABLE, face.UNSENT)
-        took = took // 50 if quick else took
-        if status == face.TIMEOUT or took >= left:
-            took, status = left, face.TIMEOUT
-        self.at(took, self.ended, req, len(rq.tries) - 1, status)
+        duration = duration // 50 if quick else duration
+        if status == face.TIMEOUT or duration >= left:
+            duration, status = left, face.TIMEOUT
+        self.at(duration, self.ended, req, len(rq.tries) - 1, status)
 
     def ended(self, req: str, number: int, status: str) -> None:
         rq = self.rules.reqs[req]
@@ -362,10 +364,10 @@
         self.tells(status)
 
     def tells(self, status: str | None = None) -> None:
-        told = (self.build, self.stage, self.standing)
+        report = (self.build, self.stage, self.standing)
         if status in (None, face.COUNTED):
-            self.rules.told(self.now, *told, self.share)
-            self.call("stage", *told, status is not None, face.COUNTED, self.share, 100 * MS)
+            self.rules.told(self.now, *report, self.share)
+            self.call("stage", *report, status is not None, face.COUNTED, self.share, 100 * MS)
         else:
             self.call("stage", 0, 0, 0, True, status, 0.0, 0)
 
@@ -391,7 +393,9 @@
 
     def lists(self, broken: bool = False) -> None:
         how = face.WATCH_BROKEN if broken else self.c.one_of(face.CHANGES, face.FULL_LIST, face.CACHED)
-        entries = [one for one in self.fleet.values() if how != face.CHANGES or self.c.chance(0.4)]
+        entries = [
+            unit_entry for unit_entry in self.fleet.values() if how != face.CHANGES or self.c.chance(0.4)
+        ]
         if how in (face.FULL_LIST, face.CACHED):
             entries = [entry for entry in entries if entry.health != face.GONE]
         if how != face.WATCH_BROKEN:
@@ -595,7 +599,7 @@
 
 
 @pytest.mark.parametrize(
-    "path, value, said",
+    "path, value, message",
     [
         ("settings.domain.rings", [], "rings"),
         ("settings.domain.most_shares", "", "most_shares"),
@@ -641,13 +645,13 @@
     ],
 )
 def test_a_configuration_that_is_not_served_is_one_line(
-    tmp_path: Path, path: str, value: object, said: str
+    tmp_path: Path, path: str, value: object, message: str
 ) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(root((path, value))))
-    with pytest.raises(configuration.ConfigError) as found:
+    with pytest.raises(configuration.ConfigError) as raised:
         configuration.read(str(file))
-    assert said in str(found.value) and "\n" not in str(found.value)
+    assert message in str(raised.value) and "\n" not in str(raised.value)
 
 
 def test_news_of_a_stage_that_the_settings_lack_is_told_at_the_start(tmp_path: Path) -> None:
@@ -668,10 +672,10 @@
 def test_a_configuration_as_large_as_any_keeps_its_messages_short() -> None:
     rows = [(place, 9, 1, 8, 100.0, 9, 1, 8, 100.0, 1300.0) for place in range(20)]
     sums = messages.pack_sums(1, 2, 3, 0, rows)
-    heard = [messages.unpack(one, 20)[1].rows for one in sums]
-    assert all(len(one) <= 256 for one in sums) and sorted(place for one in heard for place in one) == list(
-        range(20)
-    )
+    heard = [messages.unpack(datagram, 20)[1].rows for datagram in sums]
+    assert all(len(datagram) <= 256 for datagram in sums) and sorted(
+        place for datagram in heard for place in datagram
+    ) == list(range(20))
     word = messages.pack_report(messages.VoterReport(1, 2, 3, 9, (0.5, 0.2, 0.1), (0.5,) * 20, 0.1))
     assert len(word) <= 256 and len(messages.unpack(word, 20)[1].latency_ratios) == 20
 
@@ -680,7 +684,7 @@
 
 
 @pytest.mark.parametrize(
-    "packed, told",
+    "packed, expected",
     [
         (lambda: messages.pack_sums(1, 2, 60_000, 65_536, [], 65_536)[0], (1, 2, 60_000, 65_535, 65_535, {})),
         (
@@ -717,26 +721,26 @@
     ],
     ids=["complaints", "sums", "word", "loads", "doubts"],
 )
-def test_what_is_beyond_a_field_is_told_as_its_end(packed: Callable[[], bytes], told: object) -> None:
-    found = packed()
-    assert len(found) <= messages.MAX_BYTES and messages.unpack(found, 2)[1] == told
+def test_what_is_beyond_a_field_is_told_as_its_end(packed: Callable[[], bytes], expected: object) -> None:
+    unpacked = packed()
+    assert len(unpacked) <= messages.MAX_BYTES and messages.unpack(unpacked, 2)[1] == expected
 
 
 def test_a_relay_tells_more_complaints_than_a_field_holds() -> None:
     """The counts of reqs and the rest of a heartbeat's work are not lost because of them."""
-    one, other = (make_balancer(relay_index=me, relay_count=2) for me in (0, 1))
+    sender, other = (make_balancer(relay_index=me, relay_count=2) for me in (0, 1))
     now, build = 100 * SECOND, 65_535  # the highest that there is (wire, 4)
-    for relay in (one, other):
+    for relay in (sender, other):
         relay.directory(
             now, face.FULL_LIST, [face.Listed(1, "a", 0, build, face.READY, 1.0, face.START_UNKNOWN_US)]
         )
-    one.state.trial.complaint_count = 65_535
-    one.complaint(now, 1, 0, "read")
+    sender.state.trial.complaint_count = 65_535
+    sender.complaint(now, 1, 0, "read")
     results = []
     while not results and now < 110 * SECOND:
         now += 10 * MS
         results = [
-            result[2] for result in one.timer(now, "beat") if result[0] == face.TELL and result[1] == 1
+            result[2] for result in sender.timer(now, "beat") if result[0] == face.TELL and result[1] == 1
         ]
     other.peer(now, 0, results[0])
     assert (
@@ -878,11 +882,11 @@
     balancer: Balancer, asked: Iterable[Asking], answers: Callable[[int], tuple[str, int]]
 ) -> list[tuple]:
     """Returns what a relay does with reqs whose tries end as their units answer: time, action, the rest."""
-    heap, found, tries = [], [], Counter()
+    heap, actions, tries = [], [], Counter()
 
     def heed(now: int, results: list[tuple]) -> None:
         for result in results:
-            found.append((now, *result))
+            actions.append((now, *result))
             if result[0] == face.SEND:
                 _, req, unit, limit = result
                 status, lag = answers(unit)
@@ -897,7 +901,7 @@
         if at >= balancer.next_wake_at:
             heed(at, balancer.timer(at, "beat"))
         heed(at, balancer.new_req(at, f"{step}/{route}/{key}", route, "", key, left, False))
-    return found
+    return actions
 
 
 def fleet(**builds: int) -> list[face.Listed]:
--- a/tests/test_race_signals.py
+++ b/tests/test_race_signals.py
@@ -48,11 +48,11 @@
             for number in self.ignored:
                 signal.signal(number, signal.SIG_IGN)
 
-        with self.log.open("wb") as told:
+        with self.log.open("wb") as log_file:
             self.process = subprocess.Popen(
                 [sys.executable, "-B", "-m", "laurelcourse", "serve", "--config", str(self.path)],
                 cwd=ROOT,
-                stderr=told,
+                stderr=log_file,
                 preexec_fn=ignore,
             )
         return self.process
@@ -195,11 +195,11 @@
     started = further()
     started.path.write_text(json.dumps(started.config))
     words = line.replace("exec .venv/bin/python", f"kill -HUP $$; kill -USR1 $$; exec {sys.executable}")
-    with started.log.open("wb") as told:
+    with started.log.open("wb") as log_file:
         started.process = subprocess.Popen(
             ["/bin/sh", "-c", words],
             cwd=ROOT,
-            stderr=told,
+            stderr=log_file,
             env=os.environ | {"EDGE_CONFIG": str(started.path)},
         )
     while not started.serving():
--- a/tests/test_race_stop.py
+++ b/tests/test_race_stop.py
@@ -85,8 +85,8 @@
         # Told that there is no room, and open for half a second more: none is accepted beside them.
         full = [Client(served.port) for _ in range(room // 10)]
         wait_until(
-            lambda served=served, began=began, came=(*busy, *full): time.monotonic() > began + 0.4
-            or served.count("clients_accepted") == len(came)
+            lambda served=served, began=began, arrived=(*busy, *full): time.monotonic() > began + 0.4
+            or served.count("clients_accepted") == len(arrived)
         )
         served.process.send_signal(signal.SIGSTOP)
         if time.monotonic() < began + 0.4:
@@ -97,7 +97,7 @@
     while time.monotonic() < began + 0.65:  # the longest that the relay waits for its door
         time.sleep(0.01)
     served.process.send_signal(signal.SIGCONT)
-    assert [one.last()[0] in FINAL for one in (*crowd, *busy)] == [True] * (61 + len(busy))
+    assert [client.last()[0] in FINAL for client in (*crowd, *busy)] == [True] * (61 + len(busy))
     assert over(served, began) < STOPPED
 
 
@@ -130,17 +130,17 @@
     clients = {name: Client(served.port, first) for name, (first, _) in ROUND.items()}
     wait_until(lambda: served.count("clients_accepted") == len(ROUND))
     wait_until(lambda: refused(served))
-    for name, one in clients.items():
+    for name, client in clients.items():
         *before, last = ROUND[name][1]
         for part in before:
             with contextlib.suppress(ConnectionError):
-                one.sock.sendall(part)
-            one.answer()  # the welcome
+                client.sock.sendall(part)
+            client.answer()  # the welcome
         with contextlib.suppress(ConnectionError):
-            one.sock.sendall(last)
-    for name, one in clients.items():
-        ends[name] = one.answer()[:2] if len(ROUND[name][1]) > 1 else one.last()
-        one.close()
+            client.sock.sendall(last)
+    for name, client in clients.items():
+        ends[name] = client.answer()[:2] if len(ROUND[name][1]) > 1 else client.last()
+        client.close()
     assert ends == dict.fromkeys(ROUND, COMPLETED)
     assert over(served, began) < STOPPED
 
@@ -149,13 +149,13 @@
     served, words = serve(), [asked() for _ in range(4)]
     cuts = (1, 5, 40, len(words[0]) - 1)
     clients = [served.client() for _ in cuts]
-    for one, cut, word in zip(clients, cuts, words, strict=True):
-        assert one.ask(build_query())[:2] == COMPLETED
-        one.sock.sendall(word[:cut])
+    for each_client, cut, word in zip(clients, cuts, words, strict=True):
+        assert each_client.ask(build_query())[:2] == COMPLETED
+        each_client.sock.sendall(word[:cut])
     began = told(served)
     wait_until(lambda: refused(served))
-    for one, cut, word in zip(clients, cuts, words, strict=True):
-        one.sock.sendall(word[cut:])
+    for each_client, cut, word in zip(clients, cuts, words, strict=True):
+        each_client.sock.sendall(word[cut:])
     assert [client.answer()[:2] for client in clients] == [COMPLETED] * 4
     assert [client.answer()[0] for client in clients] == [""] * 4
     assert over(served, began) < STOPPED
@@ -201,8 +201,8 @@
     began = told(served)
     assert client.stream.read() == b""  # the relay has closed its side
     client.sock.sendall(asked())
-    found = wait_until(lambda: client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 2)
-    assert found in (errno.ECONNRESET, errno.EPIPE) and len(served.queries()) == 1
+    socket_error = wait_until(lambda: client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 2)
+    assert socket_error in (errno.ECONNRESET, errno.EPIPE) and len(served.queries()) == 1
     assert over(served, began) < STOPPED
 
 
@@ -249,8 +249,8 @@
 def test_an_effect_whose_client_has_gone_is_not_begun_again(serve: Callable[..., Served]) -> None:
     served = serve(modes="slow1")
     gone, stays = served.client(), served.client()
-    for one in (gone, stays):
-        one.sock.sendall(asked())
+    for client in (gone, stays):
+        client.sock.sendall(asked())
     wait_until(lambda: len(served.queries()) == 2)
     began = told(served)
     gone.stream.close()
--- a/tests/test_race_tries.py
+++ b/tests/test_race_tries.py
@@ -355,8 +355,8 @@
             result.connect_ex(self.sock.getsockname())
 
     def close(self) -> None:
-        for one in (self.sock, *self.own):
-            one.close()
+        for sock in (self.sock, *self.own):
+            sock.close()
 
 
 @pytest.mark.parametrize("unit", [HeldUnit, Full])
--- a/tests/test_race_units.py
+++ b/tests/test_race_units.py
@@ -168,8 +168,8 @@
     return int(re.search(r"id=([0-9a-f]+)", words)[1], 16)
 
 
-def numbered(one: int) -> str:
-    return re.sub("id=[0-9a-f]+", f"id={one:016x}", build_query("once"))
+def numbered(number: int) -> str:
+    return re.sub("id=[0-9a-f]+", f"id={number:016x}", build_query("once"))
 
 
 # What was cut at each byte: (answer, [(from how many bytes on, its outcome)]), reset before the first.
@@ -646,10 +646,10 @@
     real, once = Connection.is_clean, [what]
 
     def clean(conn: Connection) -> bool:
-        found = real(conn)
-        if found and rig.stands[0].queries and once:
+        is_clean = real(conn)
+        if is_clean and rig.stands[0].queries and once:
             once.pop()(conn)
-        return found
+        return is_clean
 
     monkeypatch.setattr(Connection, "is_clean", clean)
 
@@ -694,10 +694,10 @@
             conn.sendall(ROW + READY)
             if len(unit.queries) == 1:
                 conn.recv(1, socket.MSG_PEEK)
-                for one in what:
-                    if one is None:
+                for step in what:
+                    if step is None:
                         return
-                    conn.sendall(one)
+                    conn.sendall(step)
 
     return play
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -57,8 +57,8 @@
     assert (letters, code) == COMPLETED and pack_message(b"D", row) in ROW
     sent = shared.queries()
     assert len(sent) == before + 1
-    found = next(query for query in sent if re.sub(r"\bd=\d+", "d=1500", query) == asked)
-    assert 1000 < int(re.search(r"\bd=(\d+)", found)[1]) <= 1500
+    passed_on = next(query for query in sent if re.sub(r"\bd=\d+", "d=1500", query) == asked)
+    assert 1000 < int(re.search(r"\bd=(\d+)", passed_on)[1]) <= 1500
 
 
 @pytest.mark.parametrize(
@@ -402,10 +402,10 @@
     served, ends = serve(modes="slow0.01"), []
 
     def go_on(client: PgClient) -> None:
-        told = [client.ask(build_query("once"))]
-        while told[-1][0]:
-            told.append(client.ask(build_query("once")))
-        ends.append([one[:2] for one in told])
+        answers = [client.ask(build_query("once"))]
+        while answers[-1][0]:
+            answers.append(client.ask(build_query("once")))
+        ends.append([answer[:2] for answer in answers])
 
     threads = [threading.Thread(target=go_on, args=(served.client(),)) for _ in range(8)]
     for thread in threads:
@@ -527,8 +527,10 @@
 ) -> None:
     served = serve(modes="large", memory=32, sockets=256)
     half = [served.client() for _ in range(60)]
-    for one in half:
-        one.sock.sendall(pack_message(b"Q", build_query("mark").replace("9f03", "9f" * 65536).encode())[:-9])
+    for client in half:
+        client.sock.sendall(
+            pack_message(b"Q", build_query("mark").replace("9f03", "9f" * 65536).encode())[:-9]
+        )
     for route in ("mark", "read"):
         letters, _, row = served.client().ask(build_query(route).replace("9f03", "9f" * 65536))
         assert letters == "TDCZ" and row.endswith(LARGE_BLOB)
@@ -557,7 +559,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, said",
+    "change, message",
     [
         (lambda config: config.pop("listen"), "lacks the field 'listen'"),
         (lambda config: config["settings"].pop("tick"), "lacks the field 'settings.tick'"),
@@ -581,7 +583,7 @@
 )
 @pytest.mark.parametrize("command", ["serve", "check"])
 def test_a_bad_configuration_is_one_plain_line_and_exit_2(
-    shared: Served, tmp_path: Path, change: Callable | None, said: str, command: str
+    shared: Served, tmp_path: Path, change: Callable | None, message: str, command: str
 ) -> None:
     config = json.loads(json.dumps(shared.config))
     if change:
@@ -590,18 +592,18 @@
     path.write_text(json.dumps(config) if change else "{")
     done = program(command, "--config", str(path))
     error = done.stderr.decode()
-    assert done.returncode == 2 and str(path) in error and said in error and error.count("\n") == 1
+    assert done.returncode == 2 and str(path) in error and message in error and error.count("\n") == 1
 
 
 def test_check_and_version_say_what_is_there(shared: Served) -> None:
     routes = len(PLATFORM_SETTINGS["classes"])
-    for words, said in (
+    for words, message in (
         (["check", "--config", str(shared.path)], f"{routes} routes, 2 units"),
         (["version"], VERSION),
         (["--help"], "serve"),
     ):
         done = program(*words)
-        assert done.returncode == 0 and said in done.stdout.decode()
+        assert done.returncode == 0 and message in done.stdout.decode()
 
 
 def test_a_client_that_reads_late_gets_whole_answers_and_keeps_nobody_waiting(shared: Served) -> None:
@@ -636,10 +638,10 @@
 
 
 @pytest.mark.parametrize(
-    "also, found", [("", "[]"), ("import h11; os.system('true')", "['h11', 'os.system']")]
+    "also, expected", [("", "[]"), ("import h11; os.system('true')", "['h11', 'os.system']")]
 )
 def test_run_starts_nothing_and_brings_none_of_the_other_fronts_libraries(
-    serve: Callable[..., Served], also: str, found: str
+    serve: Callable[..., Served], also: str, expected: str
 ) -> None:
     served = serve(watched=WATCHED.replace("runpy.run", f"{also}\nrunpy.run"))
     assert served.client().ask(build_query())[:2] == COMPLETED
@@ -648,7 +650,7 @@
     assert served.client().ask(build_query())[:2] == COMPLETED
     served.process.send_signal(signal.SIGTERM)
     assert served.process.wait(10) == 0
-    assert f"watched True {found}" in served.log.read_text()
+    assert f"watched True {expected}" in served.log.read_text()
 
 
 @pytest.mark.parametrize(
@@ -681,11 +683,11 @@
     for unit in shared.units:
         unit.mode = "ok"
     with (
-        log.open("wb") as told,
+        log.open("wb") as log_file,
         subprocess.Popen(
             [sys.executable, "-B", "-m", "laurelcourse", "serve", "--config", str(path)],
             cwd=ROOT,
-            stderr=told,
+            stderr=log_file,
         ) as process,
     ):
         try:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -110,7 +110,7 @@
         for second in range(len(sent))
     ]
     most = [budget * ramp + 3 * math.sqrt(budget * ramp) + 3 for ramp in ramps]
-    assert all(one <= there for one, there in zip(sent, most, strict=True)) and sum(sent) >= budget / 4
+    assert all(count <= there for count, there in zip(sent, most, strict=True)) and sum(sent) >= budget / 4
 
 
 @pytest.mark.parametrize(
@@ -231,17 +231,17 @@
 def direct(trial: list, members: list, steps: list) -> list[float]:
     """Returns the paper's sums for the weights after a short sequence, with f0 divided out."""
     p0, p, n = rules.INITIAL_BAD_PROBABILITY, rules.CHANGE_PROBABILITY, len(steps)
-    found = [(1 - p0) * (1 - p) ** n]
+    weights = [(1 - p0) * (1 - p) ** n]
     for place, (*_, prior) in enumerate(members):
         gains = [math.exp(step[place]) for step in steps]
-        found.append(
+        weights.append(
             p0 * prior * math.prod(gains)
             + (1 - p0)
             * p
             * prior
             * sum((1 - p) ** (k - 1) * math.prod(gains[k - 1 :]) for k in range(1, n + 1))
         )
-    return [one / sum(found) for one in found]
+    return [weight / sum(weights) for weight in weights]
 
 
 @pytest.mark.parametrize(
@@ -305,7 +305,7 @@
     for _ in range(60):
         sent = driver.req()[-1]
         driver.end(sent, 0, status if sent[2] == 7 else face.OK, 20_000, last=True)
-    votes = [found[1:] for found in early + driver.wait(waits) if found[0] == face.VOTE]
+    votes = [result[1:] for result in early + driver.wait(waits) if result[0] == face.VOTE]
     assert votes[0] == (6, 0, verdict) and len(votes) <= 1 + waits * SECOND // (
         driver.balancer.settings.vote_ttl // 2
     )
@@ -380,18 +380,19 @@
 def test_a_route_late_at_all_units_leaves_places_to_the_others(
     make_driver: Callable[..., BalancerDriver], usual: tuple, voters: int, most: int
 ) -> None:
-    one = make_driver(relay_count=300)
-    one.list(*WARM)
-    one.news(5, standing=2)
-    trial = one.balancer.state.trial
+    driver = make_driver(relay_count=300)
+    driver.list(*WARM)
+    driver.news(5, standing=2)
+    trial = driver.balancer.state.trial
     for voter in trial.voters[:voters]:
-        word = messages.VoterReport(1, 1, 5, 9, (0.1,) * len(one.balancer.kinds), usual)
-        one.balancer.peer(one.now, voter, messages.pack_report(word))
+        word = messages.VoterReport(1, 1, 5, 9, (0.1,) * len(driver.balancer.kinds), usual)
+        driver.balancer.peer(driver.now, voter, messages.pack_report(word))
     ends = {
         name: sum(
-            verbs(one.req(name))[-1:] == [face.SEND]
-            and not one.end(
-                one.balancer.state.reqs[f"r{one.made}"].tries[0].unit and (face.SEND, f"r{one.made}", 0),
+            verbs(driver.req(name))[-1:] == [face.SEND]
+            and not driver.end(
+                driver.balancer.state.reqs[f"r{driver.made}"].tries[0].unit
+                and (face.SEND, f"r{driver.made}", 0),
                 0,
                 face.OK,
                 1000,
@@ -590,32 +591,32 @@
     standing: int,
     aside: bool,
 ) -> None:
-    one = make_driver(relay_count=300)
-    one.balancer.state.typical_latency = [SECOND // 10] * 3
-    one.list(*WARM[:3], (4, "a", 5, 90))
-    one.news(5, standing=standing, cap=1.0)
+    driver = make_driver(relay_count=300)
+    driver.balancer.state.typical_latency = [SECOND // 10] * 3
+    driver.list(*WARM[:3], (4, "a", 5, 90))
+    driver.news(5, standing=standing, cap=1.0)
     word = messages.pack_suspicions(messages.zone_code(site), [(1, 0), (4, 0), (12345, 0)])
     for teller in tellers if age else ():
-        one.balancer.peer(one.now, teller, word)
-    one.now += age * SECOND
-    while one.req("read", 3 * SECOND)[-1][2] != 4:
+        driver.balancer.peer(driver.now, teller, word)
+    driver.now += age * SECOND
+    while driver.req("read", 3 * SECOND)[-1][2] != 4:
         pass
-    own = one.wait(0.6 if standing else 1.1)
+    own = driver.wait(0.6 if standing else 1.1)
     results = [
         messages.unpack(result[2], 3)[1] for result in own if result[0] == face.TELL and result[1] == "all"
     ]
     assert sum((4, 0) in doubts.units for doubts in results if isinstance(doubts, messages.Suspicions)) == 1
     for teller in () if age else tellers:
-        one.balancer.peer(one.now, teller, word)
-    left = [result[1] for result in one.wait(0.05) if result[0] == face.CANCEL]
-    assert (one.balancer.state.units[4].ejected_until > one.now) == aside == (f"r{one.made}" in left)
-    one.list(*WARM[:3], (4, "a", 5, 1))
-    assert not one.balancer.state.units[4].suspicions
+        driver.balancer.peer(driver.now, teller, word)
+    left = [result[1] for result in driver.wait(0.05) if result[0] == face.CANCEL]
+    assert (driver.balancer.state.units[4].ejected_until > driver.now) == aside == (f"r{driver.made}" in left)
+    driver.list(*WARM[:3], (4, "a", 5, 1))
+    assert not driver.balancer.state.units[4].suspicions
 
 
-@pytest.mark.parametrize("relays, told", [(3, 0), (300, 1)])
+@pytest.mark.parametrize("relays, expected", [(3, 0), (300, 1)])
 def test_doubts_are_told_where_open_tries_are_not_and_rest_a_third_at_most(
-    make_driver: Callable[..., BalancerDriver], relays: int, told: int
+    make_driver: Callable[..., BalancerDriver], relays: int, expected: int
 ) -> None:
     driver = make_driver(relay_count=relays)
     driver.balancer.state.typical_latency = [SECOND // 10] * 3
@@ -623,12 +624,12 @@
     for _ in range(30):
         driver.req("once", 3 * SECOND)
     results = [messages.unpack(result[2], 3)[0] for result in driver.wait(0.7) if result[0] == face.TELL]
-    assert results.count(messages.SUSPICIONS) == told
+    assert results.count(messages.SUSPICIONS) == expected
     word = messages.pack_suspicions(messages.zone_code("a"), [(unit, 1) for unit in range(9)])
     for teller in (1, 2):
         driver.balancer.peer(driver.now, teller, word)
     resting = sum(unit.ejected_until > driver.now for unit in driver.balancer.state.ready_units)
-    assert resting == 3 * told
+    assert resting == 3 * expected
 
 
 @pytest.mark.parametrize(
--- a/tests/test_tuf.py
+++ b/tests/test_tuf.py
@@ -165,10 +165,10 @@
 def test_many_who_ask_at_once_make_one_try_and_share_its_failure(serve: Callable[..., TufRig]) -> None:
     rig = serve(published(), mirrors=1)
     rig.mirrors[0].mode = "slow"
-    found: list[int] = []
+    statuses: list[int] = []
 
     def ask() -> None:
-        found.append(rig.request(META + "timestamp.json")[0])
+        statuses.append(rig.request(META + "timestamp.json")[0])
 
     for status, tries in ((200, 1), (503, 5)):
         before = rig.count_mirror_requests("timestamp")
@@ -177,8 +177,8 @@
             thread.start()
         for thread in threads:
             thread.join()
-        assert found == [status] * 60 and rig.count_mirror_requests("timestamp") - before <= tries
-        found.clear()
+        assert statuses == [status] * 60 and rig.count_mirror_requests("timestamp") - before <= tries
+        statuses.clear()
         rig.mirrors[0].mode = "failing"
         rig.relays[0].kill()
         rig.relays[0].start()
@@ -424,8 +424,8 @@
             chief.add("fw.bin", b"fw" * 50, custom={"ecuIdentifiers": {"1": {"hardwareId": "ecu-a"}}})
             chief.add("other.bin", b"another")
             both = {"/image/": image, "/director/": chief}
-            for one in both.values():
-                one.publish()
+            for repository in both.values():
+                repository.publish()
             mirrors = [MirrorStandIn(both, director=director) for _ in range(2)]
             rig = TufRig(tmp_path, both, mirrors, overrides=changed)
             return stack.enter_context(contextlib.closing(rig)).start()
@@ -462,7 +462,7 @@
     again = rig.request(path, "POST", manifest("v1", 2))[0]
     assert again == (200 if director else 409)
     assert rig.request(path, "POST", manifest("v1", 1))[0] == 200  # the answer that was kept
-    taken = [one for mirror in rig.mirrors for one in mirror.manifests]
+    taken = [manifest_key for mirror in rig.mirrors for manifest_key in mirror.manifests]
     assert taken.count(("v1", 2)) == effects and taken.count(("v1", 1)) == 1
 
 
--- a/tests/test_tuf_decisions.py
+++ b/tests/test_tuf_decisions.py
@@ -45,20 +45,20 @@
     return Download(target, first, last, CHUNK, blocks or BlockHashes(CHUNK, 1000))
 
 
-def feed(one: Download, data: bytes, unit: int = 1, most: int | None = None, size: int = 700) -> bytes:
+def feed(reading: Download, data: bytes, unit: int = 1, most: int | None = None, size: int = 700) -> bytes:
     """Answers as a mirror that gives what is asked of it out of these bytes, `most` of them, then breaks."""
-    span = one.range_to_ask()
-    first, last = span or (0, one.length - 1)
+    span = reading.range_to_ask()
+    first, last = span or (0, reading.length - 1)
     status = 206 if span else 200
-    told = (first, last, one.length) if span else None
-    assert one.begin(unit, status, last - first + 1, told, None) == FITS
+    range_told = (first, last, reading.length) if span else None
+    assert reading.begin(unit, status, last - first + 1, range_told, None) == FITS
     out, given = b"", data[first : last + 1][:most]
     for at in range(0, len(given), size):
-        out += b"".join(one.add(given[at : at + size]))
-        if one.state != download.READING:
+        out += b"".join(reading.add(given[at : at + size]))
+        if reading.state != download.READING:
             break
-    assert len(one.held) <= 2 * CHUNK
-    one.leave_mirror()
+    assert len(reading.held) <= 2 * CHUNK
+    reading.leave_mirror()
     return out
 
 
@@ -561,7 +561,7 @@
         process.join()
         assert process.exitcode == 9 and path.read_bytes() == (newer if new else old)
         keeper = state_store.StateStore(tmp_path)
-        assert [one.name for one in tmp_path.iterdir()] == ["image.proven"] and keeper.read("image")
+        assert [path.name for path in tmp_path.iterdir()] == ["image.proven"] and keeper.read("image")
         keeper.write("image", state_store.StoredState([], {}, 2))
         keeper.close()
         assert keeper.read("image").proven_at == 2
--- a/tests/test_tuf_trust.py
+++ b/tests/test_tuf_trust.py
@@ -52,13 +52,13 @@
 
 @pytest.mark.parametrize("consistent", [True, False])
 def test_a_whole_walk_is_taken_on_and_the_next_finds_nothing_new(consistent: bool) -> None:
-    one = TufRepository(consistent)
-    one.add("app.bin", b"one")
-    trust = Trust((one.publish() and one.pinned), MOST)
-    assert [offer.verdict for offer in walk(trust, one.newest)] == [UNCHANGED, VERIFIED, VERIFIED, VERIFIED]
+    repo = TufRepository(consistent)
+    repo.add("app.bin", b"one")
+    trust = Trust((repo.publish() and repo.pinned), MOST)
+    assert [offer.verdict for offer in walk(trust, repo.newest)] == [UNCHANGED, VERIFIED, VERIFIED, VERIFIED]
     assert trust.is_usable(now()) and trust.view.timestamp.version == 1
-    assert [offer.verdict for offer in walk(trust, one.newest)] == [UNCHANGED, UNCHANGED]
-    for name, raw in one.newest.metadata.items():
+    assert [offer.verdict for offer in walk(trust, repo.newest)] == [UNCHANGED, UNCHANGED]
+    for name, raw in repo.newest.metadata.items():
         role, version = trust.parse_name(name)
         assert trust.find_file(role, version, trust.view).raw == raw
 
@@ -143,13 +143,13 @@
 
 
 def test_a_threshold_that_is_not_met_proves_nothing() -> None:
-    one = TufRepository(threshold=2)
-    one.publish()
-    trust = Trust(one.pinned, MOST)
-    given = Revision(dict(one.newest.metadata), {}, 1)
-    one._sign(one.timestamp, one.signers["timestamp"][:1])
-    given.metadata["timestamp.json"] = one.timestamp.to_bytes()
-    assert last(trust, given) == INVALID and last(trust, one.newest) == VERIFIED
+    repo = TufRepository(threshold=2)
+    repo.publish()
+    trust = Trust(repo.pinned, MOST)
+    given = Revision(dict(repo.newest.metadata), {}, 1)
+    repo._sign(repo.timestamp, repo.signers["timestamp"][:1])
+    given.metadata["timestamp.json"] = repo.timestamp.to_bytes()
+    assert last(trust, given) == INVALID and last(trust, repo.newest) == VERIFIED
 
 
 def test_roots_rotate_one_version_at_a_time(repository: TufRepository) -> None:
@@ -244,47 +244,47 @@
 
 
 def chain(deep: int, loop: bool = False, clock: Callable[[], datetime] = wall_clock) -> TufRepository:
-    one = TufRepository(clock=clock)
+    repo = TufRepository(clock=clock)
     parent = "targets"
     for place in range(deep):
-        one.delegate(parent, f"r{place}", ["*"])
+        repo.delegate(parent, f"r{place}", ["*"])
         parent = f"r{place}"
     if loop:
-        one.delegate(parent, "r0", ["*"])
-    one.add("deep.bin", b"deep", parent)
-    one.publish()
-    return one
+        repo.delegate(parent, "r0", ["*"])
+    repo.add("deep.bin", b"deep", parent)
+    repo.publish()
+    return repo
 
 
-def prove_all(trust: Trust, one: TufRepository, path: str) -> tuple[object, int]:
+def prove_all(trust: Trust, repo: TufRepository, path: str) -> tuple[object, int]:
     asked = 0
     while (sought := trust.find_target(trust.view, path)).missing_role:
         want = trust.wanted_role_file(trust.view, sought.missing_role)
-        raw = one.newest.metadata[want.name]
+        raw = repo.newest.metadata[want.name]
         assert trust.add_role(trust.view, sought.missing_role, raw, now()).verdict == VERIFIED
         asked += 1
     return sought.target, asked
 
 
 @pytest.mark.parametrize(
-    "deep, loop, found, roles", [(3, False, True, 3), (3, True, True, 3), (60, False, False, 32)]
+    "deep, loop, is_found, roles", [(3, False, True, 3), (3, True, True, 3), (60, False, False, 32)]
 )
 def test_delegations_are_followed_once_each_and_not_endlessly(
-    deep: int, loop: bool, found: bool, roles: int
+    deep: int, loop: bool, is_found: bool, roles: int
 ) -> None:
-    one = chain(deep, loop)
-    trust = Trust(one.pinned, MOST)
-    walk(trust, one.newest)
-    target, asked = prove_all(trust, one, "deep.bin")
-    assert (target is not None, asked) == (found, roles)
-    assert prove_all(trust, one, "nowhere.bin") == (None, 0)
+    repo = chain(deep, loop)
+    trust = Trust(repo.pinned, MOST)
+    walk(trust, repo.newest)
+    target, asked = prove_all(trust, repo, "deep.bin")
+    assert (target is not None, asked) == (is_found, roles)
+    assert prove_all(trust, repo, "nowhere.bin") == (None, 0)
 
 
 def test_a_role_is_reached_by_its_name_and_only_by_who_delegates_to_it() -> None:
-    one = chain(3)
-    trust = Trust(one.pinned, MOST)
-    walk(trust, one.newest)
-    raw = {role: one.newest.metadata[f"1.{role}.json"] for role in ("r0", "r1", "r2")}
+    repo = chain(3)
+    trust = Trust(repo.pinned, MOST)
+    walk(trust, repo.newest)
+    raw = {role: repo.newest.metadata[f"1.{role}.json"] for role in ("r0", "r1", "r2")}
     assert (
         trust.next_role_towards(trust.view, "r2") == "r0"
         and trust.next_role_towards(trust.view, "r9") == "r0"
@@ -299,27 +299,27 @@
 
 def test_proven_roles_stay_while_the_snapshot_means_them_and_their_keys_hold() -> None:
     made = wall_clock()  # stands still: what is published anew expires when it did
-    one = chain(2, clock=lambda: made)
-    trust = Trust(one.pinned, MOST)
-    walk(trust, one.newest)
-    prove_all(trust, one, "deep.bin")
-    one.delegated["r1"].signed.version -= 1  # published anew as it was
-    one.delegated["r0"].signed.version -= 1
-    raw = one.publish().metadata
-    assert raw["1.r0.json"] == one.revisions[0].metadata["1.r0.json"]
-    walk(trust, one.newest)
+    repo = chain(2, clock=lambda: made)
+    trust = Trust(repo.pinned, MOST)
+    walk(trust, repo.newest)
+    prove_all(trust, repo, "deep.bin")
+    repo.delegated["r1"].signed.version -= 1  # published anew as it was
+    repo.delegated["r0"].signed.version -= 1
+    raw = repo.publish().metadata
+    assert raw["1.r0.json"] == repo.revisions[0].metadata["1.r0.json"]
+    walk(trust, repo.newest)
     assert set(trust.view.roles) == {"targets", "r0", "r1"}
     signer = CryptoSigner.generate_ed25519()
-    one.targets.signed.revoke_key(one.signers["r0"][0].public_key.keyid, "r0")
-    one.targets.signed.add_key(signer.public_key, "r0")
-    one.signers["r0"] = [signer]
-    one.publish()
-    walk(trust, one.newest)
+    repo.targets.signed.revoke_key(repo.signers["r0"][0].public_key.keyid, "r0")
+    repo.targets.signed.add_key(signer.public_key, "r0")
+    repo.signers["r0"] = [signer]
+    repo.publish()
+    walk(trust, repo.newest)
     assert set(trust.view.roles) == {"targets"}
 
 
 @pytest.mark.parametrize(
-    "name, consistent, found",
+    "name, consistent, expected",
     [
         ("timestamp.json", True, ("timestamp", None)),
         ("7.snapshot.json", True, ("snapshot", 7)),
@@ -331,6 +331,6 @@
         ("0.root.json", True, ("0.root", None)),
     ],
 )
-def test_a_files_name_tells_role_and_version(name: str, consistent: bool, found: tuple) -> None:
-    one = TufRepository(consistent)
-    assert Trust(one.pinned, MOST).parse_name(name) == found
+def test_a_files_name_tells_role_and_version(name: str, consistent: bool, expected: tuple) -> None:
+    repo = TufRepository(consistent)
+    assert Trust(repo.pinned, MOST).parse_name(name) == expected
