--- a/laurelcourse/fronts/tuf/exchange.py
+++ b/laurelcourse/fronts/tuf/exchange.py
@@ -54,7 +54,9 @@
 class FileRequest:
     """A request for a target on its way to one client: parts pass through its mailbox, one at a time."""
 
-    route, repeated, key = TARGET, False, None
+    route = TARGET
+    repeated = False
+    key = None
 
     def __init__(
         self,
--- a/tests/test_faulty_proxy.py
+++ b/tests/test_faulty_proxy.py
@@ -145,7 +145,7 @@
         wait_until(lambda: pair.ways.counts("a", "b") == (2, 2, 301_001, 300_001))
 
 
-def test_a_slow_way_keeps_its_rate_and_delay(pair: Pair) -> None:
+def test_a_slow_proxy_keeps_its_rate_and_delay(pair: Pair) -> None:
     pair.set(SLOW, delay=50_000, rate=200_000)
     with pair.connect() as sock:
         began = time.monotonic()
@@ -154,7 +154,7 @@
         assert time.monotonic() - began >= 0.29
 
 
-def test_a_flapping_way_is_cut_and_open_by_turns(pair: Pair) -> None:
+def test_a_flapping_proxy_alternates_between_cut_and_open(pair: Pair) -> None:
     pair.set(FLAP, period=100_000)
     results = []
     over = time.monotonic() + 5
@@ -167,7 +167,7 @@
     )
 
 
-def test_what_ends_at_one_side_ends_at_the_other(pair: Pair) -> None:
+def test_an_end_on_one_side_ends_the_other(pair: Pair) -> None:
     with pair.connect() as sock:
         sock.sendall(b"bye")
         sock.shutdown(socket.SHUT_WR)
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("down, count, beyond", [(1, 3, False), (2, 5, False), (1, 3, True)])
-def test_a_script_keeps_its_bounds_and_heals_all(down: int, count: int, beyond: bool) -> None:
+def test_scripts_keep_their_bounds_and_end_all_faults(down: int, count: int, beyond: bool) -> None:
     plan = Plan(
         KEEPERS[:count],
         MEMBERS,
@@ -265,7 +265,7 @@
     assert all("\n" not in line and len(line) < 100 for line in lines)
 
 
-def test_real_relays_meet_each_fault_and_none_is_left(tmp_path: Path) -> None:
+def test_real_relays_get_each_fault_and_none_is_left(tmp_path: Path) -> None:
     budget = {"name": "resends", "kind": "rate", "whole": "100", "relays": "4"}
     pids: list[int] = []
     with Cluster(
@@ -346,7 +346,7 @@
     assert not mine
 
 
-def test_disks_are_torn_made_old_and_put_back(tmp_path: Path) -> None:
+def test_disks_are_truncated_replaced_and_restored(tmp_path: Path) -> None:
     with Cluster(tmp_path, {"k1": "a"}, {}, {"alone": "true"}) as host:
         node = host.nodes["k1"]
         node.start = lambda wait=True: None
--- a/tests/test_fleet_books.py
+++ b/tests/test_fleet_books.py
@@ -197,7 +197,7 @@
         assert (do(books, 10, command), books.to_plain()[5:9]) == ([code], before), command
 
 
-def test_bounds_on_all_that_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_all_stored_state_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     for room, name, most in (
         (sessions, "MAX_SESSIONS", 3),
         (sessions, "MAX_PAST_SESSIONS", 2),
@@ -227,7 +227,7 @@
     assert books.to_plain()[8][0][2] == [[2520, 1], [2521, 1], [2522, 1], [2529, 7]]
 
 
-def test_an_entry_is_applied_once_and_the_desk_sees_what_is_there() -> None:
+def test_entries_are_applied_once_and_the_coordinator_sees_the_state() -> None:
     books = begun()
     do(books, 20, "grant hellos/k 1:9 2:3", "grant hellos/k 1:4", "back b 1 hellos/k 1")
     for index in (2, 1, 0):
--- a/tests/test_fleet_budget_holder.py
+++ b/tests/test_fleet_budget_holder.py
@@ -61,7 +61,7 @@
         return sum(self.holder.consume(self.now, name, key) is True for _ in range(many))
 
 
-def test_without_a_lease_only_floors_count_and_what_has_none_is_left_to_the_module() -> None:
+def test_without_a_lease_only_floors_may_be_used() -> None:
     relay = Relay()
     assert [relay.holder.allows(relay.now, name) for name in ("unknown", "cold-work")] == [None, None]
     assert [relay.takes(name) for name in ("calls", "connections")] == [2, 1]
@@ -95,7 +95,7 @@
     ]
 
 
-def test_keys_are_apart_and_those_beyond_the_bound_share_one_floor() -> None:
+def test_keys_have_separate_budgets_up_to_a_limit() -> None:
     relay = Relay().open()
     assert [relay.takes("connections", str(unit)) for unit in range(MAX_USES)] == [1] * MAX_USES
     assert [relay.takes("connections", f"more-{unit}") for unit in range(3)] == [1, 0, 0]
@@ -104,7 +104,7 @@
     )  # what is beyond is not told: it is nobody's demand in the books
 
 
-def test_uses_that_nobody_asks_for_go_but_not_what_is_held() -> None:
+def test_unused_budget_uses_are_dropped_unless_they_hold_something() -> None:
     relay = Relay().open()
     assert (relay.takes("connections", "1"), relay.takes("resends", "2")) == (1, 0)
     for _ in range((IDLE_LEASES + 1) * 6 + 1):
@@ -116,7 +116,7 @@
     assert not relay.holder.uses
 
 
-def test_a_share_asked_back_is_given_back_once_and_used_no_more() -> None:
+def test_a_revoked_share_is_given_back_once_and_not_used() -> None:
     relay = Relay().open()
     relay.beat(("connections", 5, 5))
     assert relay.takes("connections") == 6
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("allowed, ends", [(None, face.SEND), (True, face.SEND), (False, face.SHED)])
-def test_the_module_asks_for_each_resend(
+def test_the_balancer_consumes_budget_for_each_retry(
     make_driver: Callable[..., BalancerDriver], allowed: bool | None, ends: str
 ) -> None:
     driver, asked = make_driver(), []
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("allowed, ends", [(None, face.SHED), (True, face.SEND), (False, face.SHED)])
-def test_a_share_of_a_cold_units_work_takes_the_place_of_the_own_part(
+def test_a_budget_of_cold_work_replaces_the_relays_own_share(
     make_driver: Callable[..., BalancerDriver], allowed: bool | None, ends: str
 ) -> None:
     driver, taken = make_driver(relay_count=300), []
@@ -173,7 +173,7 @@
         (2, 4, [face.SEND, 8, 9]),
     ],
 )
-def test_a_unit_that_starts_at_nothing_gets_nothing_at_its_start(
+def test_a_unit_with_start_capacity_zero_gets_nothing_at_first(
     make_driver: Callable[..., BalancerDriver], units: int, age: float, ends: list
 ) -> None:
     """Whatever the fleet's budget says: there is no capacity of which it could have a share."""
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize("allowed", [None, True])
-def test_a_warm_unit_takes_what_one_that_starts_at_nothing_can_not(
+def test_a_warm_unit_serves_while_a_cold_one_may_not(
     make_driver: Callable[..., BalancerDriver], allowed: bool | None
 ) -> None:
     driver = make_driver(start_capacity=0.0)
@@ -206,7 +206,7 @@
         ([face.FAILED, face.FAILED, face.OK], 2),
     ],
 )
-def test_a_try_that_found_no_connection_costs_no_resend(
+def test_a_try_without_a_connection_costs_no_retry(
     make_driver: Callable[..., BalancerDriver], ends: list, taken: int
 ) -> None:
     """Where connections are not waited for, many such tries return at once.
@@ -226,7 +226,7 @@
     assert asked == [face.RESENDS] * taken
 
 
-def test_reqs_that_find_no_connection_leave_the_floor_of_resends_to_one_that_fails(
+def test_tries_without_a_connection_leave_the_retry_floor_to_failed_ones(
     make_driver: Callable[..., BalancerDriver],
 ) -> None:
     """A relay without a lease, with a floor of 4 retries a second, and units that accept no connection."""
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("seed", range(7, 12))
-def test_filling_is_exact_and_no_change_breaks_the_whole(seed: int) -> None:
+def test_water_filling_is_exact_and_never_exceeds_the_total(seed: int) -> None:
     rng = Prng(seed)
     assert water_fill(5, [9, 8, 7, 7]) == [2, 1, 1, 1] and water_fill(9, [1, 9, 3, 7]) == [1, 3, 3, 2]
     for _ in range(400):
@@ -184,14 +184,14 @@
         (500, 9000, 9000, 320),
     ],
 )
-def test_a_liar_ends_with_no_more_than_it_proves(others: int, claims: int, uses: int, most: int) -> None:
+def test_false_demand_earns_no_more_than_is_used(others: int, claims: int, uses: int, most: int) -> None:
     budget = Budget("b", RATE, 3300, 4, 25, 0, 0)
     demands = {**dict.fromkeys(range(10), others), 10: claims}
     held = dict.fromkeys(demands, 0)
     assert beats(budget, held, demands, {10: uses}, {}, 40) < 40 and min(uses, 200) <= held[10] <= most
 
 
-def test_a_thousand_relays_are_divided_in_time() -> None:
+def test_division_for_a_thousand_relays_is_fast() -> None:
     rng, budget = Prng(3), Budget("b", RATE, 500_000, 10, 1000, 0, 0)
     demand_rows = asked(*((rng.below(2000), 400, 300 + rng.below(101), rng.fraction()) for _ in range(1000)))
     began = time.perf_counter()
@@ -298,7 +298,7 @@
         ),
     ],
 )
-def test_what_may_be_taken(kind: int, doings: list) -> None:
+def test_limits_of_budget_use(kind: int, doings: list) -> None:
     use = BudgetUse(TAKEN[kind])
     for place, (now, what, *expected) in enumerate(doings):
         if what == "t":
@@ -344,7 +344,7 @@
         (2, [(4, 0, -1), (4.025, 1, -1), (5, 40, 1000), (6, 52, 1000), (7.1, 12, 1000), (9, 12, 1000)]),
     ],
 )
-def test_demand_is_what_was_taken_and_refused_lately(kind: int, looks: list) -> None:
+def test_demand_is_recent_use_and_refusals(kind: int, looks: list) -> None:
     use, results = BudgetUse(TAKEN[kind], closed_until=4 * S), []
     assert not use.consume(S, usable=True)
     use.set_share(4 * S, Share("b", 10, 10), 20 * S)
@@ -373,7 +373,7 @@
         (200, 30, 10),
     ],
 )
-def test_demand_by_chance_is_told_without_bias(rate: float, relays: int, beats: int) -> None:
+def test_random_demand_is_reported_without_bias(rate: float, relays: int, beats: int) -> None:
     """Poisson demand per heartbeat: the mean of what all relays report, against the true rate.
 
     Within three standard deviations of the events themselves, and one percent.
@@ -393,7 +393,7 @@
     assert abs(mean - true) <= by_chance * true
 
 
-def test_what_is_left_over_of_the_mean_is_told_later_and_the_least_is_told_where_there_is_no_floor() -> None:
+def test_demand_fractions_are_carried_over() -> None:
     for floor, expected in ((2, [0, 1, 0, 1, 0, 0]), (0, [1, 1, 1, 1, 0, 0])):
         use = BudgetUse(TAKEN[0]._replace(floor=floor))
         assert not use.consume(20 * S, usable=True) and use.demand(20 * S) == 1  # nothing is known of before
@@ -402,7 +402,7 @@
         assert [use.demand(30 * S + turn * BEAT) for turn in range(6)] == expected
 
 
-def test_what_is_told_of_few_uses_and_of_a_share_that_changed() -> None:
+def test_used_share_with_few_uses_or_a_changed_share() -> None:
     use = BudgetUse(TAKEN[0])
     for at in (18, 19.5, 20.3, 20.6, 20.9):
         use.consume(int(at * S), usable=True)
@@ -541,7 +541,7 @@
     ],
 )
 @pytest.mark.parametrize("seed", range(3))
-def test_never_more_than_the_whole_while_shares_change_hands(budget: Budget, seed: int) -> None:
+def test_the_total_is_never_exceeded_while_shares_move(budget: Budget, seed: int) -> None:
     fleet = Fleet(budget, 10, seed)
     fleet.run(60, 700, 5, stops=1500)
     assert fleet.sessions > 15 and beyond_whole(budget, fleet.uses, 10) <= 0
@@ -560,7 +560,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_relays_near_idle_hold_no_tokens_that_another_wants(seed: int) -> None:
+def test_nearly_idle_relays_hold_no_needed_tokens(seed: int) -> None:
     """Four relays need 0.67 per second and one needs 40, of a total of 24 with a floor of 1 for each of six.
 
     18 are divided. Of a demand of 0.67 a floor's bucket of one lets 0.4 through, so at most 0.86 can be used.
@@ -573,7 +573,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_what_a_dead_relay_held_is_anothers_within_a_lease_and_a_beat(seed: int) -> None:
+def test_shares_of_a_dead_relay_move_within_a_lease_and_a_heartbeat(seed: int) -> None:
     """The relay with the highest demand dies, and its demand goes to one that was nearly idle.
 
     The books divide with each heartbeat and when a session ends (`Coordinator`).
--- a/tests/test_fleet_calls.py
+++ b/tests/test_fleet_calls.py
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("kind, form", FORMS)
-def test_a_form_comes_out_as_it_went_in(kind: type, form: object) -> None:
+def test_messages_round_trip(kind: type, form: object) -> None:
     message = codec.to_message(form)
     there = codec.parse(type(message), message.SerializeToString(), 1 << 20)
     back = codec.from_message(kind, there)
@@ -171,7 +171,7 @@
         7,
     ],
 )
-def test_what_does_not_fit_is_not_written(form: object) -> None:
+def test_values_out_of_range_are_not_encoded(form: object) -> None:
     error = errors.TooLargeError if "xxxx" in repr(form) else errors.UnreadableError
     with pytest.raises(error):
         codec.to_message(form)
@@ -196,12 +196,12 @@
         (keeper.Message, wire.Message(append=wire.Append(entries=[wire.Entry(kind="other")]))),
     ],
 )
-def test_what_is_not_whole_is_not_read(kind: type, message: object) -> None:
+def test_incomplete_messages_are_refused(kind: type, message: object) -> None:
     with pytest.raises(errors.UnreadableError):
         codec.from_message(kind, message)
 
 
-def test_bytes_of_any_kind_are_read_or_refused() -> None:
+def test_arbitrary_bytes_are_decoded_or_refused() -> None:
     rng, sound, read = Prng(5), codec.encode_batch(BATCH), 0
     for _ in range(6000):
         data = bytearray(sound[: 1 + rng.below(len(sound))])
@@ -223,7 +223,7 @@
     return type(message).FromString(message.SerializeToString() + b"\xa2\x38\x03new")
 
 
-def test_fields_of_a_newer_version_are_passed_over() -> None:
+def test_fields_of_a_newer_version_are_ignored() -> None:
     assert codec.from_message(orders.Beat, _with_more(codec.to_message(BEAT))) == BEAT
     assert codec.decode_batch(codec.encode_batch(BATCH) + b"\xa2\x38\x03new") == BATCH
 
@@ -415,7 +415,7 @@
     return future.result(seconds)
 
 
-def test_each_order_is_carried_and_the_leaders_hint_is_followed(ground: Ground) -> None:
+def test_orders_reach_the_leader_that_a_keeper_names(ground: Ground) -> None:
     leading = Scripted(lambda order: books.Done(("x",)) if order == ASKED else RENEWED)
     others = Scripted(lambda _: refused("not_leader", leader="c"))
     keepers = {name: at(ground.keeper(name, leading if name == "c" else others)) for name in "abc"}
@@ -453,7 +453,7 @@
         (books.Done(("x" * 2000,) * 40), books.Done),
     ],
 )
-def test_what_a_keeper_refuses_comes_out_by_type(ground: Ground, answer: object, heard: type) -> None:
+def test_refusals_become_typed_errors(ground: Ground, answer: object, heard: type) -> None:
     keeping = Scripted(lambda _: answer)
     client = ground.client({"a": at(ground.keeper("a", keeping))}, LIMITS._replace(order_timeout=SECOND // 2))
     received = told(client.submit, SUBMIT)
@@ -471,7 +471,7 @@
         ({"to": "relay-2"}, LIMITS._replace(order_timeout=SECOND // 4), errors.UnknownFateError),
     ],
 )
-def test_an_answer_of_another_fleet_version_or_asker_is_not_taken(
+def test_answers_of_another_fleet_version_or_caller_are_refused(
     ground: Ground, head: dict, limits: Limits, error: type
 ) -> None:
     service = ground.keeper("a", Scripted())
@@ -481,13 +481,13 @@
     assert type(told(client.submit, SUBMIT)) is error
 
 
-def test_an_answer_over_the_askers_bound_is_refused(ground: Ground) -> None:
+def test_answers_over_the_callers_limit_are_refused(ground: Ground) -> None:
     service = ground.keeper("a", Scripted(lambda _: books.Done(("x" * 2000,) * 20)))
     client = ground.client({"a": at(service)}, LIMITS._replace(message_bytes=1 << 15))
     assert type(told(client.submit, SUBMIT)) is errors.TooLargeError
 
 
-def test_a_half_open_and_a_dead_keeper_are_passed_over_in_time(ground: Ground) -> None:
+def test_half_open_and_dead_keepers_are_skipped_in_time(ground: Ground) -> None:
     keeping = Scripted()
     for turn in range(3):
         client = ground.client(
@@ -508,7 +508,7 @@
         ("renew", BEAT, ["half_open", "dead", "mute"], errors.NoQuorumError),
     ],
 )
-def test_without_keepers_an_order_ends_in_its_time(
+def test_orders_without_keepers_end_at_their_deadline(
     ground: Ground, verb: str, form: object, keepers: list[str], error: type
 ) -> None:
     addresses = {keeper: getattr(ground, keeper)() for keeper in keepers}
@@ -518,7 +518,7 @@
     assert keepers != ["mute"] or len(ground.held) > 1  # what did not answer is connected to anew
 
 
-def test_a_clients_queue_is_bounded_and_closing_ends_what_waits(ground: Ground) -> None:
+def test_the_clients_queue_is_bounded_and_close_ends_waiting_orders(ground: Ground) -> None:
     client, results = ground.client({"a": ground.mute()}, SLOW), []
     client.submit(SUBMIT, results.append)
     wait_until(lambda: not client.lanes["submit"].queue)
@@ -556,7 +556,7 @@
         (None, "unreadable"),
     ],
 )
-def test_a_head_of_another_fleet_version_or_process_is_refused(
+def test_orders_of_another_fleet_version_or_process_are_refused(
     ground: Ground, head: wire.Head, code: str
 ) -> None:
     keeping = Scripted()
@@ -569,7 +569,7 @@
     assert keeping.talk == ([] if code else [("relay-1", BEATING)]) and len(keeping.orders) == (not code)
 
 
-def test_strangers_on_the_port_change_nothing(ground: Ground) -> None:
+def test_unknown_clients_on_the_port_change_nothing(ground: Ground) -> None:
     keeping = Scripted()
     service = ground.keeper("a", keeping)
     rng = Prng(3)
@@ -593,7 +593,7 @@
         Service(keeping, "fleet", "b", at(service), LIMITS, Forwarder("fleet", "b", {}, LIMITS))
 
 
-def test_orders_that_wait_keep_no_keeper_from_talking_and_end_when_it_stops(ground: Ground) -> None:
+def test_waiting_orders_do_not_block_messages_and_end_at_a_stop(ground: Ground) -> None:
     keeping = Scripted(lambda _: Future())
     service = ground.keeper("a", keeping, limits=SLOW)
     stub = fleet_pb2_grpc.BooksStub(ground.raw(service))
@@ -614,7 +614,7 @@
     service.stop(SECOND)
 
 
-def test_an_asker_that_left_holds_no_place(ground: Ground) -> None:
+def test_a_caller_that_left_frees_its_place(ground: Ground) -> None:
     service = ground.keeper("a", Scripted(lambda _: Future()), limits=SLOW)
     stub = fleet_pb2_grpc.BooksStub(ground.raw(service))
     call = stub.Renew.future(wire.RenewOrder(head=_head(), what=codec.to_message(BEAT)), timeout=60)
@@ -632,7 +632,7 @@
     return refused("not_leader", leader=LEADS)
 
 
-def test_what_can_not_reach_the_leader_is_handed_on_as_it_is(ground: Ground) -> None:
+def test_orders_that_cannot_reach_the_leader_are_forwarded_unchanged(ground: Ground) -> None:
     leading = Scripted(lambda order: books.Done(("x",)) if order == ASKED else RENEWED)
     others = Scripted(hinting)
     a = ground.keeper("a", leading)
@@ -670,7 +670,7 @@
         (1, {"to": "c"}, errors.UnknownFateError, 1),
     ],
 )
-def test_no_order_is_handed_on_after_its_time_and_an_answer_of_another_leaves_its_fate_unknown(
+def test_orders_past_their_deadline_are_not_forwarded(
     ground: Ground, timeout: int, head: dict, error: type | None, asked: int
 ) -> None:
     forwarder, calls = Forwarder("fleet", "b", {"a": "127.0.0.1:1"}, LIMITS), []
@@ -685,7 +685,7 @@
 
 
 @pytest.mark.parametrize("hours", [-1, 1])
-def test_the_time_of_day_set_while_a_keeper_waits_changes_nothing_of_the_askers_time(
+def test_setting_the_time_of_day_does_not_change_a_callers_deadline(
     ground: Ground, monkeypatch: pytest.MonkeyPatch, hours: int
 ) -> None:
     """gRPC's `time_remaining` is computed from `time.time`.
@@ -715,7 +715,7 @@
     assert reply.by == "a" and 0 < handed[0] < 20 * SECOND * 7 // 8
 
 
-def test_an_order_is_handed_on_once_at_most(ground: Ground) -> None:
+def test_orders_are_forwarded_at_most_once(ground: Ground) -> None:
     asked = {name: Scripted() for name in "abc"}
     doors = {name: ground.keeper(name, keeping) for name, keeping in asked.items()}
     for name, following in (("a", "b"), ("b", "c"), ("c", "a")):  # each takes another for the leader
@@ -749,7 +749,7 @@
     assert type(told(client.renew, BEAT)) is errors.NoQuorumError
 
 
-def test_a_keeper_that_ends_over_it_leaves_the_fate_unknown(ground: Ground) -> None:
+def test_a_keeper_that_dies_while_forwarding_leaves_the_fate_unknown(ground: Ground) -> None:
     leading = Scripted(lambda _: Future())
     a = ground.keeper("a", leading, limits=SLOW)
     b = ground.keeper("b", Scripted(hinting), limits=SLOW, others={"a": at(a)})
@@ -765,7 +765,7 @@
     assert type(future.result(5)) is errors.UnknownFateError
 
 
-def test_a_keeper_that_knows_no_such_wish_is_asked_in_vain_and_another_hands_on(ground: Ground) -> None:
+def test_a_keeper_that_cannot_forward_is_followed_by_one_that_can(ground: Ground) -> None:
     leading, former = Scripted(), Scripted(hinting)
     a, b = ground.keeper("a", leading), ground.keeper("b", former)
     c = ground.keeper("c", Scripted(hinting), others={"a": at(a)})
@@ -776,7 +776,7 @@
     assert len(leading.orders) == 1
 
 
-def test_what_is_handed_on_is_bounded_and_starves_nobody(ground: Ground) -> None:
+def test_forwarding_is_bounded_and_starves_nobody(ground: Ground) -> None:
     leading, others = Scripted(lambda _: Future()), Scripted(hinting)
     limits = SLOW._replace(max_calls=4, max_forwards=2)
     a = ground.keeper("a", leading, limits=limits)
@@ -806,7 +806,7 @@
 # Between keepers
 
 
-def test_peers_bring_all_in_order_and_find_one_that_comes_back(ground: Ground) -> None:
+def test_peers_deliver_in_order_and_reconnect(ground: Ground) -> None:
     keeping = Scripted()
     first = ground.keeper("b", keeping)
     addresses = {"a": "127.0.0.2:1", "b": at(first), "c": ground.mute()}
@@ -857,7 +857,7 @@
     )
 
 
-def test_pauses_before_a_peer_that_is_not_there_grow(ground: Ground) -> None:
+def test_the_backoff_before_an_absent_peer_grows(ground: Ground) -> None:
     peers, calls = Peers("fleet", "a", {"b": ground.dead()}, LIMITS, Prng(1)), []
     ground.ends.callback(peers.close, SECOND)
 
@@ -893,7 +893,7 @@
 # The mailbox
 
 
-def test_letters_wake_the_scheduler_from_another_thread_and_are_bounded() -> None:
+def test_the_mailbox_wakes_the_scheduler_from_another_thread_and_is_bounded() -> None:
     scheduler = Scheduler(Clock(), lambda: None)
     letters, got = CrossThreadMailbox(scheduler, 3), []
 
--- a/tests/test_fleet_coordinator.py
+++ b/tests/test_fleet_coordinator.py
@@ -28,7 +28,7 @@
 FENCE = Fence("r", 1, 1, 1)
 
 
-def test_the_holders_time_is_over_before_the_keepers() -> None:
+def test_a_lease_ends_at_its_holder_before_it_ends_at_the_keepers() -> None:
     for lease in (1000, 999_999, 1_000_000):
         for drift in (0, 1, 333, 100_000):
             terms = TERMS._replace(lease=lease, drift=drift)
@@ -107,7 +107,7 @@
         session._set_state(side.AWAY)
 
 
-def test_openings_bear_one_mark_until_refused_and_pause_longer_each_time() -> None:
+def test_opens_keep_one_mark_until_refused_with_growing_backoff() -> None:
     session, now, marks, pauses = Session("r", "s", TERMS, Prng(4), 0), 0, [], []
     for _ in range(8):
         order = session.orders(now)[0]
@@ -134,7 +134,7 @@
     )
 
 
-def test_unknown_fates_are_asked_again_with_the_same_mark() -> None:
+def test_commands_of_unknown_fate_are_retried_with_the_same_mark() -> None:
     session = opened()
     renew(session, 10, 20, Share("tries", 30, 30))
     commands = [session.command(GiveBack("tries", keeps), 30) for keeps in (20, 10)]
@@ -197,7 +197,7 @@
         ("back back5 known new30", 5),
     ],
 )
-def test_a_share_given_back_is_not_used_on_an_older_word(steps: str, granted: int) -> None:
+def test_a_share_given_back_is_not_used_on_an_older_answer(steps: str, granted: int) -> None:
     session = opened()
     renew(session, 10, 20, Share("tries", 30, 10))
     session.next_at = 90
@@ -420,7 +420,7 @@
 
 
 @pytest.mark.parametrize("names", ["a", "abc"])
-def test_a_relay_comes_works_and_goes(names: str) -> None:
+def test_a_relay_opens_uses_and_closes_a_session(names: str) -> None:
     fleet = Fleet(names)
     fence = fleet.open("r")
     assert fence == (*fleet.ask("ask", Question("session", "r")).value[:-1],) and fence.boot == 1
@@ -457,7 +457,7 @@
 
 
 @pytest.mark.parametrize("code", REFUSALS)
-def test_what_is_refused_and_how(code: str) -> None:
+def test_refusals_have_their_codes(code: str) -> None:
     fleet = Fleet()
     fence = fleet.open("r")
     index = fleet.leader().core.last
@@ -468,7 +468,7 @@
     assert fleet.renew(fence)._replace(shares=()) == Renewed(TERMS.lease, ())
 
 
-def test_others_than_the_leader_and_who_is_stopping_refuse_all() -> None:
+def test_followers_and_stopping_keepers_refuse_all_orders() -> None:
     fleet = Fleet()
     leader = fleet.leader()
     other = next(desk for desk in fleet.desks.values() if desk is not leader)
@@ -489,7 +489,7 @@
     )
 
 
-def test_too_many_at_once_are_refused_and_none_is_forgotten() -> None:
+def test_too_many_orders_at_once_are_refused_and_none_is_lost() -> None:
     fleet = Fleet()
     fence = fleet.open("r")
     fleet.cut = set(fleet.desks) - {fleet.leader().name}
@@ -505,7 +505,7 @@
     assert all(len(answer) == 1 for answer in fleet.answers.values())
 
 
-def test_a_silent_session_is_lapsed_and_not_renewed_from_the_proposal_on() -> None:
+def test_a_silent_session_lapses_and_is_not_renewed_once_that_is_proposed() -> None:
     fleet = Fleet()
     fence, other = fleet.open("r"), fleet.open("s")
     fleet.renew(fence, tries=40)
@@ -525,7 +525,7 @@
 
 
 @pytest.mark.parametrize("phase", [5, 35, 65])
-def test_what_a_lapsed_session_held_is_divided_anew_at_once(phase: int) -> None:
+def test_shares_of_a_lapsed_session_are_divided_at_once(phase: int) -> None:
     """Waiting for the next heartbeat, at whatever point the lease ends, would delay the division."""
     fleet = Fleet()
     fence, other = fleet.open("r"), fleet.open("s")
@@ -538,7 +538,7 @@
     fleet.until(lambda: (other.session, 59, 59) in leader.books.shares("tries"), 20 * MS)
 
 
-def test_a_new_leader_counts_anew_keeps_shares_and_the_old_one_grants_nothing() -> None:
+def test_a_new_leader_restarts_leases_and_keeps_shares() -> None:
     fleet = Fleet()
     fence = fleet.open("r")
     fleet.renew(fence, tries=60)
@@ -618,7 +618,7 @@
     assert LEVEL.freed_after - 10 * MS <= fleet.now - lapsed <= LEVEL.freed_after + 2 * TERMS.renew_interval
 
 
-def test_books_are_written_out_and_read_again_by_who_starts_or_was_behind() -> None:
+def test_books_are_restored_from_snapshots_at_starts_and_by_followers() -> None:
     fleet = Fleet(terms=TERMS._replace(snapshot_every=5))
     behind = next(name for name in fleet.desks if name != fleet.leader().name)
     fleet.cut = {behind}
@@ -634,7 +634,7 @@
     assert fleet.renew(fences[-1]).lease == TERMS.lease
 
 
-def test_an_entry_that_cant_be_read_is_passed_over_and_told() -> None:
+def test_an_unreadable_entry_is_skipped_and_reported() -> None:
     fleet = Fleet("a")
     desk = fleet.desks["a"]
     fleet.carry("a", Acts())
@@ -932,7 +932,7 @@
 
 
 @pytest.mark.parametrize("guard", BROKEN)
-def test_without_a_guard_a_way_to_the_fault_is_found(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_guard_the_exploration_finds_the_fault(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(*BROKEN[guard])
     states, way = explored(UNTIL, True)
     assert way, f"{states} states and no fault though {guard}"
@@ -989,7 +989,7 @@
             assert pair(seed, holder, keeper) == 0, f"seed {seed}, clocks {holder} and {keeper}"
 
 
-def test_an_order_handed_on_late_and_twice_lets_no_lapsed_lease_be_used(
+def test_orders_forwarded_late_and_twice_never_extend_a_lapsed_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for seed in SEEDS:
@@ -999,7 +999,9 @@
     assert sum(pair(seed, 0, 0, True) for seed in SEEDS) > 0, "the way by hand shows no difference"
 
 
-def test_beyond_the_bound_or_without_a_look_at_use_it_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_lapsed_lease_is_used_beyond_the_clock_bound_or_without_the_check(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     assert sum(pair(seed, -6 * FAST, 3 * FAST) for seed in SEEDS) > 0
     monkeypatch.setattr(Session, "is_usable", lambda self, now: self.state == side.HELD)
     assert sum(pair(seed, 0, 0) for seed in SEEDS) > 0
--- a/tests/test_fleet_core.py
+++ b/tests/test_fleet_core.py
@@ -239,7 +239,9 @@
         ((1, 2), 0, "", (3, 2, 1, True), False),
     ],
 )
-def test_who_gets_a_vote(held: tuple, term: int, vote: str, ask: tuple, granted: bool) -> None:
+def test_vote_requests_are_granted_or_refused(
+    held: tuple, term: int, vote: str, ask: tuple, granted: bool
+) -> None:
     fleet, core = begun(disk("b", *held, term=term, vote=vote))
     asked = messages.AskVote(*ask, handed=False)
     out = fleet.say("a", "b", asked)
@@ -254,7 +256,7 @@
     "handed, trial, late, heeded",
     [(False, False, 0, False), (False, True, 0, False), (True, False, 0, True), (False, False, 600, True)],
 )
-def test_one_who_hears_its_leader_is_not_disturbed(
+def test_a_follower_that_hears_its_leader_refuses_trial_votes(
     handed: bool, trial: bool, late: int, heeded: bool
 ) -> None:
     fleet, core = begun(disk("b", 1))
@@ -279,7 +281,7 @@
         ((1, 2), 1, (1, 1), (1, 1), 2, (False, 0), (1, 2), 0),
     ],
 )  # a leader gone by
-def test_what_a_follower_takes(
+def test_appends_are_accepted_or_refused(
     held: tuple,
     term: int,
     before: tuple,
@@ -301,7 +303,7 @@
     )
 
 
-def test_what_is_committed_is_never_cut_and_counts_as_held() -> None:
+def test_committed_entries_are_never_truncated() -> None:
     fleet, core = begun(disk("b", 1, 1))
     fleet.say("a", "b", messages.Append(1, 2, 1, (), 2, 1))
     out = fleet.say("a", "b", messages.Append(1, 0, 0, log(5), 0, 1))
@@ -314,7 +316,7 @@
     return Entry(at, term, messages.KEEPERS, membership.encode_keepers(keepers))
 
 
-def test_keepers_are_in_force_from_when_they_are_in_the_log_until_they_are_cut() -> None:
+def test_membership_follows_the_log() -> None:
     fleet, core = begun(disk("b", 1)._replace(entries=(*log(1), named(2, 1, FIVE))))
     assert core.keepers == FIVE
     fleet.say("a", "b", messages.Append(2, 1, 1, log(1, 2)[1:], 1, 1))
@@ -322,7 +324,7 @@
 
 
 @pytest.mark.parametrize("index_term, last", [(1, 4), (2, 3)])
-def test_a_snapshot_leaves_of_the_log_only_what_goes_on_from_it(index_term: int, last: int) -> None:
+def test_a_snapshot_keeps_only_matching_later_entries(index_term: int, last: int) -> None:
     fleet, core = begun(disk("b", 1, 1, 1, 1))
     for term, index, at, data, offset in (
         (2, 3, 0, b"|x|", 3),
@@ -339,7 +341,7 @@
     assert (core.last, core.commit, core.keepers) == (last, 3, FIVE)
 
 
-def test_entries_of_former_terms_are_committed_only_by_one_of_the_own() -> None:
+def test_entries_of_former_terms_are_committed_by_one_of_the_current_term() -> None:
     fleet, core = elected(disk("b", 1, 2, term=3))
     fleet.say("a", "b", messages.Appended(4, True, 2, 1))
     fleet.say("a", "b", messages.Appended(4, True, 99, 1))  # more than there is
@@ -359,7 +361,7 @@
     assert fleet.say("a", "b", messages.Appended(2, False, 1, 3)).reads == ((2, 3),)
 
 
-def test_a_word_to_a_leader_gone_by_confirms_no_read_of_the_term_in_which_it_leads_again() -> None:
+def test_an_answer_to_a_former_term_confirms_no_read() -> None:
     word = begun(disk("c", 1, term=2))[0].say("a", "b", messages.Append(1, 1, 1, (), 1, 1_000)).send[0][1]
     lead, core = elected(disk("b", 1))
     lead.say("a", "b", messages.Appended(2, True, 3, 1))
@@ -367,7 +369,7 @@
     assert word.term == core.term and not lead.say("c", "b", word).reads
 
 
-def test_a_leader_cut_off_answers_nothing_and_steps_down_and_disturbs_nobody_when_it_returns() -> None:
+def test_an_isolated_leader_steps_down_and_rejoins_quietly() -> None:
     fleet = Fleet()
     old = fleet.lead("a")
     fleet.part("a")
@@ -384,7 +386,7 @@
     assert fleet.cores[fleet.leading()].term == before and fleet.books["a"][-1:] == [b"3"]
 
 
-def test_leadership_is_handed_to_one_brought_up_to_date_and_nothing_is_taken_meanwhile() -> None:
+def test_leadership_is_transferred_to_an_up_to_date_follower() -> None:
     fleet = Fleet()
     old, start = fleet.lead("a"), fleet.now
     fleet.propose("a", 1)
@@ -404,7 +406,7 @@
     fleet.run(lambda: fleet.leading() == "a", BOUNDS.election_timeout // 2)  # the one furthest ahead
 
 
-def test_keepers_come_and_go_one_at_a_time() -> None:
+def test_membership_changes_one_at_a_time() -> None:
     fleet = Fleet(names="abcde")
     lead = fleet.lead("a")
     for voters, learners, code in [
@@ -449,7 +451,7 @@
 
 
 @pytest.mark.parametrize("without", [Keepers(("a", "c")), Keepers(("a", "c"), ("b",))])
-def test_one_whose_removal_may_not_be_committed_asks_for_votes_but_has_none(without: Keepers) -> None:
+def test_a_removed_keeper_may_ask_for_votes_but_gets_none(without: Keepers) -> None:
     fleet, core = begun(disk("b", 1)._replace(entries=(named(1, 1, ABC), named(2, 1, without))))
     fleet.run(lambda: core.role == messages.CANDIDATE)
     for trial, sender in ((True, "a"), (True, "c"), (False, "a")):
@@ -476,12 +478,12 @@
         (ABC, Keepers(("a", "b")), "", "ac", False),
     ],
 )
-def test_which_changes_fit(old: Keepers, new: Keepers, caught_up: str, alive: str, fits: bool) -> None:
+def test_valid_membership_changes(old: Keepers, new: Keepers, caught_up: str, alive: str, fits: bool) -> None:
     assert membership.is_allowed(old, new, set(caught_up), set(alive)) == fits
 
 
 @pytest.mark.parametrize("lost", range(5))
-def test_one_far_behind_is_sent_a_snapshot_though_a_piece_is_lost_or_comes_twice(lost: int) -> None:
+def test_a_lagging_follower_gets_a_snapshot_despite_lost_or_repeated_chunks(lost: int) -> None:
     fleet = Fleet()
     fleet.lead("a")
     fleet.part("c")
@@ -504,7 +506,7 @@
     assert fleet.books["c"] == fleet.books["a"] and fleet.disks["c"].snapshot and seen >= lost
 
 
-def test_messages_run_ahead_within_bounds_and_what_waits_is_bounded() -> None:
+def test_pipelining_and_waiting_commands_are_bounded() -> None:
     fleet = Fleet()
     lead = fleet.lead("a")
     fleet.part("c")
@@ -520,7 +522,7 @@
     fleet.run(lambda: lead.commit == lead.last, BOUNDS.election_timeout)
 
 
-def test_a_follower_whose_log_went_another_way_is_brought_back_in_few_messages() -> None:
+def test_a_diverged_follower_is_corrected_in_few_messages() -> None:
     kept = {"a": disk("a", 1, *[3] * 40), "b": disk("b", 1, *[3] * 40), "c": disk("c", 1, *[2] * 60, term=3)}
     fleet = Fleet(disks=kept)
     fleet.run(fleet.leading)
@@ -544,7 +546,7 @@
 @pytest.mark.parametrize(
     "comes_back, role", [("same", FOLLOWER), ("older", REFUSED), ("wiped", REFUSED), ("a term back", REFUSED)]
 )
-def test_an_older_disk_is_found_out_and_takes_no_part(comes_back: str, role: str) -> None:
+def test_an_older_disk_is_detected_and_refused(comes_back: str, role: str) -> None:
     fleet = Fleet()
     fleet.lead("a")
     fleet.rest()
@@ -567,7 +569,7 @@
     assert fleet.leading() and (fleet.cores["c"].role == REFUSED) == (role == REFUSED)
 
 
-def test_a_leader_whose_disk_is_put_back_is_found_out_though_no_heartbeat_of_its_term_came() -> None:
+def test_a_leader_with_a_restored_disk_is_detected_without_any_heartbeat() -> None:
     """It was elected and committed by the one other keeper that hears it, which is alive.
 
     Its first heartbeat, which names what it holds, was lost. If admitted, it would elect the third keeper in
@@ -592,7 +594,7 @@
     assert fleet.leading() and fleet.cores[fleet.leading()].log.term_at(last) == term
 
 
-def test_words_of_another_disk_do_not_keep_the_true_one_out() -> None:
+def test_messages_of_another_disk_do_not_exclude_the_current_one() -> None:
     fleet = Fleet()
     fleet.lead("a")
     true = fleet.disks["c"]
@@ -615,7 +617,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_disk_from_before_what_its_keeper_has_told_is_known_to_who_heard_it_at_once(seed: int) -> None:
+def test_a_disk_older_than_its_messages_is_known_to_their_receivers(seed: int) -> None:
     """Requests for votes and entries count too: a candidate counts its own vote, a leader what it holds
     itself.
     """
@@ -654,7 +656,9 @@
 
 
 @pytest.mark.parametrize("later, role", [(None, FOLLOWER), (True, REFUSED)])
-def test_one_that_may_have_noted_more_is_waited_for_a_patience(later: bool | None, role: str) -> None:
+def test_a_keeper_that_may_know_more_is_awaited_for_an_election_timeout(
+    later: bool | None, role: str
+) -> None:
     fleet = Fleet(disks={"b": disk("b", 1)}, names="b")
     fleet.say("a", "b", messages.Known(1, "disk-b", False, messages.Mark("", 0, 0)))
     fleet.rest(BOUNDS.election_timeout // 2)
@@ -676,7 +680,7 @@
         ("x", (1, "disk-b", False, ("", 0, 0)), PROVING),
     ],
 )  # no voter
-def test_what_the_others_know_of_a_disk(sender: str, reports: tuple, role: str) -> None:
+def test_admission_by_what_others_know_of_a_disk(sender: str, reports: tuple, role: str) -> None:
     fleet = Fleet(disks={"b": disk("b", 1)}, names="b")
     for name in sender:
         fleet.say(name, "b", messages.Known(*reports[:3], messages.Mark(*reports[3])))
@@ -687,7 +691,7 @@
     assert out.send[0][1].older is False and out.write.marks == {"c": messages.Mark("disk-c", 4, 0)}
 
 
-def test_marks_never_go_back_and_what_may_be_cut_is_not_told() -> None:
+def test_marks_never_decrease_and_exclude_entries_that_may_be_truncated() -> None:
     marks = stale_disk.Marks("b", {})
     for mark in (("", 1, 5), ("d", 1, 3), ("other", 9, 9), ("", 2, 0), ("", 1, 9)):
         marks.note("c", messages.Mark(*mark))
@@ -696,7 +700,7 @@
     assert fleet.carry("b", fleet.cores["b"].tick(0)).send[0][1] == messages.Hello(2, "disk-b", 0)
 
 
-def test_a_leader_takes_no_late_answer_for_news() -> None:
+def test_late_answers_do_not_move_a_followers_progress_back() -> None:
     follower = progress.Progress(0, 9, 4)
     follower.record_match(5)
     follower.record_mismatch(2)
@@ -713,7 +717,7 @@
     ]
 
 
-def test_one_alone_leads_at_once_and_what_it_commits_is_in_the_same_write() -> None:
+def test_a_single_keeper_leads_and_commits_in_one_write() -> None:
     fleet = Fleet(Keepers(("a",)))
     fleet.step()
     out = fleet.carry("a", fleet.cores["a"].propose(fleet.now, 1, BOOKS, b"x"))
@@ -763,7 +767,7 @@
     [(ABC, "abcde"), (FIVE, "abcdef"), (Keepers(("a",)), "abc"), (Keepers(("a", "b")), "abc")],
 )
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_whatever_happens_one_log_is_left_and_nothing_committed_is_lost(
+def test_random_faults_leave_one_log_with_all_committed_entries(
     keepers: Keepers, names: str, seed: int
 ) -> None:
     fleet = Fleet(keepers, seed, names)
--- a/tests/test_fleet_errors.py
+++ b/tests/test_fleet_errors.py
@@ -56,7 +56,7 @@
     return {code: (what, do) for code, what, do in table_rows}
 
 
-def test_the_page_has_the_same_sentences_for_each_code_and_no_code_more() -> None:
+def test_the_on_call_page_documents_exactly_the_errors() -> None:
     assert rows() == {code: (kind.problem, kind.remedy) for code, kind in ERRORS_BY_CODE.items()}
 
 
@@ -91,7 +91,7 @@
         assert isinstance(errors.error_from_code(kind.code, "relay-7", {}), errors.UnreadableError)
 
 
-def test_a_code_of_another_version_is_told_as_unreadable() -> None:
+def test_an_unknown_code_is_reported_as_unreadable() -> None:
     error = errors.error_from_code("of_next_year", "relay-7", {"x": 1})
     assert isinstance(error, errors.UnreadableError) and "of_next_year" in str(error)
 
@@ -162,7 +162,7 @@
         ("Change", Keepers(("k;1",)), {}, "unfit_change"),
     ],
 )
-def test_bad_orders_are_refused_by_type_and_the_books_stay_whole(
+def test_invalid_orders_are_refused_and_change_nothing(
     keeper: Running, verb: str, order: object, head: dict, code: str
 ) -> None:
     before = keeper.hash()
--- a/tests/test_fleet_plain.py
+++ b/tests/test_fleet_plain.py
@@ -39,7 +39,7 @@
         ("import laurelcourse.operator.reading", ["laurelcourse.fleet", "laurelcourse.operator", "lxml"]),
     ],
 )
-def test_the_plain_relay_brings_in_none_of_the_fleets_modules(
+def test_the_plain_relay_loads_no_module_of_the_fleet(
     serve: Callable[..., Served], also: str, expected: list[str]
 ) -> None:
     served = serve(watched=WATCHED.format(absent=ABSENT, also=also))
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_without_a_fleet_the_balancer_hears_only_what_came_and_gives_the_same(seed: int) -> None:
+def test_without_a_fleet_the_balancer_gets_exactly_the_outside_events(seed: int) -> None:
     outside, calls, carried = played(seed)
     assert [(name, now, args) for name, now, args, _ in calls] == outside
     alone = Balancer(SETTINGS, seed, 100 * SECOND)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -194,7 +194,7 @@
     fleet.whole()
 
 
-def test_a_member_that_slept_finds_out_before_it_acts(fleet: Seen) -> None:
+def test_a_paused_member_notices_its_lapsed_session_before_it_acts(fleet: Seen) -> None:
     old, node = fleet.fence("m1"), fleet.host.nodes["m1"]
     node.pause()
     wait_until(lambda: fleet.fence("m1") is None, HELD)
@@ -245,7 +245,7 @@
     fleet.whole()
 
 
-def test_sigterm_gives_back_at_once(fleet: Seen) -> None:
+def test_sigterm_frees_shares_at_once(fleet: Seen) -> None:
     boot, node = fleet.fence("m2").boot, fleet.host.nodes["m2"]
     assert node.stop() == 0
     stopped = time.monotonic()
@@ -257,7 +257,7 @@
 
 
 @pytest.mark.parametrize("kind", ["torn", "older"])
-def test_a_disk_that_lost_something_takes_no_part(fleet: Seen, kind: str) -> None:
+def test_a_disk_with_lost_data_is_refused(fleet: Seen, kind: str) -> None:
     leader = fleet.leader()
     name = next(keeper for keeper in KEEPERS if keeper != leader)
     node = fleet.host.nodes[name]
@@ -278,7 +278,7 @@
         fleet.host.inject(faults.Fault(0, faults.DISK_BACK, (name,)))
 
 
-def test_a_full_disk_steps_out_and_goes_on(fleet: Seen) -> None:
+def test_a_keeper_with_a_full_disk_steps_out_and_returns(fleet: Seen) -> None:
     leader = fleet.leader()
     node = fleet.host.nodes[leader]
     fleet.host.inject(faults.Fault(0, faults.DISK_FULL, (leader,)))
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize("kind", ["site", *WAYS])
-def test_bad_ways_cost_no_session_of_the_majority(fleet: Seen, kind: str) -> None:
+def test_faulty_links_cost_no_session_of_the_majority(fleet: Seen, kind: str) -> None:
     leader = fleet.leader()
     other = next(name for name in KEEPERS if name != leader)
     spared = list(fleet.host.nodes)
@@ -348,7 +348,7 @@
 
 
 @pytest.mark.parametrize("kind", WAYS)
-def test_the_lead_moves_to_where_the_former_leader_cant_reach_it(fleet: Seen, kind: str) -> None:
+def test_a_new_leader_serves_where_the_former_one_is_cut_off(fleet: Seen, kind: str) -> None:
     former, new, before = moved(fleet)
     fleet.host.set_link(former, new, *WAYS[kind])
     fleet.host.nodes[former].wake()
--- a/tests/test_fleet_routing.py
+++ b/tests/test_fleet_routing.py
@@ -31,14 +31,14 @@
         (True, Renewed(5, ()), ""),
     ],
 )
-def test_what_a_keeper_hands_on(wished: bool, answer: Answer, to: str) -> None:
+def test_orders_that_a_keeper_forwards(wished: bool, answer: Answer, to: str) -> None:
     assert forward_target(wished, answer, "b", ("a", "c")) == to
 
 
 @pytest.mark.parametrize(
     ("left", "time"), [(None, 1000), (800, 700), (10_000, 1000), (8, 7), (1, 0), (0, 0), (-5, 0)]
 )
-def test_an_eighth_of_the_askers_time_stays_for_the_way_back(left: int | None, time: int) -> None:
+def test_forwarding_leaves_an_eighth_of_the_time_for_the_return(left: int | None, time: int) -> None:
     assert forward_timeout(left, 1000) == time
 
 
@@ -109,18 +109,18 @@
         ("-c x ?c =", "a c a> b b"),
     ],
 )
-def test_whom_an_asker_turns_to(steps: str, tries: str) -> None:
+def test_the_next_keeper_to_ask(steps: str, tries: str) -> None:
     assert " ".join(played(steps)) == tries
 
 
-def test_a_leader_that_is_heard_is_asked_by_itself_whatever_befell_the_others() -> None:
+def test_a_reachable_leader_is_asked_directly() -> None:
     routes = LeaderRoutes(("a", "b", "c"), 2, REST)
     routes.answered(Attempt("a"))
     routes.retry_at.update(b=REST, c=REST)
     assert [routes.first(0)] * 3 == [Attempt("a")] * 3
 
 
-def test_lanes_that_share_their_routes_never_turn_to_nobody() -> None:
+def test_threads_that_share_routes_always_find_a_keeper() -> None:
     routes, strange = LeaderRoutes(("a", "b", "c"), 0, REST), []
 
     def lane(seed: int) -> None:
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -90,7 +90,7 @@
         EXAMPLE.replace('name="agenda"', 'name="agenda" listen="127.0.0.9:1"'),
     ],
 )
-def test_what_is_just_right_is_taken(tmp_path: Path, text: str) -> None:
+def test_values_at_their_limits_are_accepted(tmp_path: Path, text: str) -> None:
     assert text != EXAMPLE and isinstance(read(tmp_path, text), settings.Fleet)
 
 
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -145,7 +145,7 @@
         Write(7, "c", 20, (entry(20, 7), entry(22, 7)), Snapshot(12, 3, VOTERS, b"")),
     ],
 )
-def test_a_write_that_no_log_could_go_on_with_changes_nothing(tmp_path: Path, write: Write) -> None:
+def test_a_write_with_a_gap_changes_nothing(tmp_path: Path, write: Write) -> None:
     store = filled(tmp_path)
     with pytest.raises(ValueError):
         store.save(write)
@@ -176,7 +176,7 @@
         "PRAGMA user_version = 2",
     ],
 )
-def test_what_was_changed_behind_its_back_is_refused(tmp_path: Path, sql: str) -> None:
+def test_outside_changes_of_the_file_are_refused(tmp_path: Path, sql: str) -> None:
     filled(tmp_path).close()
     db = sqlite3.connect(tmp_path / FILE_NAME, isolation_level=None)
     db.execute(sql)
@@ -282,7 +282,7 @@
     assert refused > 10
 
 
-def test_folders_that_are_not_this_keepers(tmp_path: Path) -> None:
+def test_folders_of_another_keeper_are_refused(tmp_path: Path) -> None:
     store = opened(tmp_path / "a")
     with pytest.raises(errors.FolderInUseError):
         opened(tmp_path / "a")
@@ -299,7 +299,7 @@
             opened(folder)
 
 
-def test_a_full_disk_leaves_the_state_before_and_is_gone_on_from(tmp_path: Path) -> None:
+def test_a_full_disk_keeps_the_former_state_and_recovers(tmp_path: Path) -> None:
     store = filled(tmp_path)
     most = store.db.execute("PRAGMA page_count").fetchone()[0] + 2
     store.db.execute(f"PRAGMA max_page_count = {most}")
@@ -405,7 +405,7 @@
 )
 
 
-def test_a_write_comes_before_what_rests_on_it_also_through_a_full_disk(
+def test_messages_follow_their_write_also_after_a_full_disk(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -464,7 +464,7 @@
     assert bool(caplog.records[0].exc_info) == (error is errors.KeeperFaultError)
 
 
-def test_what_came_goes_to_the_desk_with_a_time_from_after_it_came() -> None:
+def test_events_get_a_time_read_after_they_came() -> None:
     """A time read before this thread waited would count a lease from before the relay asked."""
     desk, ticks, results = Scripted(), itertools.count(1), []
 
@@ -512,7 +512,7 @@
     assert desk.closed and not future.thread.is_alive()
 
 
-def test_a_stop_does_not_wait_for_room_for_ever() -> None:
+def test_a_stop_does_not_wait_for_disk_space_forever() -> None:
     desk = Scripted(submit=ACTS, save=errors.DiskFullError("d"))
     future = desk.begin()
     first = future.submit(ORDER)
@@ -521,7 +521,7 @@
     assert isinstance(first.exception(10), errors.UnknownFateError) and desk.closed
 
 
-def test_a_keeper_alone_goes_on_where_it_was_and_a_damaged_one_stands_aside(
+def test_a_single_keeper_resumes_and_a_damaged_one_is_disabled(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     bounds = Bounds(5_000, 50_000, 1 << 16, 8, 1 << 14, 64)
--- a/tests/test_fleet_transfer_processes.py
+++ b/tests/test_fleet_transfer_processes.py
@@ -117,7 +117,9 @@
         ("/var/lib/laurelcourse/transfers-b", "fleet.xml", "is a file"),
     ],
 )
-def test_what_does_not_fit_is_said_with_its_line(tmp_path: Path, old: str, new: str, words: str) -> None:
+def test_invalid_settings_are_reported_with_their_line(
+    tmp_path: Path, old: str, new: str, words: str
+) -> None:
     path = tmp_path / "fleet.xml"
     head, matched, rest = EXAMPLE.partition(old)
     assert matched
@@ -142,7 +144,7 @@
         yield started
 
 
-def test_a_copy_is_whole_at_the_far_end_and_leaves_nothing_reserved(fleet: Fleet) -> None:
+def test_a_copy_arrives_whole_and_frees_its_reservations(fleet: Fleet) -> None:
     data = fleet.lay("whole", MIB)
     wait_until(fleet.copy("whole").exists, 12)
     assert fleet.copy("whole").read_bytes() == data
@@ -187,7 +189,7 @@
     assert not Arrivals(fleet.folder / "b").partial_jobs()
 
 
-def test_a_job_between_sites_without_a_link_is_told_of_once_by_each_relay(fleet: Fleet) -> None:
+def test_a_job_without_a_link_is_reported_once_by_each_relay(fleet: Fleet) -> None:
     (fleet.folder / "a" / "unlinked").write_bytes(b"x")
     (fleet.folder / "a" / "unlinked.job").write_text('<job firm="f" to="c" within="9000000" earnings="1"/>')
 
@@ -250,7 +252,7 @@
     assert not fleet.copy(name).exists()  # proven or not, without the books' Commit there is no copy
 
 
-def test_a_shrunk_link_recalls_what_earns_least_and_tells_it_once(fleet: Fleet) -> None:
+def test_a_shrunk_link_recalls_the_job_that_earns_least(fleet: Fleet) -> None:
     # At 1 MiB/s "high" holds the link for 6 s: "low" is planned behind it and shrunk before it begins.
     high = fleet.lay("high", 6 * MIB, 50)
     wait_until(lambda: fleet.look("high").views, 10)
--- a/tests/test_fleet_transfers.py
+++ b/tests/test_fleet_transfers.py
@@ -205,7 +205,7 @@
         return self
 
 
-def test_nothing_over_half_twice_or_left_behind_in_thousands_of_commands() -> None:
+def test_reservations_stay_consistent_over_thousands_of_commands() -> None:
     taken = Counter()
     for seed in range(1, 5):
         play = Play(seed).run(1_300)
@@ -252,7 +252,7 @@
         ("expire", lambda state: None, "leaked_reservations"),
     ],
 )
-def test_each_count_is_seen_when_its_guard_is_taken_out(
+def test_each_count_fails_without_its_guard(
     guard: str, instead: object, count: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(reservations, guard, instead)
@@ -500,7 +500,7 @@
     assert earnings < all_of_it // 2, (earnings, all_of_it, len(results))
 
 
-def test_no_plan_names_a_link_that_bytes_are_not_sent_by() -> None:
+def test_plans_use_only_links_that_bytes_take() -> None:
     pytest.importorskip("ortools")
     for seed in (1, 2):
         room, wants = instance(seed, 12, 6)
@@ -517,7 +517,7 @@
             assert made and all(way == by_job[name] for name, parts in made.items() for _, _, way in parts)
 
 
-def test_nobody_lets_go_for_a_plan_over_a_third_site() -> None:
+def test_no_job_is_recalled_for_a_route_over_a_third_site() -> None:
     """One job has all of the link, and earns less than one that comes; the route over c is free."""
     play = Play(1)
     links = tuple(Link(x, y, 110 * MIB, 10 * MIB) for x, y in ("ab", "ac", "cb"))
@@ -531,7 +531,7 @@
     assert {piece.way for piece in moving.plan(play.books, 0, comes)} == {("a", "b")}
 
 
-def test_after_a_recall_room_is_kept_for_whom_it_was_made_and_others_go_on() -> None:
+def test_capacity_freed_by_a_recall_is_kept_for_its_job() -> None:
     play, moving = Play(1), TransferPlanner()
     play.give(None, Places(tuple(Link(x, y, 110 * MIB, 10 * MIB) for x, y in ("ab", "ca")), PLACES.sites))
     assert not play.give(
@@ -548,14 +548,14 @@
     assert moving.plan(play.books, 0, comes)
 
 
-def test_nothing_left_takes_no_room_and_nobody_lets_go_for_it() -> None:
+def test_a_finished_job_needs_no_capacity() -> None:
     gone = plan.JobRequest(JOB._replace(name="n", earnings=90), 0, 0, 10)
     assert plan.FreeCapacity(flat(100)).fit(gone, False) == ()
     there = (held("x", 5, 100), plan.ReservedJob(gone, ((0, 200, ("a", "b")),), False))
     assert plan.replan(flat(100), there, ()) == plan.Changes(("n",), {})
 
 
-def test_a_site_lost_by_the_settings_ends_no_leader_that_plans() -> None:
+def test_planning_survives_a_site_removed_from_the_settings() -> None:
     play, moving = Play(1), TransferPlanner()
     job = JOB._replace(slots=0, size=900 * MIB, deadline=12 * S)
     play.give(None, Places((Link("a", "b", 110 * MIB, 10 * MIB),), PLACES.sites))
@@ -567,7 +567,7 @@
     assert not moving.plan(play.books, 0, job) and not moving.plan(play.books, 0, JOB._replace(name="o"))
 
 
-def test_who_is_late_by_what_is_not_told_yet_alone_is_not_recalled() -> None:
+def test_a_job_is_not_late_by_unreported_bytes_alone() -> None:
     """All that was due by slice 4 has arrived; the books know of what arrived until slice 3, not more."""
     play, moving = Play(1), TransferPlanner()
     play.give(None, Places((Link("a", "b", 110 * MIB, 10 * MIB),), PLACES.sites))
@@ -587,7 +587,7 @@
     assert moving.recall(play.books, play.at, BEAT) == Recall(("x",))
 
 
-def test_a_newcomer_pushes_a_few_out_and_the_others_stay() -> None:
+def test_a_new_job_displaces_few_others() -> None:
     wants = [
         plan.JobRequest(JOB._replace(name=f"j{at}", size=100, earnings=10 + at), 100, 0, 10)
         for at in range(9)
@@ -708,7 +708,7 @@
         return done / plan.total_earnings(wants, plan.make_plan(room, wants))
 
 
-def test_jobs_as_they_come_earn_nearly_what_a_plan_made_beforehand_would() -> None:
+def test_online_planning_earns_nearly_as_much_as_offline() -> None:
     results = [Closed(seed).run() for seed in range(1, 5)]
     assert sum(results) / len(results) > 0.85 and min(results) > 0.75, results
 
@@ -716,7 +716,7 @@
 # Pacing
 
 
-def test_a_sender_that_wakes_late_carries_what_is_reserved() -> None:
+def test_a_late_sender_still_sends_what_is_reserved() -> None:
     send = rate_limiter.sender_limiter((Stretch(0, 5, 256 << 10, ("a", "b")),), S, 0, 16 << 10)
     rng, now, sent = Prng(3), 0, 0
     while due := send.due(now, 16 << 10):
--- a/tests/test_fleet_workflow_processes.py
+++ b/tests/test_fleet_workflow_processes.py
@@ -103,7 +103,7 @@
     assert fleet.effects("two") == ["hold room", "free room"]
 
 
-def test_a_step_of_unknown_fate_is_undone_first(fleet: Fleet) -> None:
+def test_a_step_of_unknown_outcome_is_undone_first(fleet: Fleet) -> None:
     fleet.ledger.answers["hold.device.d-three"] = "reset"
     assert fleet.start("three").answer == UNDONE
     assert fleet.effects("three") == ["hold room", "hold device", "free device", "free room"]
@@ -116,7 +116,7 @@
         ("booking", {"room": "a' /* id=x,c=once,d=9 */"}, "definition_refused"),
     ],
 )
-def test_what_would_be_no_statement_is_refused_before_anything_is_held(
+def test_values_that_break_a_statement_are_refused_at_the_start(
     fleet: Fleet, definition: str, values: dict[str, str], code: str
 ) -> None:
     status = fleet.client("m1").start(definition, "firm", "bad", values, 2.0)
@@ -148,7 +148,7 @@
     assert not fleet.ledger.count_received("notice.r-left")
 
 
-def test_an_undo_that_is_stuck_is_named_and_settled_by_hand(fleet: Fleet) -> None:
+def test_a_stuck_undo_is_reported_and_settled_by_hand(fleet: Fleet) -> None:
     fleet.ledger.answers |= {"hold.device.d-stuck": "syntax", "free.room.r-stuck": "failed"}
     status = fleet.start("stuck", wait=6.0)
     assert (status.answer, status.state) == (ERRORED, "stuck")
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("slow", ["hold.room.r-killed", "hold.device.d-killed2", "notice.r-killed3"])
-def test_the_owner_killed_in_the_middle_is_followed_by_one_other(fleet: Fleet, slow: str) -> None:
+def test_a_killed_owner_is_replaced_by_one_other(fleet: Fleet, slow: str) -> None:
     mark = slow.partition("-")[2]
     fleet.ledger.delays[slow] = 0.5
     thread, statuses = fleet.behind(mark, "m2", "m1")
@@ -171,7 +171,7 @@
         assert [effect for effect in effects if "free" in effect][-1] == "free room"
 
 
-def test_the_owner_that_was_paused_sends_nothing_more(fleet: Fleet) -> None:
+def test_a_paused_owner_sends_nothing_more(fleet: Fleet) -> None:
     fleet.ledger.delays["hold.room.r-paused"] = 0.5
     thread, statuses = fleet.behind("paused", "m2", "m1")
     wait_until(lambda: fleet.ledger.count_received("hold.room.r-paused"))
@@ -214,12 +214,12 @@
 
 
 @pytest.mark.parametrize("what", COMMANDS, ids=lambda one: type(one).__name__)
-def test_each_command_crosses_as_it_is(what: f.What) -> None:
+def test_commands_round_trip(what: f.What) -> None:
     batch = f.Batch(1, 2, (f.Command(f.Fence("r", 1, 1, 1), 3, what),))
     assert codec.decode_batch(codec.encode_batch(batch)) == batch
 
 
-def test_a_workflow_is_told_as_the_books_have_it() -> None:
+def test_workflow_views_round_trip() -> None:
     books, send = Books(), d.Send("read", "x", 5)
     expected = d.Definition("n", 100, 2, 3, 4, (d.Step("s", send, send),))
     fence = books.apply(1, f.Batch(1, 1, (f.Command(None, 7, f.Open("r", "a")),)))[0].value
@@ -251,7 +251,7 @@
         (req.WITHDRAWN, ["ok"], False, f.UNKNOWN),
     ],
 )
-def test_what_is_said_of_a_step(end: str, statuses: list[str], once: bool, outcome: str) -> None:
+def test_outcomes_of_a_step(end: str, statuses: list[str], once: bool, outcome: str) -> None:
     assert step_sender.outcome_of(end, statuses, once) == outcome
 
 
@@ -309,13 +309,15 @@
         ("hold.room", ERRORED, DONE, 8.5, {"answered_after_deadline": 1}),
     ],
 )
-def test_how_the_lab_judges(words: str, answer: str, ended: str, took: float, broken: dict[str, int]) -> None:
+def test_violations_that_the_lab_counts(
+    words: str, answer: str, ended: str, took: float, broken: dict[str, int]
+) -> None:
     asked = [workflow_checks.ClientCall("m", 0.0, took, 8.0, WorkflowStatus(1, answer, answer, ()), True)]
     counts = workflow_checks.count_violations(seen(words), asked, {"m": WorkflowStatus(1, ended, ended, ())})
     assert {name: count for name, count in counts.items() if count} == broken
 
 
-def test_the_lead_sets_limits_and_takes_no_word_of_the_leaders_from_outside(
+def test_only_the_leader_sets_limits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(test_fleet_coordinator, "encode", codec.encode_batch)
@@ -330,7 +332,7 @@
     assert desks.ask("ask", Question("flow", "1,x,2")) == f.Done(((), ()))
 
 
-def test_check_holds_workflows_against_the_platforms_routes(tmp_path: Path) -> None:
+def test_check_compares_workflows_with_the_platforms_routes(tmp_path: Path) -> None:
     for effect, code, words in (("deduplicated", 0, "1 workflows"), ("at_most_once", 2, "may not be")):
         settings_copy = copy.deepcopy(PLATFORM_SETTINGS)
         settings_copy["classes"][1]["effect"] = effect
--- a/tests/test_fleet_workflow_service.py
+++ b/tests/test_fleet_workflow_service.py
@@ -104,7 +104,7 @@
         assert second.result(5).number == 2 and flows.gone == [flows.asked["1"]]
 
 
-def test_whoever_waits_hears_of_the_end_at_once() -> None:
+def test_waiting_clients_are_answered_at_a_stop() -> None:
     flows = Flows()
     with served(flows) as (service, stub):
         calls = [stub.Start.future(order(mark), timeout=30) for mark in range(9)]
@@ -137,7 +137,7 @@
         assert not flows.gone
 
 
-def test_strangers_bytes_print_nothing_and_a_fault_of_a_call_does(caplog: pytest.LogCaptureFixture) -> None:
+def test_only_faults_of_calls_are_logged(caplog: pytest.LogCaptureFixture) -> None:
     flows = Flows()
     with served(flows) as (_, stub):
         name = "/" + wire.DESCRIPTOR.services_by_name["Flows"].full_name + "/Start"
--- a/tests/test_fleet_workflow_settings.py
+++ b/tests/test_fleet_workflow_settings.py
@@ -223,7 +223,7 @@
     assert not words or any(words in problem for problem in results), ran.output
 
 
-def test_a_second_of_one_name_is_named(tmp_path: Path) -> None:
+def test_a_repeated_name_is_reported(tmp_path: Path) -> None:
     again = EXAMPLE[EXAMPLE.index("<workflow name") : EXAMPLE.index("  </fleet>")]
     problems = faults(tmp_path, EXAMPLE.replace("  </fleet>", again + "</fleet>"))
     assert any("workflow booking stands twice" in problem for problem in problems)
--- a/tests/test_fleet_workflows.py
+++ b/tests/test_fleet_workflows.py
@@ -147,7 +147,7 @@
     assert again.hash() == it.books.hash()
 
 
-def test_a_deduplicated_step_is_not_sent_out_of_its_memory() -> None:
+def test_a_deduplicated_step_is_not_repeated_after_its_memory() -> None:
     it = Script("keyed")
     for order in ("do a 0 1", "do a 0 1 ok", "do a 1 1", "do a 1 1 unknown"):
         it.say(order)
@@ -527,7 +527,7 @@
 PACE = TakeoverLimits(5, 100 * MS, 60, 1000 * MS)
 
 
-def test_a_herd_is_taken_evenly_and_at_its_pace() -> None:
+def test_many_orphans_are_taken_over_evenly_within_limits() -> None:
     live = tuple(range(11, 31))
     herd = {number: 3 for number in range(1, 1001)}
     relays = {session_number: Takeover(PACE) for session_number in live}
@@ -543,7 +543,7 @@
     assert not herd and min(held.values()) > 30 and max(held.values()) <= PACE.max_owned, held
 
 
-def test_a_run_turns_back_in_time_and_waits_longer_each_time() -> None:
+def test_a_run_undoes_in_time_with_growing_backoff() -> None:
     it = Script("booking")
     view = it.books.workflow(1)
 
@@ -652,7 +652,7 @@
         ),
     ],
 )
-def test_what_is_stuck_is_named_and_settled_there(orders: str, place: int, code: str, step: str) -> None:
+def test_stuck_steps_are_reported_and_settled(orders: str, place: int, code: str, step: str) -> None:
     it = scripted("short", *orders.split("; "))
     at, error = r.stuck_step(it.books.workflow(1))
     assert (at, error.code, error.figures) == (place, code, {"step": step, "tries": 3})
@@ -695,7 +695,7 @@
     assert it.books.to_plain()[9] == before
 
 
-def test_who_does_not_come_is_stood_in_for() -> None:
+def test_an_absent_relay_is_replaced_in_takeovers() -> None:
     live, orphans = (11, 12, 13), ((7, 3),)
     order = sorted(live, key=lambda session: rank(7, live, session))
     for place, me in enumerate(order):
--- a/tests/test_lab_budgets.py
+++ b/tests/test_lab_budgets.py
@@ -22,9 +22,7 @@
         ([0.0] * 5, 2, 1, 2),
     ],
 )
-def test_a_rate_is_held_against_its_whole_in_any_window(
-    times: list[float], whole: float, burst: float, over: int
-) -> None:
+def test_rates_are_checked_in_any_window(times: list[float], whole: float, burst: float, over: int) -> None:
     assert budgets_checks.count_over_rate(times, whole, burst, (1.0,)) == over
 
 
--- a/tests/test_lab_keepers.py
+++ b/tests/test_lab_keepers.py
@@ -45,11 +45,11 @@
         ([op(1, 2, "open", 3), op(3, NEVER, "close", 3), op(5, 6, "look", 3)], True),
     ],
 )
-def test_histories_of_a_name(history: list[Operation], fits: bool) -> None:
+def test_histories_of_sessions(history: list[Operation], fits: bool) -> None:
     assert is_linearizable(history, (0, False), session_step) is fits
 
 
-def test_a_search_that_is_too_long_settles_nothing() -> None:
+def test_a_search_over_its_limit_decides_nothing() -> None:
     many = [op(1, 100, "open", number) for number in range(1, 30)] + [op(101, 102, "look", 99)]
     assert is_linearizable(many, (0, False), session_step, max_steps=50) is None
 
@@ -64,13 +64,13 @@
         ([(1, 9, 2), (2, 3, 7), (4, 5, 6), (6, 8, 1)], 2),
     ],
 )
-def test_looks_at_what_only_grows(looks: list[tuple[int, int, int]], stale_count: int) -> None:
+def test_stale_reads_of_a_growing_number(looks: list[tuple[int, int, int]], stale_count: int) -> None:
     assert (
         len(stale_reads([op(began, ended, "hash", number) for began, ended, number in looks])) == stale_count
     )
 
 
-def test_sums_of_shares_and_answers_that_are_gone() -> None:
+def test_exceeded_budgets_and_lost_commands() -> None:
     budget = Budget("tries", RATE, 100, 2, 10, 0, 0)
     fits = [Holding("r1", "tries", 50), Holding("r2", "tries", 30), Holding("r1", "other", 99)]
     assert budgets_exceeded([budget], fits) == []
@@ -91,7 +91,7 @@
     assert kind != "hands" or sum(run.forwarded for run in ran) >= 20
 
 
-def test_one_seed_is_one_run_whatever_else_differs() -> None:
+def test_a_seed_determines_the_run() -> None:
     words = (
         "from laurelcourse.lab import keepers; "
         "print(keepers.simulate(5, 'all', 900_000, 500_000).fingerprint)"
--- a/tests/test_lab_transfers.py
+++ b/tests/test_lab_transfers.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("solved", [None, solver.SolverPlan({}, 1, False)])
-def test_a_solver_short_of_time_does_not_lower_the_yardstick(
+def test_a_solver_short_of_time_does_not_lower_the_best_earnings(
     solved: solver.SolverPlan | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     room, wants = instance(1, 16, 6, 80)
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("count, ratio", [(MIN_REQUESTS, 3.0), (MIN_REQUESTS - 1, -1)])
-def test_the_ratio_is_of_what_was_measured_on_both_sides(count: int, ratio: float) -> None:
+def test_the_latency_ratio_needs_enough_requests_in_both_periods(count: int, ratio: float) -> None:
     results = [
         Latency(at + number / 1000, seconds)
         for at, seconds in ((1, 0.002), (3, 0.006), (5, 0.9))
@@ -41,9 +41,7 @@
 
 
 @pytest.mark.parametrize("leaks", [False, True])
-def test_a_job_that_ends_early_shows_what_is_left_reserved(
-    leaks: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_leaked_reservations_show_when_a_job_ends_early(leaks: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     books, count = Books(), 0
 
     def submit(order: Submit, on_answer: Callable) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -227,7 +227,7 @@
         ("age_ms", None),
     ],
 )
-def test_no_number_out_of_range_is_told(name: str, value: str | None) -> None:
+def test_numbers_out_of_range_are_clamped_or_refused(name: str, value: str | None) -> None:
     fields = {"build": "42", "stage": "1", "phase": "Progressing", "cap": "0.28", "age_ms": "310"}
     assert payloads.parse_build_state(fields).since == 310_000
     with pytest.raises(payloads.PayloadError):
@@ -273,7 +273,7 @@
         (503, "<Error><Code>novel</Code></Error>", None),
     ],
 )
-def test_the_ends_of_a_vote(status: int, body: str, end: tuple | None) -> None:
+def test_outcomes_of_a_vote(status: int, body: str, end: tuple | None) -> None:
     if end is None:
         with pytest.raises(payloads.PayloadError):
             payloads.parse_vote_response(status, body.encode())
@@ -281,7 +281,7 @@
         assert payloads.parse_vote_response(status, body.encode()) == end
 
 
-def test_rests_are_learned_and_forgotten() -> None:
+def test_idle_limits_are_learned_and_forgotten() -> None:
     rests = IdleLimit(
         limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 64}, "settings": PLATFORM_SETTINGS}))
     )
@@ -306,7 +306,7 @@
     return Scheduler(Clock(), lambda: None)
 
 
-def test_one_wait_leaves_nothing_behind_for_the_next(scheduler: Scheduler) -> None:
+def test_a_wait_leaves_no_state_behind(scheduler: Scheduler) -> None:
     near, far = socket.socketpair()
     results, box = [], Mailbox(scheduler)
 
@@ -325,7 +325,7 @@
     assert results == [(LATE, True), (LATE, True), IO, MAIL] and not scheduler.waiting
 
 
-def test_waits_that_are_over_leave_the_heap_and_their_tasks(scheduler: Scheduler) -> None:
+def test_finished_waits_are_removed(scheduler: Scheduler) -> None:
     def work() -> None:
         for _ in range(5000):
             scheduler.spawn(scheduler.wake, task, MAIL)
@@ -361,7 +361,7 @@
     assert results == [SHUT, LATE, IO]
 
 
-def test_a_task_that_dies_takes_nothing_with_it() -> None:
+def test_a_dying_task_harms_no_other() -> None:
     died = []
     scheduler = Scheduler(Clock(), lambda: died.append(1))
     scheduler.spawn(lambda: 1 // 0)
--- a/tests/test_race_clients.py
+++ b/tests/test_race_clients.py
@@ -64,9 +64,7 @@
 
 
 @WAYS
-def test_a_close_is_seen_behind_more_than_a_buffer_of_what_was_asked_ahead(
-    serve: Callable[..., Served], how: str
-) -> None:
+def test_a_close_is_seen_behind_pipelined_reqs(serve: Callable[..., Served], how: str) -> None:
     served = serve(modes="slow0.6")
     client = served.client()
     client.sock.sendall(asked(build_query("once")) + large() * 2)
@@ -79,7 +77,7 @@
 
 @WAYS
 @pytest.mark.parametrize("behind", [1, 5])
-def test_nothing_is_sent_on_of_what_came_with_its_close(
+def test_reqs_that_came_with_a_close_are_not_sent(
     serve: Callable[..., Served], how: str, behind: int
 ) -> None:
     served = serve()
@@ -95,7 +93,7 @@
 
 
 @WAYS
-def test_what_waits_behind_a_slowed_fault_is_not_sent_on_after_its_close(
+def test_reqs_behind_a_delayed_error_are_not_sent_after_a_close(
     serve: Callable[..., Served], how: str
 ) -> None:
     served = serve()
@@ -110,7 +108,7 @@
 
 
 @WAYS
-def test_of_what_was_asked_ahead_the_first_alone_is_sent_on(serve: Callable[..., Served], how: str) -> None:
+def test_only_the_first_of_pipelined_reqs_is_sent(serve: Callable[..., Served], how: str) -> None:
     served = serve(modes="slow0.4")
     client = served.client()
     client.sock.sendall(b"".join(asked(build_query("once")) for _ in range(5)))
@@ -200,7 +198,7 @@
     [(wanted("first.bin"), "first.bin", "target"), (posted(1), MANIFESTS, "manifest")],
     ids=["file", "manifest"],
 )
-def test_a_kiosks_close_is_seen_behind_more_than_a_buffer_of_what_it_asked_ahead(
+def test_a_tuf_clients_close_is_seen_behind_pipelined_requests(
     kiosks: TufRig, how: str, first: bytes, path: str, route: str
 ) -> None:
     """The mirror does not answer: no other mirror is asked, and nothing that was pipelined is sent on."""
@@ -219,7 +217,7 @@
 
 @WAYS
 @pytest.mark.parametrize("behind", [1, 5])
-def test_no_file_is_asked_for_a_kiosk_whose_close_came_with_its_asking(
+def test_no_file_is_fetched_for_a_client_that_closed_with_its_request(
     kiosks: TufRig, how: str, behind: int
 ) -> None:
     sock, process = kiosk(kiosks), kiosks.relays[0].process
@@ -235,7 +233,7 @@
 
 
 @WAYS
-def test_no_manifest_is_sent_on_for_a_kiosk_whose_close_came_with_it(kiosks: TufRig, how: str) -> None:
+def test_no_manifest_is_forwarded_for_a_client_that_closed_with_it(kiosks: TufRig, how: str) -> None:
     """The manifest is not recorded as under way or taken either, so it can be posted again."""
     sock, process = kiosk(kiosks), kiosks.relays[0].process
     assert kiosks.request(MANIFESTS, "POST", report(1))[0] == 200
--- a/tests/test_race_floods.py
+++ b/tests/test_race_floods.py
@@ -147,7 +147,7 @@
     assert good.ask(build_query("once"))[:2] == COMPLETED
 
 
-def test_room_is_not_made_of_one_whose_req_is_in_the_machine(serve: Callable[..., Served]) -> None:
+def test_connections_with_an_unread_req_are_not_closed_for_new_ones(serve: Callable[..., Served]) -> None:
     """Many clients connect while the process is stopped, as statements arrive on connections that would be
     closed.
     """
--- a/tests/test_race_lists.py
+++ b/tests/test_race_lists.py
@@ -177,7 +177,7 @@
     return check
 
 
-def test_what_the_agent_has_at_its_return_is_heard_within_the_grace(started: Callable[..., Served]) -> None:
+def test_a_returning_directorys_list_counts_within_the_grace(started: Callable[..., Served]) -> None:
     """The list counts at once, with or without a watch: a relay that has seen many failures asks as soon."""
     served = started()
     wait_until(lambda: served.directory.log)
@@ -190,7 +190,7 @@
         assert left_at(served, late, 5) - back < LEAST_GRACE
 
 
-def test_a_whole_list_that_stays_out_after_a_move_is_asked_for_again(started: Callable[..., Served]) -> None:
+def test_a_missing_full_list_after_a_move_is_requested_again(started: Callable[..., Served]) -> None:
     """What the new directory has counts 4 s after SIGHUP, though its first call got no answer."""
     served, agent = started(), Agent()
     with contextlib.closing(agent), contextlib.closing(Asker(served)):
@@ -203,7 +203,7 @@
         assert agent.log[0][1:] == ("mute", "/catalog/members")
 
 
-def test_a_directory_that_answers_at_once_for_ever_is_not_asked_without_a_pause(
+def test_a_directory_that_always_answers_at_once_is_polled_with_pauses(
     started: Callable[..., Served],
 ) -> None:
     for how in ("whole at once", "empty at once", "news at once"):
@@ -218,7 +218,7 @@
         assert served.count("directory_failed") == 0
 
 
-def test_a_watch_goes_on_though_the_agent_closes_behind_each_answer(started: Callable[..., Served]) -> None:
+def test_a_watch_continues_over_closed_connections(started: Callable[..., Served]) -> None:
     """The next call comes within 200 ms; otherwise the watch would be a new one."""
     for how in ("closed", "ended"):
         served = started()
@@ -242,7 +242,7 @@
         ("connecting", "push"),
     ],
 )
-def test_a_move_takes_hold_at_each_step_of_a_watch(
+def test_a_moved_directory_counts_at_each_step_of_a_watch(
     started: Callable[..., Served], step: str, discovery: str
 ) -> None:
     """What the new directory has counts 4 s later, and nothing that the old one says any more."""
@@ -404,7 +404,7 @@
     return check
 
 
-def test_watches_and_streams_that_fall_silent_are_opened_anew_in_time(
+def test_silent_watches_and_streams_are_reopened_in_time(
     started: Callable[..., Served], rolling: Callable[..., Served]
 ) -> None:
     """What a watch misses counts 2 s after its wait. All relays wait at the same time."""
@@ -422,9 +422,7 @@
     ],
     ids=["a stage too far", "unreadable"],
 )
-def test_news_behind_an_event_that_cannot_be_taken_binds_in_time(
-    rolling: Callable[..., Served], first: str
-) -> None:
+def test_news_after_an_unreadable_event_counts_in_time(rolling: Callable[..., Served], first: str) -> None:
     served = rolling()
     wait_until(lambda: served.deployer.streams)
     with contextlib.closing(Asker(served)):
@@ -435,7 +433,7 @@
     assert served.count("tasks_died") == 0 == served.count("module_faults")
 
 
-def test_a_stream_left_behind_while_it_connects_is_not_heard(rolling: Callable[..., Served]) -> None:
+def test_an_abandoned_stream_is_ignored(rolling: Callable[..., Served]) -> None:
     """The old address answers late: its news must not count, since nobody watches that stream any more."""
     served, jam, new = rolling(), Jam(), Platform()
     with contextlib.closing(jam), contextlib.closing(new):
@@ -467,7 +465,7 @@
         raise EOFError
 
 
-def test_a_stream_that_breaks_behind_each_state_is_opened_ever_more_slowly() -> None:
+def test_a_stream_that_keeps_breaking_is_reopened_with_backoff() -> None:
     """A single break costs only the first pause, also after a stream that has lasted for a while."""
     stand, scheduler, results = Breaking([0.0] * 6 + [0.6, 0.0]), Scheduler(Clock(), lambda: None), []
     limit_values = limits(
@@ -497,7 +495,7 @@
     assert pauses[0] < 0.4 and pauses[6] < 0.4, pauses  # grown once more it would be half a second or more
 
 
-def test_a_vote_answered_behind_newer_news_takes_nothing_back(rolling: Callable[..., Served]) -> None:
+def test_a_late_vote_answer_does_not_undo_newer_news(rolling: Callable[..., Served]) -> None:
     """The answer's state is older than the rollback: the cap that was told since must be kept."""
     served = rolling()
     served.deployer.older = TRIAL
@@ -515,9 +513,7 @@
 
 
 @pytest.mark.parametrize("news", [BACK, TRIAL], ids=["overtaken", "true"])
-def test_a_notice_read_behind_a_newer_votes_answer_lifts_no_cap(
-    rolling: Callable[..., Served], news: str
-) -> None:
+def test_a_late_notice_does_not_lift_a_cap(rolling: Callable[..., Served], news: str) -> None:
     """A line is held back on the stream while a vote's answer says that the build is rolled back.
 
     Whatever a stream says that was opened after that answer counts again, so that no relay stays without
@@ -555,7 +551,7 @@
     assert 1 <= served.count("notices_opened") - opened <= 2
 
 
-def test_a_lower_cap_told_again_binds_no_later() -> None:
+def test_a_repeated_lower_cap_binds_no_later() -> None:
     """A new stream repeats the state: the grace runs from when it was first told."""
     cap = ExposureCap(1.0)
     cap.update(0.1, 500)
@@ -575,7 +571,7 @@
         {"drain_grace": SECOND // 2, "tick": 400_000},
     ],
 )
-def test_a_broken_watch_is_asked_for_within_the_grace(
+def test_a_broken_watch_is_renewed_within_the_grace(
     make_driver: Callable[..., BalancerDriver], changed: dict
 ) -> None:
     """However many watches failed before, what this one misses counts 1 s after its wait and the grace."""
@@ -594,7 +590,7 @@
         )
 
 
-def test_an_entry_that_lacks_fields_hides_none_of_the_others(started: Callable[..., Served]) -> None:
+def test_an_incomplete_entry_hides_no_other(started: Callable[..., Served]) -> None:
     """A unit without a zone is used; one without a build gets nothing; for `left` the id is enough."""
     served = started(units=4)
     agent, first, bare, gone, later = served.directory, *served.units
@@ -633,7 +629,7 @@
 
 @pytest.mark.parametrize("absent", [True, False])
 @pytest.mark.parametrize("changed, health", SPARSE.values(), ids=SPARSE)
-def test_what_an_entry_lacks_is_unknown(
+def test_missing_fields_of_an_entry_are_unknown(
     make_driver: Callable[..., BalancerDriver], changed: dict, health: str, absent: bool
 ) -> None:
     """The list is not refused, nothing that is known of a unit is lost, and no older list undoes that."""
@@ -667,7 +663,7 @@
     assert older.entries[0][0].health == health
 
 
-def test_a_unit_of_no_known_locality_shares_its_memory_with_no_other(
+def test_units_of_unknown_zones_share_no_memory(
     make_driver: Callable[..., BalancerDriver],
 ) -> None:
     """A try that may have run is repeated only in its unit's zone (rule 2); two unknown zones may differ."""
@@ -686,7 +682,7 @@
     return payloads.UnitList(revision, True, [(entry, ("h", 1)) for entry in entries])
 
 
-def test_a_complete_list_of_a_directory_that_numbers_anew_brings_units_and_takes_back_no_drain() -> None:
+def test_a_full_list_with_restarted_revisions_undoes_no_drain() -> None:
     lists = MembershipFilter(told(90, u1=READY, u2=READY), 6 * SECOND)
     lists.filter(0, told(91, u1=LEFT, u2=READY))
     matching = lists.filter(SECOND, told(2, u1=READY, u3=READY))
@@ -743,7 +739,7 @@
 ]
 
 
-def test_states_are_in_the_order_in_which_a_build_comes_to_them() -> None:
+def test_release_states_are_ordered() -> None:
     results = [
         payloads.parse_build_state({"build": build, "stage": stage, "phase": phase, "cap": 1, "age_ms": 0})
         for build, stage, phase in ORDER
@@ -762,7 +758,7 @@
         ((2, 2, "Progressing", 0.9), (2, 2, "Healthy", 1), False),
     ],
 )
-def test_an_earlier_state_is_passed_over_where_it_would_lift_a_cap(
+def test_an_earlier_state_that_would_lift_a_cap_is_ignored(
     reported: tuple, known: tuple, lifts: bool
 ) -> None:
     first, second = (
--- a/tests/test_race_news.py
+++ b/tests/test_race_news.py
@@ -56,7 +56,7 @@
     return agent.log[before][0]
 
 
-def test_silence_on_end_where_lists_are_asked_for_has_one_clock(started: Callable[..., Served]) -> None:
+def test_repeated_silence_of_a_polled_directory_has_one_deadline(started: Callable[..., Served]) -> None:
     """A change that the first watch misses counts 2 s after its wait, though the next watch fails as well."""
     ways = []
     for script in (["mute", "mute"], ["half a body", "mute"]):
@@ -70,7 +70,7 @@
         assert last - began < WAIT + 2 + GRACE, calls
 
 
-def test_what_a_silent_agent_has_at_its_return_counts_at_once(started: Callable[..., Served]) -> None:
+def test_the_list_of_a_returning_directory_counts_at_once(started: Callable[..., Served]) -> None:
     """Earlier calls stay without an answer: the next one has to come within the grace."""
     served = started("push")
     agent = served.directory
@@ -90,7 +90,7 @@
         self.script = ["mute"]
 
 
-def test_a_new_process_hears_within_the_grace_what_the_agent_has_at_its_return(
+def test_a_new_process_gets_a_returning_directorys_list_within_the_grace(
     started: Callable[..., Served], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The grace holds from the first moment of a process: its first call need not time out first."""
@@ -103,7 +103,7 @@
         assert left_at(served, late, 8) - back < GRACE
 
 
-def test_an_answer_that_came_while_the_relay_stood_still_is_taken() -> None:
+def test_an_answer_that_came_while_the_relay_was_paused_counts() -> None:
     """The timeout of a call is short: a relay that got no CPU for longer must not consider it failed."""
     settings = {"classes": [{"deadline": 1000}], "limits": {"connect_timeout": 100, "conn_idle": 1000}}
     few = limits(SettingsTree({"limits": {"sockets": 64, "memory_mb": 16}, "settings": settings}))
@@ -132,7 +132,7 @@
     return face.Listed(unit, "a", 0, 1, health, 1.0, 1), ("h", 1)
 
 
-def test_an_older_list_brings_back_nothing_that_a_newer_one_left_out() -> None:
+def test_an_older_list_restores_no_removed_unit() -> None:
     """A unit that a full list leaves out has been removed, and a directory that lags must not undo that."""
     lists = MembershipFilter(payloads.UnitList(40, True, [heard(1), heard(2)]), 6 * SECOND)
     lists.filter(0, payloads.UnitList(50, True, [heard(2)]))
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize("sizes", [(0.25, 1.0), (1.0, 1.0), (4.0, 1.0), (0.0, 0.0)])
-def test_a_small_cold_machine_is_sent_by_its_size(
+def test_load_of_a_small_cold_unit_follows_its_size(
     make_driver: Callable[..., BalancerDriver], sizes: tuple[float, float]
 ) -> None:
     """The load of a cold unit is judged by what warm units of its size take (WIRE 15.4).
--- a/tests/test_race_restarts.py
+++ b/tests/test_race_restarts.py
@@ -37,7 +37,7 @@
     return asked(build_query("once").replace("9f03", "9f" * LARGEST))
 
 
-def test_large_reqs_that_came_together_are_all_answered(serve: Callable[..., Served]) -> None:
+def test_simultaneous_large_reqs_are_all_answered(serve: Callable[..., Served]) -> None:
     """They arrive while all are read in parts: none is refused for the memory that the others take."""
     served = serve(memory=16)
     clients = [served.client() for _ in range(16)]
@@ -66,7 +66,7 @@
 
 
 @WAYS
-def test_a_close_and_the_connection_of_its_try_come_while_the_process_stands_still(
+def test_a_close_and_a_connection_arrive_while_the_process_is_paused(
     serve: Callable[..., Served], monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     settings = copy.deepcopy(PLATFORM_SETTINGS)
@@ -127,7 +127,7 @@
     assert "reqs.once.withdrawn=1" in served.log.read_text().splitlines()[-1] and len(served.queries()) == 5
 
 
-def test_a_resting_connection_keeps_no_buffer_of_a_large_answer() -> None:
+def test_an_idle_connection_keeps_no_large_buffer() -> None:
     unit = UnitStandIn()
     unit.mode, rig = "large", Rig(unit)
 
@@ -140,7 +140,7 @@
     assert not rig.faults
 
 
-def test_an_answer_that_came_in_time_is_none_out_of_time() -> None:
+def test_a_timely_answer_is_no_timeout_when_the_relay_is_late() -> None:
     """The relay is busy from before the answer until after the try's timeout."""
     unit, results = UnitStandIn(), []
     unit.mode, rig = "slow0.1", Rig(unit)
--- a/tests/test_race_settings.py
+++ b/tests/test_race_settings.py
@@ -721,12 +721,12 @@
     ],
     ids=["complaints", "sums", "word", "loads", "doubts"],
 )
-def test_what_is_beyond_a_field_is_told_as_its_end(packed: Callable[[], bytes], expected: object) -> None:
+def test_values_beyond_a_field_are_sent_as_its_limit(packed: Callable[[], bytes], expected: object) -> None:
     unpacked = packed()
     assert len(unpacked) <= messages.MAX_BYTES and messages.unpack(unpacked, 2)[1] == expected
 
 
-def test_a_relay_tells_more_complaints_than_a_field_holds() -> None:
+def test_more_complaints_than_a_field_holds_are_sent() -> None:
     """The counts of reqs and the rest of a heartbeat's work are not lost because of them."""
     sender, other = (make_balancer(relay_index=me, relay_count=2) for me in (0, 1))
     now, build = 100 * SECOND, 65_535  # the highest that there is (wire, 4)
@@ -771,7 +771,9 @@
         ({"tick": 10 * MS, "vote_ttl": SECOND}, 100, 166, True),
     ],
 )
-def test_beats_follow_ticks_objectives_and_votes(changed: dict, beat: int, idle: int, few: bool) -> None:
+def test_timer_intervals_follow_ticks_objectives_and_votes(
+    changed: dict, beat: int, idle: int, few: bool
+) -> None:
     balancer = make_balancer(**changed)
     assert (balancer.timer_interval // MS, balancer.idle_timer_interval // MS, balancer.small_fleet) == (
         beat,
@@ -781,7 +783,7 @@
 
 
 @pytest.mark.parametrize("objective, silent_on", [(50 * MS, 6.5), (SECOND, 6.5), (20 * SECOND, 22.25)])
-def test_a_build_goes_on_unheard_only_after_its_reqs_must_have_ended(
+def test_a_build_without_outcomes_advances_only_after_its_reqs_ended(
     objective: int, silent_on: float
 ) -> None:
     balancer, now = (
@@ -806,7 +808,7 @@
 @pytest.mark.parametrize(
     "control, verdict", [("share", face.VOTE_ADVANCE), ("any", face.VOTE_ADVANCE), ("clocked", None)]
 )
-def test_a_build_is_calm_unheard_however_many_routes_share_its_prior(
+def test_a_build_without_outcomes_is_held_good_with_any_number_of_routes(
     control: str, verdict: int | None, complaint_share: float
 ) -> None:
     """Without complaints, the prior of a failing build is the bound itself: rounding must not decide."""
@@ -839,7 +841,7 @@
     "warm_after, beside, blamed",
     [(4.5, 0.9, True), (4.5, 1.1, False), (30, 6, True), (30, 7, False), (0.5, 0.1, True), (0.5, 0.2, False)],
 )
-def test_a_machines_fellows_are_as_old_by_the_warm_up_time(
+def test_units_of_similar_age_are_compared_by_the_warm_up_time(
     warm_after: float, beside: float, blamed: bool
 ) -> None:
     balancer, now = make_balancer(warm_up_time=int(warm_after * SECOND)), 100 * SECOND
@@ -855,7 +857,7 @@
     assert balancer._is_machine_fault(now, balancer.state.units[1]) is blamed
 
 
-def test_a_lower_cap_told_again_binds_no_later() -> None:
+def test_a_repeated_lower_cap_binds_no_later() -> None:
     """News repeats itself: as the answer to a vote, and each time that the platform sends it."""
     balancer, now = (
         make_balancer(cap_free_tries=0.0, cap_window=60 * SECOND, drain_grace=2 * SECOND),
@@ -913,7 +915,7 @@
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_a_silent_units_reqs_are_called_off_only_where_that_is_allowed(allowed: bool) -> None:
+def test_reqs_at_a_silent_unit_are_cancelled_only_if_allowed(allowed: bool) -> None:
     balancer = make_balancer(may_cancel=allowed)
     balancer.directory(100 * SECOND, face.FULL_LIST, fleet(u1=5, u2=5, u3=5, u4=5))
     results = played(
@@ -926,7 +928,7 @@
 
 
 @pytest.mark.parametrize("longer", [1.2, 3.0])
-def test_a_silent_unit_is_set_aside_whatever_part_of_the_objective_clients_wait(longer: float) -> None:
+def test_a_silent_unit_is_ejected_however_short_clients_wait(longer: float) -> None:
     """Clients wait for a third of the route's time; at ten reqs a second, tries at a unit do not overlap."""
     balancer, left = make_balancer(relay_count=50), int(0.34 * longer * SECOND)
     balancer = Balancer(
@@ -947,7 +949,7 @@
 
 @pytest.mark.parametrize("worth", [0.0, 0.001, 0.1, 5.0])
 @pytest.mark.parametrize("beside", [0.0, 5.0])
-def test_what_earns_little_is_served_while_there_is_room(worth: float, beside: float) -> None:
+def test_low_earning_reqs_are_served_while_there_is_capacity(worth: float, beside: float) -> None:
     """A hundred reqs a second, each answered in a tenth of its objective; at first some are shed."""
     balancer = make_balancer()
     routes = tuple(route._replace(worth=beside) for route in balancer.settings.routes[1:])
@@ -966,7 +968,7 @@
 
 
 @pytest.mark.parametrize("keys", [30, 100])
-def test_keys_that_stay_with_a_build_are_no_more_than_its_cap_bears(keys: int) -> None:
+def test_sticky_keys_stay_within_the_cap(keys: int) -> None:
     """One machine of 34 is on trial, at a cap of twice its part; a key's further reqs stay there."""
     refused, there = 0, 0
     for me in range(6):
@@ -1132,7 +1134,7 @@
         ),
     ],
 )
-def test_a_process_under_another_customers_settings_answers(
+def test_a_process_with_other_settings_answers(
     customer: Callable[..., "Served"], change: dict, kinds: dict, route: str
 ) -> None:
     served = customer(change, **kinds)
--- a/tests/test_race_signals.py
+++ b/tests/test_race_signals.py
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("times", [1, 3])
-def test_a_move_told_while_the_configuration_is_read_is_not_lost(
+def test_a_reload_signal_while_the_configuration_is_read_is_not_lost(
     further: Callable[..., Started], times: int
 ) -> None:
     started, directory = further(), DirectoryStandIn()
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("ignored", [(), (HUP, USR1)], ids=["", "ignored"])
-def test_signals_all_through_a_start_end_nothing(further: Callable[..., Started], ignored: tuple) -> None:
+def test_signals_during_a_start_do_not_end_it(further: Callable[..., Started], ignored: tuple) -> None:
     """Signals come from when the program has handlers, or from the first moment if whoever starts it ignores
     them until then, as a shell's trap does.
     """
@@ -189,7 +189,7 @@
     assert started.process.wait(5) == 0
 
 
-def test_the_deploy_files_line_starts_a_relay_that_no_news_can_end(further: Callable[..., Started]) -> None:
+def test_signals_do_not_end_a_relay_started_by_the_deploy_file(further: Callable[..., Started]) -> None:
     """From the shell's first command on: a SIGHUP would end the interpreter before it has a handler."""
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     started = further()
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize(
     "torn", [None, "", "{", "half", "[]"], ids=["gone", "empty", "open", "half", "other"]
 )
-def test_a_file_whole_a_moment_later_needs_no_second_signal(
+def test_a_file_completed_a_moment_later_needs_no_second_signal(
     further: Callable[..., Started], torn: str | None
 ) -> None:
     started, directory = further(), DirectoryStandIn()
@@ -235,7 +235,7 @@
     directory.close()
 
 
-def test_a_file_that_stays_wrong_is_let_be_and_a_later_signal_goes_first(
+def test_a_file_that_stays_invalid_is_ignored(
     further: Callable[..., Started],
 ) -> None:
     started, first, second = further(), DirectoryStandIn(), DirectoryStandIn()
@@ -263,7 +263,7 @@
         stand.close()
 
 
-def test_signals_all_through_a_stop_change_nothing(serve: Callable[..., Served]) -> None:
+def test_signals_during_a_stop_change_nothing(serve: Callable[..., Served]) -> None:
     served, directory = serve(modes="slow1"), DirectoryStandIn()
     directory.entries = {entry["id"]: entry for entry in served.config["known"]["members"]}
     busy = served.client()
@@ -298,7 +298,7 @@
 
 
 @pytest.mark.parametrize("number", [TERM, INT, HUP, USR1])
-def test_a_signal_as_the_interpreter_goes_leaves_the_end_at_zero(
+def test_a_signal_during_interpreter_exit_keeps_exit_code_zero(
     serve: Callable[..., Served], tmp_path: Path, number: int
 ) -> None:
     path = tmp_path / "lingers"
--- a/tests/test_race_stop.py
+++ b/tests/test_race_stop.py
@@ -71,7 +71,7 @@
     return ended
 
 
-def test_all_that_the_machine_holds_for_a_listener_as_it_closes_is_answered(
+def test_connections_in_the_backlog_of_a_closing_listener_are_answered(
     serve: Callable[..., Served],
 ) -> None:
     room = 60 - 60 // 8 - 16
@@ -101,7 +101,7 @@
     assert over(served, began) < STOPPED
 
 
-def test_out_of_descriptors_a_stop_takes_what_waits_as_others_leave(serve: Callable[..., Served]) -> None:
+def test_a_stop_without_free_descriptors_accepts_as_others_leave(serve: Callable[..., Served]) -> None:
     served = serve(files=24, modes="silent")
     crowd = [Client(served.port, STARTUP + asked("once", 900)) for _ in range(40)]
     wait_until(lambda: served.count("clients_no_descriptor"))
@@ -171,7 +171,7 @@
     assert over(served, began) < STOPPED and len(served.queries()) == 6
 
 
-def test_a_message_that_drips_in_does_not_hold_a_stop(serve: Callable[..., Served]) -> None:
+def test_a_slow_message_does_not_delay_a_stop(serve: Callable[..., Served]) -> None:
     served, words = serve(), asked()
     client, ended = served.client(), threading.Event()
     assert client.ask(build_query())[:2] == COMPLETED
@@ -206,7 +206,7 @@
     assert over(served, began) < STOPPED
 
 
-def test_one_that_leaves_once_a_req_has_crossed_the_close_keeps_nobody_waiting(
+def test_a_client_that_leaves_after_the_close_delays_nobody(
     serve: Callable[..., Served],
 ) -> None:
     served = serve()
@@ -261,7 +261,7 @@
 
 
 @pytest.mark.parametrize("accepted, closes", [(0, 450), (149, 450), (150, 450), (250, 550), (400, 600)])
-def test_a_quiet_door_stays_for_as_long_as_the_page_lets_connections_come(accepted: int, closes: int) -> None:
+def test_a_quiet_listener_stays_open_for_the_documented_time(accepted: int, closes: int) -> None:
     stop = Shutdown(300, 600, 450)
     assert stop.begin(0)
     assert stop.step(closes - 1, accepted, 1) == LEAVING and stop.step(closes, accepted, 1) == DRAINING
--- a/tests/test_race_tries.py
+++ b/tests/test_race_tries.py
@@ -123,7 +123,7 @@
     ],
     ids=["leaving", "left", "unlisted", "build", "restart", "address"],
 )
-def test_a_unit_that_is_another_by_the_first_byte_gets_nothing(
+def test_a_unit_that_changed_before_the_first_byte_gets_nothing(
     cross: Callable[..., Crossing], changed: Callable[[dict], None]
 ) -> None:
     """The settings allow one try, and the req may not be repeated: it goes elsewhere without harm."""
@@ -147,7 +147,7 @@
         ("build=2&stage=1&phase=Healthy&cap=1&age_ms=1", 0.0, 1, 1),
     ],
 )
-def test_a_build_that_loses_its_cap_by_the_first_byte_gets_nothing(
+def test_a_build_without_cap_at_the_first_byte_gets_nothing(
     cross: Callable[..., Crossing], words: str, free: float, shielded: int, ends: int
 ) -> None:
     crossing = cross(
@@ -169,7 +169,7 @@
     assert (len(crossing.late.queries), len(crossing.others[0].queries)) == (ends, 1 - ends)
 
 
-def test_late_connections_do_not_bunch_tries_at_a_build_on_trial(cross: Callable[..., Crossing]) -> None:
+def test_late_connections_do_not_exceed_the_cap_of_a_trial(cross: Callable[..., Crossing]) -> None:
     """Three tries at first, three more when those count no more, and all connections come up together."""
     crossing = cross(
         1,
@@ -268,7 +268,7 @@
         ([True] * 3, True, face.CANCELLED, 0),
     ],
 )
-def test_a_last_byte_that_waited_is_looked_at_once_more(
+def test_a_delayed_last_byte_is_guarded_again(
     scheduler: Scheduler, answers: list[bool], cancelled: bool, status: str, queries: int
 ) -> None:
     """The guard was asked before: as the connection was begun, and before the first byte."""
@@ -307,7 +307,7 @@
         self.over.set()
 
 
-def test_the_rest_of_a_query_that_was_taken_in_part_is_looked_at(scheduler: Scheduler) -> None:
+def test_the_rest_of_a_partly_written_query_is_guarded(scheduler: Scheduler) -> None:
     """Another req could have ended this one by the time the unit takes more."""
     unit, large, results, may = SlowReader(), bytes(32 << 20), [], [True]
     pooled = Pooled(scheduler, unit, lambda req, number: may[0])
@@ -363,7 +363,7 @@
 @pytest.mark.parametrize(
     "changed", [{"health": face.GONE}, {"build": 2}, {"started_at": 5}], ids=["gone", "build", "restart"]
 )
-def test_a_try_that_waits_for_a_unit_that_went_is_decided_anew_at_once(
+def test_a_try_waiting_for_a_removed_unit_is_decided_again(
     scheduler: Scheduler, unit: type, changed: dict
 ) -> None:
     stand, results = unit(), []
@@ -406,7 +406,7 @@
     [({}, True), ({"health": face.GONE}, True), ({"build": 2}, True), ({"started_at": 5}, True), ({}, False)],
     ids=["same", "gone", "build", "restart", "barred"],
 )
-def test_no_connection_is_begun_to_a_unit_that_went_while_a_budget_was_waited_for(
+def test_no_connection_to_a_unit_removed_during_a_budget_wait(
     scheduler: Scheduler, changed: dict, may: bool
 ) -> None:
     stand, results, allowed = UnitStandIn(), [], [True]
@@ -432,9 +432,7 @@
 @pytest.mark.parametrize(
     "changed", [{"health": face.GONE}, {"build": 2}, {"started_at": 5}], ids=["gone", "build", "restart"]
 )
-def test_no_connection_is_begun_to_a_unit_that_went_right_behind_the_decision(
-    scheduler: Scheduler, changed: dict
-) -> None:
+def test_no_connection_to_a_unit_removed_after_the_decision(scheduler: Scheduler, changed: dict) -> None:
     """The list comes before the try's task runs: the guard, which knows the list, refuses."""
     stand, results = UnitStandIn(), []
     pooled = Pooled(scheduler, stand, lambda req, number: False)
@@ -450,7 +448,7 @@
     assert results == [face.UNSENT] and not stand.connections
 
 
-def test_what_a_fault_of_the_guard_leaves_open_is_not_sent(scheduler: Scheduler) -> None:
+def test_nothing_is_sent_if_the_guard_fails(scheduler: Scheduler) -> None:
     choices = Dispatcher(scheduler, conftest.SETTINGS, 7, Counters())
     assert not choices.may_write("unheard", 0) and choices.counters.counts["module_faults"] == 1
 
@@ -479,7 +477,7 @@
         (lambda one: one.wait(1.5), True),
     ],
 )
-def test_the_guard_looks_again_at_the_first_byte(
+def test_the_guard_is_asked_again_at_the_first_byte(
     make_driver: Callable[..., BalancerDriver], between: Callable, may: bool
 ) -> None:
     driver, sent = late(make_driver)
@@ -535,7 +533,7 @@
         ([face.UNSENT] * 4, 0),
     ],
 )
-def test_what_was_not_sent_is_decided_anew_and_costs_nothing(
+def test_unsent_tries_are_decided_again_at_no_cost(
     make_driver: Callable[..., BalancerDriver], statuses: list[str], further: int
 ) -> None:
     """It costs none of the retries that reqs earn, nor, once, one of those that a req may have; but not
@@ -555,7 +553,7 @@
     assert (left - driver.balancer.state.retry_tokens, taken) == (further, [(face.RESENDS,)] * further)
 
 
-def test_what_was_not_sent_tells_nothing(make_driver: Callable[..., BalancerDriver]) -> None:
+def test_unsent_tries_are_no_evidence(make_driver: Callable[..., BalancerDriver]) -> None:
     """Neither that a silent unit answered, nor whether another build serves what failed on trial."""
     driver = make_driver(cap_free_tries=1000)
     driver.list(*WARM, (7, "a", 6, 90))
--- a/tests/test_race_units.py
+++ b/tests/test_race_units.py
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("answer", CUT)
-def test_an_answer_cut_at_each_byte_proves_no_more_than_it_said(answer: str) -> None:
+def test_an_answer_cut_at_any_byte_proves_only_what_it_contains(answer: str) -> None:
     raw = CUT[answer][0]
     rig, results = (
         Rig(Scripted(cutting(raw, "closed")), connect_timeout=5 * WAIT),
@@ -265,7 +265,7 @@
     "answer, whole, end",
     [("row", len(ROW), COMPLETED), ("turned away", len(pack_error("53300") + READY), SHED)],
 )
-def test_a_client_learns_of_each_cut_what_is_true(
+def test_clients_get_the_right_answer_for_each_cut(
     among: Callable[..., Served], answer: str, whole: int, end: tuple
 ) -> None:
     raw = CUT[answer][0]
@@ -347,7 +347,7 @@
     [(deaf, LARGE_SQL, SHED), (deaf, build_query("once"), ERRORED), (deaf_and_gone, LARGE_SQL, SHED)],
     ids=["in part", "whole", "in part, then reset"],
 )
-def test_a_query_that_the_machine_took_in_part_has_never_run(
+def test_a_partly_buffered_query_has_never_run(
     among: Callable[..., Served], play: Callable[..., None], asked: str, end: tuple
 ) -> None:
     served, began = among(play, narrow=True), time.monotonic()
@@ -359,7 +359,7 @@
     )
 
 
-def test_a_cancel_is_heard_while_the_query_waits_to_be_written(among: Callable[..., Served]) -> None:
+def test_a_cancel_counts_while_the_query_waits_to_be_written(among: Callable[..., Served]) -> None:
     """The unit's kernel takes no more of a req that may be repeated: another unit serves it in time."""
     served = among(deaf, usual, narrow=True)
     client, deaf_one = served.client(), served.units[0]
@@ -496,7 +496,7 @@
     ],
     ids=["never", "just late", "just in time"],
 )
-def test_a_machine_that_says_nothing_has_run_nothing(
+def test_a_host_that_never_connects_has_run_nothing(
     connect: int, opens: float | None, status: str, least: float, most: float
 ) -> None:
     """It drops the first packet, and accepts the one that is sent again a second later, if still needed."""
@@ -629,7 +629,7 @@
 
 
 @pytest.mark.parametrize("late", [0.0, 0.08])
-def test_a_second_answer_that_came_while_its_connection_rested_is_nobodys(
+def test_a_second_answer_on_an_idle_connection_is_discarded(
     among: Callable[..., Served], late: float
 ) -> None:
     served = among(once_more(late))
@@ -707,7 +707,7 @@
     [(None,), (OTHER + READY,), (OTHER[:1],), (FATAL, None)],
     ids=["closed", "a row", "a byte", "turned away"],
 )
-def test_a_last_byte_that_was_held_back_does_not_follow_what_came_meanwhile(what: tuple) -> None:
+def test_a_delayed_last_byte_is_not_sent_after_unexpected_bytes(what: tuple) -> None:
     rig, results = Rig(Scripted(at_the_next_byte(*what)), last_byte_delay=200_000), []
 
     def work() -> None:
@@ -723,7 +723,7 @@
     assert len(rig.stands[0].connections) == 2 and rig.even()
 
 
-def test_a_new_connection_that_was_cut_tells_nothing_of_rests() -> None:
+def test_a_broken_new_connection_does_not_change_idle_limits() -> None:
     rests = IdleLimit(Rig().limits)
     for _ in range(10):
         rests.record(0, True)
@@ -737,7 +737,7 @@
     assert rests.max_idle == rests.limits.settle_time, "none is so young any more: none is kept"
 
 
-def test_an_answer_that_came_while_the_relay_stood_still_is_whole(among: Callable[..., Served]) -> None:
+def test_an_answer_that_came_while_the_relay_was_paused_is_whole(among: Callable[..., Served]) -> None:
     def play(unit: Scripted, conn: socket.socket, stream: BinaryIO) -> None:
         greet(conn, stream)
         unit.query(stream)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -85,7 +85,7 @@
         ("closed", "once", SHED, 0),
     ],
 )
-def test_what_may_have_run_is_told_from_what_never_ran(
+def test_tries_that_may_have_run_differ_from_those_that_never_ran(
     serve: Callable[..., Served], mode: str, route: str, end: tuple, queries: int
 ) -> None:
     served = serve(modes=mode)
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("mode", ["more", "noise", "late"])
-def test_what_follows_a_whole_answer_is_never_the_next_reqs(serve: Callable[..., Served], mode: str) -> None:
+def test_bytes_after_an_answer_never_answer_the_next_req(serve: Callable[..., Served], mode: str) -> None:
     served = serve(units=1, modes=mode)
     for _ in range(10):
         letters, code, row = served.client().ask(build_query("once"))
@@ -255,7 +255,7 @@
 
 
 @pytest.mark.parametrize("mode", ["silent", "status", "json", "fields", "half"])
-def test_a_directory_that_speaks_badly_leaves_the_last_list(serve: Callable[..., Served], mode: str) -> None:
+def test_a_malformed_directory_answer_keeps_the_last_list(serve: Callable[..., Served], mode: str) -> None:
     served = serve()
     wait_until(lambda: served.directory.calls)
     served.directory.mode = mode
@@ -305,7 +305,7 @@
     assert mode == "closed" or ("CastVote", "2", "stop") in verdicts
 
 
-def test_a_lost_or_unreadable_notices_stream_is_opened_anew(serve: Callable[..., Served]) -> None:
+def test_a_lost_or_malformed_notices_stream_is_reopened(serve: Callable[..., Served]) -> None:
     served = serve(
         units=4, builds=(1, 1, 2, 2), news=TRIAL.replace("cap=1", "cap=0").replace("Progressing", "Aborting")
     )
@@ -362,7 +362,7 @@
     assert served.count("votes.unanswered") > 0
 
 
-def test_datagrams_of_peers_alone_are_heard(serve: Callable[..., Served]) -> None:
+def test_only_datagrams_of_peers_count(serve: Callable[..., Served]) -> None:
     served = serve()
     assert 2 <= len(served.peer.recv(1000)) <= messages.MAX_BYTES
     body, to = messages.pack_loads([]), (RELAY_HOST, served.udp)
@@ -442,7 +442,7 @@
     assert len(first.queries) == before and len(second.queries) >= 40
 
 
-def test_no_descriptors_left_is_met_without_a_spin(serve: Callable[..., Served]) -> None:
+def test_without_free_descriptors_the_relay_does_not_spin(serve: Callable[..., Served]) -> None:
     served = serve(files=24)
     first = served.client()
     assert first.ask(build_query())[:2] == COMPLETED
@@ -471,7 +471,7 @@
     wait_until(lambda: served.client().ask(build_query())[:2] == COMPLETED)
 
 
-def test_clients_that_asked_once_make_room(serve: Callable[..., Served]) -> None:
+def test_idle_clients_are_closed_for_new_ones(serve: Callable[..., Served]) -> None:
     served = serve(sockets=60)
     crowd = [served.client() for _ in range((60 - 60 // 8 - 16) * 9 // 20)]
     for client in crowd:
@@ -484,7 +484,7 @@
     assert len(select.select([client.sock for client in crowd[1:]], [], [], 0)[0]) >= len(crowd) - 60 // 3
 
 
-def test_silent_connections_give_way_at_once(serve: Callable[..., Served]) -> None:
+def test_connections_that_never_sent_are_closed_first(serve: Callable[..., Served]) -> None:
     served = serve(sockets=60)
     usual = served.client()
     silent = [socket.create_connection((RELAY_HOST, served.port)) for _ in range(60)]
@@ -505,9 +505,7 @@
         (STARTUP + b"Q\0\0\1\0SELECT", "late"),
     ],
 )
-def test_a_client_that_does_not_go_on_is_left_within_3_s_of_its_connecting(
-    shared: Served, first: bytes, letters: str
-) -> None:
+def test_an_unfinished_startup_is_closed_within_3_s(shared: Served, first: bytes, letters: str) -> None:
     began = time.monotonic()
     with socket.create_connection((RELAY_HOST, shared.port)) as raw:
         raw.settimeout(4)
@@ -539,7 +537,7 @@
     assert int(re.search(r"VmHWM:\s+(\d+)", status)[1]) < 28 << 10
 
 
-def test_a_client_that_repeats_its_fault_is_slowed_and_left(shared: Served) -> None:
+def test_a_client_with_repeated_faults_is_delayed_and_closed(shared: Served) -> None:
     client, began = shared.client(), time.monotonic()
     client.sock.sendall(pack_message(b"Q", b"HELLO\0") * 300)
     results = [client.answer()[0] for _ in range(4)]
@@ -640,9 +638,7 @@
 @pytest.mark.parametrize(
     "also, expected", [("", "[]"), ("import h11; os.system('true')", "['h11', 'os.system']")]
 )
-def test_run_starts_nothing_and_brings_none_of_the_other_fronts_libraries(
-    serve: Callable[..., Served], also: str, expected: str
-) -> None:
+def test_run_loads_no_library_of_other_fronts(serve: Callable[..., Served], also: str, expected: str) -> None:
     served = serve(watched=WATCHED.replace("runpy.run", f"{also}\nrunpy.run"))
     assert served.client().ask(build_query())[:2] == COMPLETED
     served.process.send_signal(signal.SIGHUP)
@@ -670,7 +666,7 @@
         lambda config: config["limits"].update(sockets=32, memory_mb=24),
     ],
 )
-def test_an_odd_but_readable_configuration_is_served_with(
+def test_an_unusual_but_valid_configuration_is_served(
     shared: Served, tmp_path: Path, change: Callable
 ) -> None:
     config = json.loads(json.dumps(shared.config)) | {
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -248,7 +248,7 @@
     "outcomes",
     [[(0, 0, 0.0)] * 4, [(0, 1, 0.0), (1, 0, 2.0), (2, 1, 0.5)], [(0, 0, 3.0)] * 6 + [(1, 1, 0.0)]],
 )
-def test_the_recursion_gives_the_papers_sums(
+def test_the_recursion_matches_the_papers_sums(
     make_driver: Callable[..., BalancerDriver], outcomes: list
 ) -> None:
     balancer = make_driver().balancer
@@ -273,7 +273,7 @@
         (8, 6, 0.0, rules.FAILING),
     ],
 )
-def test_the_judge_names_the_kind_and_never_underflows(
+def test_the_posterior_names_the_kind_and_never_underflows(
     make_driver: Callable[..., BalancerDriver], many: int, failed: int, away: float, kind: str | None
 ) -> None:
     balancer = make_driver().balancer
@@ -341,7 +341,7 @@
     assert driver.balancer.state.trial.outcome_count == 35 and max(map(len, sums)) <= 256
 
 
-def test_a_unit_set_aside_returns_on_a_peers_good_answers(make_driver: Callable[..., BalancerDriver]) -> None:
+def test_an_ejected_unit_returns_on_a_peers_successes(make_driver: Callable[..., BalancerDriver]) -> None:
     driver, other = make_driver(), make_driver(relay_index=1)
     for each in (driver, other):
         each.list(*WARM)
@@ -429,7 +429,7 @@
     assert sum(result[0] == face.SEND and result[2] == 7 for result in sent) < 300 / 17 * 2
 
 
-def test_a_relay_with_few_outcomes_goes_by_two_voters_words(
+def test_a_relay_with_few_outcomes_follows_two_voters_reports(
     make_driver: Callable[..., BalancerDriver],
 ) -> None:
     driver = make_driver(
@@ -446,7 +446,7 @@
 
 
 @pytest.mark.parametrize("relays, alarms", [(3, True), (300, False)])
-def test_where_paces_are_unknown_the_spread_may_be_machines(
+def test_unknown_latency_ratios_may_explain_the_spread(
     make_driver: Callable[..., BalancerDriver], relays: int, alarms: bool
 ) -> None:
     balancer = make_driver(relay_count=relays).balancer
@@ -463,7 +463,7 @@
     "sender, build, parts, kept",
     [(0, 6, 3, True), (0, 7, 3, False), (0, 6, 2, False), (None, 6, 3, False), (300, 6, 3, False)],
 )
-def test_a_word_is_taken_from_voters_alone_and_whole(
+def test_only_voters_reports_count_and_only_whole_ones(
     make_driver: Callable[..., BalancerDriver], sender: int | None, build: int, parts: int, kept: bool
 ) -> None:
     driver = make_driver(relay_count=300)
@@ -479,7 +479,7 @@
 
 
 @pytest.mark.parametrize("lag, aside", [(SECOND // 4, False), (SECOND, True)])
-def test_a_hurried_clients_time_out_says_nothing_of_the_unit(
+def test_a_short_client_timeout_is_no_evidence_against_a_unit(
     make_driver: Callable[..., BalancerDriver], lag: int, aside: bool
 ) -> None:
     driver = make_driver()
@@ -489,7 +489,7 @@
     assert (driver.balancer.state.units[sent[2]].ejected_until > driver.now) == aside
 
 
-def test_what_is_kept_by_unit_build_req_or_time_has_an_end(
+def test_state_by_unit_build_req_and_time_is_bounded(
     make_driver: Callable[..., BalancerDriver],
 ) -> None:
     driver = make_driver(sticky_keys=True)
@@ -545,7 +545,7 @@
 
 
 @pytest.mark.parametrize("relays", [3, 40])
-def test_a_finer_tick_makes_neither_more_messages_nor_a_quicker_shed_limit(
+def test_a_finer_tick_changes_neither_messages_nor_the_shed_limit(
     make_driver: Callable[..., BalancerDriver], relays: int
 ) -> None:
     results, limits = [], []
@@ -559,7 +559,7 @@
     assert results[0] == results[1] and limits[0] == pytest.approx(limits[1], rel=0.01)
 
 
-def test_units_with_open_tries_come_first_where_a_message_holds_not_all(
+def test_units_with_open_tries_come_first_in_a_full_message(
     make_driver: Callable[..., BalancerDriver],
 ) -> None:
     driver = make_driver()
@@ -583,7 +583,7 @@
         ((5, 6), "a", 0, 0, False),
     ],
 )
-def test_a_unit_is_left_on_the_doubts_of_two_relays_of_a_site(
+def test_a_unit_suspected_by_two_relays_of_a_zone_is_ejected(
     make_driver: Callable[..., BalancerDriver],
     tellers: tuple,
     site: str,
@@ -615,7 +615,7 @@
 
 
 @pytest.mark.parametrize("relays, expected", [(3, 0), (300, 1)])
-def test_doubts_are_told_where_open_tries_are_not_and_rest_a_third_at_most(
+def test_suspicions_are_sent_and_eject_at_most_a_third(
     make_driver: Callable[..., BalancerDriver], relays: int, expected: int
 ) -> None:
     driver = make_driver(relay_count=relays)
@@ -641,7 +641,7 @@
         (0, face.FAILED, None, 0),
     ],
 )
-def test_a_req_that_units_call_at_fault_tells_of_its_client(
+def test_a_req_that_units_call_faulty_counts_against_its_client(
     make_driver: Callable[..., BalancerDriver],
     standing: int,
     second: str | None,
@@ -686,7 +686,7 @@
 @pytest.mark.parametrize(
     "relays, status, aside", [(300, face.FAILED, True), (300, face.RESET, False), (3, face.FAILED, False)]
 )
-def test_errors_seen_by_two_relays_set_a_unit_aside(
+def test_errors_seen_by_two_relays_eject_a_unit(
     make_driver: Callable[..., BalancerDriver], relays: int, status: str, aside: bool
 ) -> None:
     driver = make_driver(relay_count=relays)
@@ -703,7 +703,7 @@
     "doubted, erred, age, counted",
     [(3, 1, 0, 0), (4, 1, 0, 1), (0, 1, 0, 1), (3, 0, 0, 1), (3, 1, 3, 0), (3, 1, 5, 1)],
 )
-def test_errors_of_a_machine_that_others_doubt_count_once_while_most_are_sound(
+def test_errors_of_a_suspected_unit_count_once(
     make_driver: Callable[..., BalancerDriver], doubted: int, erred: int, age: int, counted: int
 ) -> None:
     driver = make_driver(relay_count=300, cap_free_tries=1000)
@@ -727,7 +727,7 @@
 
 
 @pytest.mark.parametrize("tellers, erred, aside", [(3, 0, False), (6, 0, True), (2, 1, True)])
-def test_a_unit_that_most_relays_hear_from_is_slow_and_not_silent(
+def test_a_unit_that_answers_most_relays_is_slow_not_silent(
     make_driver: Callable[..., BalancerDriver], tellers: int, erred: int, aside: bool
 ) -> None:
     driver = make_driver(relay_count=40)
@@ -746,7 +746,7 @@
     "relays, usual, wait, falls",
     [(300, 0.6, 0.8, True), (300, 0.2, 0.8, False), (300, 0.6, 0.4, False), (3, 0.6, 0.8, False)],
 )
-def test_a_jam_of_the_fleet_holds_open_tries_to_what_they_are(
+def test_fleet_overload_limits_open_tries(
     make_driver: Callable[..., BalancerDriver], relays: int, usual: float, wait: float, falls: bool
 ) -> None:
     driver = make_driver(relay_count=relays)
@@ -764,7 +764,7 @@
     )
 
 
-def test_voters_tell_how_long_tries_wait_at_all_relays(make_driver: Callable[..., BalancerDriver]) -> None:
+def test_voters_report_how_long_tries_wait_at_all_relays(make_driver: Callable[..., BalancerDriver]) -> None:
     driver = make_driver(relay_count=300)
     driver.list(*WARM, (7, "a", 6, 9))
     driver.news(6)
@@ -784,7 +784,7 @@
 
 
 @pytest.mark.parametrize("may_message_peers", [True, False])
-def test_doubts_that_are_not_told_are_not_kept(
+def test_suspicions_that_are_not_repeated_expire(
     make_driver: Callable[..., BalancerDriver], may_message_peers: bool
 ) -> None:
     driver = make_driver(relay_count=300, may_message_peers=may_message_peers)
@@ -797,7 +797,7 @@
     assert not driver.balancer.state.unsent_suspicions and (face.TELL in verbs(results)) == may_message_peers
 
 
-def test_doubts_that_are_over_go_and_what_changes_nothing_is_not_reckoned(
+def test_expired_suspicions_are_dropped_without_needless_computation(
     make_driver: Callable[..., BalancerDriver],
 ) -> None:
     """With many failures each of hundreds of relays doubts every unit.
--- a/tests/test_tuf.py
+++ b/tests/test_tuf.py
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize(
     "fault", ["mixed", "forged", "flipped", "endless", "failing", "busy", "silent", "reset"]
 )
-def test_metadata_of_a_mirror_at_fault_is_never_passed_on(serve: Callable[..., TufRig], fault: str) -> None:
+def test_invalid_metadata_is_never_passed_on(serve: Callable[..., TufRig], fault: str) -> None:
     repository = published()
     rig = serve(repository, mirrors=2)
     repository.publish()
@@ -117,7 +117,7 @@
         time.sleep(0.3)
 
 
-def test_a_frozen_mirror_rests_and_the_newest_is_given(serve: Callable[..., TufRig]) -> None:
+def test_a_frozen_mirror_is_excluded_and_the_newest_metadata_served(serve: Callable[..., TufRig]) -> None:
     repository = published()
     rig = serve(repository, mirrors=2)
     rig.mirrors[1].sync()
@@ -162,7 +162,7 @@
     wait_until(lambda: rig.request(META + "timestamp.json")[0] == 200, 20)
 
 
-def test_many_who_ask_at_once_make_one_try_and_share_its_failure(serve: Callable[..., TufRig]) -> None:
+def test_simultaneous_requests_share_one_try_and_its_failure(serve: Callable[..., TufRig]) -> None:
     rig = serve(published(), mirrors=1)
     rig.mirrors[0].mode = "slow"
     statuses: list[int] = []
@@ -207,7 +207,7 @@
     assert whole >= 4 and cut <= (2 if may_be_cut else 0)
 
 
-def test_a_stalled_file_goes_on_elsewhere_from_the_byte_reached(serve: Callable[..., TufRig]) -> None:
+def test_a_stalled_download_continues_at_another_mirror(serve: Callable[..., TufRig]) -> None:
     rig = serve(published(), mirrors=2, overrides={"limits": {"floor-over": "300ms"}})
     for mirror in rig.mirrors:
         mirror.modes["target"] = "stall"
@@ -220,14 +220,14 @@
 
 
 @pytest.mark.parametrize("fault", ["unranged", "misranged"])
-def test_a_mirror_that_mistakes_ranges_is_seen(serve: Callable[..., TufRig], fault: str) -> None:
+def test_wrong_range_answers_are_detected(serve: Callable[..., TufRig], fault: str) -> None:
     rig = serve(published(), mirrors=3, overrides={"limits": {"floor-over": "300ms"}})
     rig.mirrors[0].modes["target"], rig.mirrors[1].modes["target"] = "torn", fault
     for _ in range(5):
         assert rig.request(FILES + "large.bin")[2] == LARGE
 
 
-def test_ranges_and_heads_are_answered_from_what_is_proven(shared: TufRig) -> None:
+def test_ranges_and_heads_are_answered_from_verified_data(shared: TufRig) -> None:
     etag = f'"sha256:{hashlib.sha256(LARGE).hexdigest()}:{len(LARGE)}"'
     for span, first, last in (
         ("bytes=0-0", 0, 0),
@@ -268,7 +268,7 @@
     ],
     ids=["bare", "folded", "both", "endless", "unfinished"],
 )
-def test_who_speaks_badly_gets_one_answer_and_a_close(shared: TufRig, raw: bytes, status: int) -> None:
+def test_malformed_requests_get_one_answer_and_a_close(shared: TufRig, raw: bytes, status: int) -> None:
     with socket.create_connection((RELAY_HOST, shared.ports[0])) as sock:
         sock.settimeout(10)
         sock.sendall(raw)
@@ -318,7 +318,7 @@
     )
 
 
-def test_a_client_that_leaves_in_mid_file_ends_its_try_and_makes_no_other(
+def test_a_client_that_leaves_ends_its_download(
     serve: Callable[..., TufRig],
 ) -> None:
     rig = serve(published(), mirrors=2, rate=400_000)
@@ -332,7 +332,7 @@
     ) < len(LARGE)
 
 
-def test_a_reader_below_the_floor_is_left_and_holds_nobody_back(serve: Callable[..., TufRig]) -> None:
+def test_a_reader_below_the_minimum_rate_is_closed(serve: Callable[..., TufRig]) -> None:
     repository = published()
     repository.add("huge.bin", bytes(32 << 20))
     repository.publish()
@@ -346,7 +346,7 @@
     assert rig.counter("reqs.target.completed") == 1
 
 
-def test_files_beyond_the_limit_are_turned_away_at_once_and_metadata_is_not(
+def test_files_beyond_the_limit_are_refused_and_metadata_is_not(
     serve: Callable[..., TufRig],
 ) -> None:
     rig = serve(published(), rate=200_000, overrides={"limits": {"files-per-client": "2"}})
@@ -360,7 +360,7 @@
     assert rig.request(META + "timestamp.json")[0] == 200
 
 
-def test_one_of_a_mirrors_places_more_than_it_may_have_goes_elsewhere(serve: Callable[..., TufRig]) -> None:
+def test_downloads_beyond_a_mirrors_limit_go_to_another(serve: Callable[..., TufRig]) -> None:
     rig = serve(published(), mirrors=2, rate=400_000, overrides={"limits": {"files-per-mirror": "2"}})
     threads = [threading.Thread(target=fetch, args=(rig,), daemon=True) for _ in range(4)]
     for place, thread in enumerate(threads):
@@ -370,7 +370,7 @@
 
 
 @pytest.mark.parametrize("depth, loop, status", [(4, False, 200), (4, True, 200), (50, False, 404)])
-def test_delegations_that_loop_or_go_deep_end_in_one_answer(
+def test_looping_or_deep_delegations_get_one_answer(
     serve: Callable[..., TufRig], depth: int, loop: bool, status: int
 ) -> None:
     repository = published()
@@ -385,7 +385,7 @@
     assert rig.request(FILES + "deep.none")[0] == 404 and rig.count_mirror_requests("/r") <= 33
 
 
-def test_what_was_proven_lasts_over_a_kill_and_nothing_older_is_believed_after(
+def test_verified_state_survives_a_kill(
     serve: Callable[..., TufRig],
 ) -> None:
     repository = published()
@@ -471,7 +471,7 @@
     [(b"{}", {}, 400), (b"x" * 300_000, {}, 413), (manifest("v", 1), {"Transfer-Encoding": "chunked"}, 411)],
     ids=["empty", "long", "chunked"],
 )
-def test_what_is_no_manifest_never_goes_up(
+def test_malformed_manifests_are_never_forwarded(
     fleet: Callable[..., TufRig], body: bytes, fields: dict, status: int
 ) -> None:
     rig = fleet(UPTANE)
--- a/tests/test_tuf_decisions.py
+++ b/tests/test_tuf_decisions.py
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("wrong_at", [0, 9000, len(DATA) - 1])
 @pytest.mark.parametrize("first, last", [(0, len(DATA) - 1), (100, 1100)])
-def test_nobody_ever_has_a_complete_file_that_is_wrong(wrong_at: int, first: int, last: int) -> None:
+def test_no_complete_file_is_ever_wrong(wrong_at: int, first: int, last: int) -> None:
     spoilt = bytearray(DATA)
     spoilt[wrong_at] ^= 1
     reading = moved(first, last)
@@ -92,7 +92,7 @@
         assert not out and feed(reading, DATA, 2) == DATA[first : last + 1] and reading.state == VERIFIED
 
 
-def test_a_small_file_that_was_wrong_is_read_anew_elsewhere() -> None:
+def test_a_small_wrong_file_is_fetched_again_elsewhere() -> None:
     small = b"small" * 20
     reading = Download(
         TargetFile.from_data("s", small, ["sha256"]), 0, len(small) - 1, CHUNK, BlockHashes(CHUNK, 9)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("known", [False, True])
-def test_a_file_goes_on_from_the_byte_reached(known: bool) -> None:
+def test_a_download_continues_from_the_byte_reached(known: bool) -> None:
     blocks = BlockHashes(CHUNK, 1000)
     if known:
         feed(moved(blocks=blocks), DATA)
@@ -117,7 +117,7 @@
     assert out == DATA and reading.state == VERIFIED and reading.fetched < len(DATA) + 3 * CHUNK
 
 
-def test_a_wrong_block_of_a_known_file_is_read_again_and_its_mirror_told() -> None:
+def test_a_wrong_block_is_fetched_again_and_its_mirror_reported() -> None:
     blocks, spoilt = BlockHashes(CHUNK, 1000), bytearray(DATA)
     feed(moved(blocks=blocks), DATA)
     spoilt[9_500] ^= 1
@@ -144,7 +144,7 @@
         (18_000, 200, len(DATA), None, None, NO_RANGES),
     ],
 )
-def test_a_mirrors_head_is_held_against_what_was_asked(
+def test_a_mirrors_response_head_is_checked_against_the_request(
     reached: int, status: int, length: int | None, span: tuple | None, older: int | None, fit: str
 ) -> None:
     reading = moved()
@@ -174,7 +174,7 @@
         ([(0, 1 << 20)] * 50, False),
     ],
 )
-def test_a_mirror_stalls_by_its_pace_not_by_silence_alone(reads: list, stalled: bool) -> None:
+def test_a_mirror_stalls_by_its_throughput(reads: list, stalled: bool) -> None:
     pace = ThroughputMonitor(10_000, SECOND)
     assert all(pace.record(waited, count) for waited, count in reads) is not stalled
     assert 0 < pace.window_left() <= SECOND
@@ -209,7 +209,7 @@
     assert freshness_state.decide(now + 10 * SECOND, True) == freshness.REFRESH
 
 
-def test_what_is_proven_is_given_while_no_mirror_answers_as_long_as_it_may() -> None:
+def test_verified_metadata_is_served_without_mirrors_for_a_while() -> None:
     freshness_state, now = fresh(), 100 * SECOND
     freshness_state.begin(now)
     freshness_state.end(now, True)
@@ -239,7 +239,7 @@
     return made
 
 
-def test_those_behind_rest_a_little_those_that_lie_long_and_not_all() -> None:
+def test_outdated_mirrors_are_excluded_briefly_and_invalid_ones_long() -> None:
     records, now = mirrors(1, 1, 1, 1), 100 * SECOND
     assert (
         records.exclude_behind(now, 0)
@@ -260,7 +260,7 @@
     assert not records.is_excluded(now, 0)  # another build is another mirror
 
 
-def test_one_that_gives_strange_bytes_for_long_is_not_merely_ahead() -> None:
+def test_a_mirror_unverifiable_for_long_is_not_merely_ahead() -> None:
     records, now = mirrors(1, 1, 1, 1), 100 * SECOND
     assert not records.is_wrong_if_unverifiable(now, 0) and not records.is_wrong_if_unverifiable(
         now + 4 * SECOND - 1, 0
@@ -270,20 +270,20 @@
     assert not records.is_wrong_if_unverifiable(now + 9 * SECOND, 0)
 
 
-def test_a_mirror_in_two_wrong_files_beside_others_is_the_one_they_share() -> None:
+def test_the_mirror_common_to_two_wrong_files_is_at_fault() -> None:
     records, now = mirrors(1, 1, 1, 1), 100 * SECOND
     assert records.suspect(now, {0, 1}) == [] and records.suspect(now, {0, 1}) == []
     assert records.suspect(now, {0, 2}) == [0]
 
 
-def test_one_machines_lies_are_not_its_builds() -> None:
+def test_invalid_data_of_one_mirror_is_not_blamed_on_its_build() -> None:
     records, now = mirrors(1, 1, 2, 2, 3), 100 * SECOND
     for unit, tells in ((2, False), (2, False), (3, True), (4, True)):
         records.exclude_wrong(now, unit)
         assert records.counts_against_build(now, unit) is tells, unit
 
 
-def test_room_is_held_by_front_client_mirror_and_bytes() -> None:
+def test_admission_is_limited_by_front_client_mirror_and_bytes() -> None:
     admission = file_admission.FileAdmission(file_admission.AdmissionBounds(4, 2, 2, 100))
     assert [admission.admit("a", 10) for _ in range(3)] == ["", "", file_admission.TOO_MANY_OF_CLIENT]
     assert admission.admit("b", 90) == file_admission.TOO_MANY_BYTES
@@ -333,7 +333,7 @@
         ([TargetFile.from_data("fw.bin", b"fw", ["sha512"])], uptane.DISAGREE),
     ],
 )
-def test_an_image_is_held_against_what_the_director_says(directed: list, verdict: str) -> None:
+def test_an_image_is_checked_against_the_director(directed: list, verdict: str) -> None:
     assert uptane.compare_image(IMAGE, directed) == verdict
 
 
@@ -357,7 +357,7 @@
         body(count=1.5),
     ],
 )
-def test_what_is_no_manifest_is_refused(raw: bytes) -> None:
+def test_malformed_manifests_are_refused(raw: bytes) -> None:
     with pytest.raises(uptane.ManifestError):
         uptane.parse_manifest(raw, "n")
 
@@ -496,7 +496,7 @@
     return trust
 
 
-def test_what_was_proven_is_proven_anew_from_the_pinned_root(published: TufRepository) -> None:
+def test_stored_state_is_verified_again_from_the_pinned_root(published: TufRepository) -> None:
     now = int(time.time() * SECOND)
     state = state_store.deserialize(state_store.serialize(state_store.state_of(proven(published), now)))
     trust = Trust(published.pinned, 1 << 20)
@@ -527,7 +527,7 @@
         lambda raw: b"null",
     ],
 )
-def test_a_damaged_file_is_as_good_as_none(
+def test_a_damaged_state_file_is_ignored(
     published: TufRepository, tmp_path: Path, spoil: Callable[[bytes], bytes]
 ) -> None:
     raw = state_store.serialize(state_store.state_of(proven(published), 5))
--- a/tests/test_tuf_trust.py
+++ b/tests/test_tuf_trust.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("consistent", [True, False])
-def test_a_whole_walk_is_taken_on_and_the_next_finds_nothing_new(consistent: bool) -> None:
+def test_a_complete_refresh_is_adopted_and_the_next_is_unchanged(consistent: bool) -> None:
     repo = TufRepository(consistent)
     repo.add("app.bin", b"one")
     trust = Trust((repo.publish() and repo.pinned), MOST)
@@ -84,7 +84,7 @@
         (lambda raw: raw.replace(b'"version":2', b'"version":3'), INVALID),
     ],
 )
-def test_a_spoilt_file_is_wrong_and_changes_nothing(
+def test_a_corrupted_file_is_invalid_and_changes_nothing(
     repository: TufRepository, role: str, spoil: object, verdict: str
 ) -> None:
     trust = Trust(repository.pinned, MOST)
@@ -98,7 +98,7 @@
     assert last(trust, repository.newest) == VERIFIED  # another mirror is believed all the same
 
 
-def test_what_is_older_is_behind_and_never_taken_on(repository: TufRepository) -> None:
+def test_older_metadata_is_outdated_and_never_adopted(repository: TufRepository) -> None:
     trust = Trust(repository.pinned, MOST)
     repository.publish()
     walk(trust, repository.newest)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("role", ["snapshot", "targets"])
-def test_mixed_files_are_behind(repository: TufRepository, role: str) -> None:
+def test_mixed_metadata_is_outdated(repository: TufRepository, role: str) -> None:
     trust = Trust(repository.pinned, MOST)
     walk(trust, repository.newest)
     repository.publish()
@@ -117,7 +117,7 @@
     assert last(trust, given) == OUTDATED
 
 
-def test_a_signed_snapshot_that_takes_a_role_back_is_not_taken_on(repository: TufRepository) -> None:
+def test_a_snapshot_that_rolls_back_a_role_is_not_adopted(repository: TufRepository) -> None:
     repository.publish(ahead=3)
     trust = Trust(repository.pinned, MOST)
     walk(trust, repository.newest)
@@ -134,7 +134,7 @@
     assert last(trust, repository.newest) == OUTDATED
 
 
-def test_expired_files_are_behind_and_what_is_held_expires_while_serving(repository: TufRepository) -> None:
+def test_expired_metadata_is_outdated(repository: TufRepository) -> None:
     trust = Trust(repository.pinned, MOST)
     assert last(trust, repository.newest, later=4000) == OUTDATED
     walk(trust, repository.newest)
@@ -165,13 +165,13 @@
     assert trust.add_root(repository.roots[1]).verdict == OUTDATED
 
 
-def test_a_root_signed_by_nobody_known_is_wrong(repository: TufRepository) -> None:
+def test_a_root_without_known_signatures_is_invalid(repository: TufRepository) -> None:
     other = TufRepository()
     other.rotate("root")
     assert Trust(repository.pinned, MOST).add_root(other.roots[1]).verdict == INVALID
 
 
-def test_a_revoked_key_proves_nothing_more_and_is_no_lie(repository: TufRepository) -> None:
+def test_a_revoked_key_verifies_nothing(repository: TufRepository) -> None:
     trust = Trust(repository.pinned, MOST)
     walk(trust, repository.newest)
     old = repository.signers["timestamp"][:]
@@ -183,7 +183,7 @@
     assert last(trust, repository.newest) == OUTDATED and trust.view.timestamp.version == 2
 
 
-def test_a_rotation_forgets_versions_that_the_old_key_ran_ahead(repository: TufRepository) -> None:
+def test_a_rotation_resets_versions_of_the_old_key(repository: TufRepository) -> None:
     trust = Trust(repository.pinned, MOST)
     repository.publish(ahead=1000)
     walk(trust, repository.newest)
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize("role", ["timestamp", "snapshot", "targets", "root"])
-def test_a_rotation_counts_together_with_the_view_that_is_proven_under_it(
+def test_a_rotation_takes_effect_with_the_view_verified_under_it(
     repository: TufRepository, role: str
 ) -> None:
     trust = Trust(repository.pinned, MOST)
@@ -214,7 +214,7 @@
     assert (trust.root.version, trust.view.timestamp.version, trust.is_usable(now())) == (2, 2, True)
 
 
-def test_targets_keys_may_rotate_without_a_way_back_for_timestamps(repository: TufRepository) -> None:
+def test_rotating_targets_keys_allows_no_timestamp_rollback(repository: TufRepository) -> None:
     trust = Trust(repository.pinned, MOST)
     repository.publish(ahead=9)
     walk(trust, repository.newest)
@@ -226,7 +226,7 @@
     assert last(trust, repository.revisions[0]) == OUTDATED
 
 
-def test_a_mirror_ahead_of_a_rotation_is_strange_and_makes_the_next_root_wanted(
+def test_a_mirror_ahead_of_a_rotation_is_unverifiable_and_requests_the_next_root(
     repository: TufRepository,
 ) -> None:
     trust = Trust(repository.pinned, MOST)
@@ -297,7 +297,7 @@
     assert trust.next_role_towards(trust.view, "r9") is None
 
 
-def test_proven_roles_stay_while_the_snapshot_means_them_and_their_keys_hold() -> None:
+def test_verified_roles_stay_while_snapshot_and_keys_allow() -> None:
     made = wall_clock()  # stands still: what is published anew expires when it did
     repo = chain(2, clock=lambda: made)
     trust = Trust(repo.pinned, MOST)
